--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -27,7 +27,7 @@
             'engines',
             (f'10.{number // 65536}.{number // 256 % 256}.{number % 256}', 80),
             f'zone-{number % 3}',
-            born=number,
+            started_at_ms=number,
             versions={'drafts': 1},
             slots=16,
         )
--- a/catkinshunt/catalog/__init__.py
+++ b/catkinshunt/catalog/__init__.py
@@ -2,6 +2,8 @@
 
 from catkinshunt.catalog._catalog import Catalog
 from catkinshunt.catalog._catalog import NamedVersion
+from catkinshunt.catalog._live_entries import EntryLocation
+from catkinshunt.catalog._live_entries import LiveEntries
 from catkinshunt.catalog._model import Declaration
 from catkinshunt.catalog._model import EngineProfile
 from catkinshunt.catalog._model import Origin
@@ -9,17 +11,15 @@
 from catkinshunt.catalog._model import Service
 from catkinshunt.catalog._model import Share
 from catkinshunt.catalog._model import Upstream
-from catkinshunt.catalog._roster import Home
-from catkinshunt.catalog._roster import Roster
 
 __all__ = [
-    'Home',
     'Catalog',
     'Declaration',
     'EngineProfile',
+    'EntryLocation',
+    'LiveEntries',
     'NamedVersion',
     'Origin',
-    'Roster',
     'Serve',
     'Service',
     'Share',
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -160,13 +160,13 @@
         to another one that does not know it either, and have no try left.
         """
         catalog = self.context.catalog
-        if catalog.is_known:
+        if catalog.is_loaded:
             return
         hold_s = min(HOLD_S, self.ask.deadline_s or HOLD_S)
         self.progress.hold_until = now + hold_s
         try:
             async with asyncio.timeout(hold_s):
-                while not catalog.is_known:
+                while not catalog.is_loaded:
                     await catalog.wait_for_change()
         except TimeoutError:
             # What is missing is told by the decision that follows.
--- a/catkinshunt/gateway/tests/test_places.py
+++ b/catkinshunt/gateway/tests/test_places.py
@@ -118,7 +118,9 @@
             context = scene.context
             context.places = FakeDoor(None, None)
             context.version_grace_s = 8.0
-            context.catalog.name_version(scenes.MODEL, 2, context.wall() - 7.0)
+            context.catalog.add_named_version(
+                scenes.MODEL, 2, context.wall() - 7.0
+            )
             context.tracker.state(new.entry()).rest(context.clock(), 0.2)
             return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
 
@@ -141,7 +143,9 @@
             class Waiting(FakeAsking):
                 async def last_reply(self):
                     now = context.wall()
-                    context.catalog.name_version(scenes.MODEL, 2, now - 9.0)
+                    context.catalog.add_named_version(
+                        scenes.MODEL, 2, now - 9.0
+                    )
                     return await super().last_reply()
 
             door.make_asking = Waiting
--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -33,7 +33,7 @@
     except _documents.UnreadableError as exc:
         _log.error('Left aside {}: {}.', item.key, exc)
         return
-    catalog.name_version(model, version, since, found)
+    catalog.add_named_version(model, version, since, found)
 
 
 def apply_pending(item, catalog, now):
@@ -75,7 +75,7 @@
 
 
 def decode_home(item):
-    """Return the `catalog.Home` of an entry's item, or None for none.
+    """Return the `catalog.EntryLocation` of an entry's item, or None for none.
 
     An entry that does not tell it is there all the same.
     """
--- a/catkinshunt/platform/_outlook.py
+++ b/catkinshunt/platform/_outlook.py
@@ -159,13 +159,13 @@
 
     def hear_of(self, model, version):
         """See `spread.BaseOutlook.hear_of`."""
-        self.catalog.name_version(model, version, self.wall())
+        self.catalog.add_named_version(model, version, self.wall())
 
     async def wanted(self, report):
         """See `spread.BaseOutlook.wanted`."""
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
-            due_at = named.since + self.due_s
+            due_at = named.learned_at + self.due_s
             return spread.Wanted(model, named.version, due_at)
         # Before the store has told what is named, what others are listed with
         # may be a version that is no longer wanted. After a loss of power all
@@ -196,17 +196,17 @@
 
     def due_after(self, model, version):
         """See `spread.BaseOutlook.due_after`."""
-        newer = self.catalog.first_after(model, version)
-        return self.wall() if newer is None else newer.since + self.due_s
+        newer = self.catalog.next_version(model, version)
+        return self.wall() if newer is None else newer.learned_at + self.due_s
 
     def expires_at(self, model, version):
         """See `spread.BaseOutlook.expires_at`."""
-        newer = self.catalog.first_after(model, version)
+        newer = self.catalog.next_version(model, version)
         # How long ago a version was named that stood in the store at the
         # start is not known; others may still use the one before.
         if newer is None or newer.found:
             return math.inf
-        return newer.since + self.due_s - EXPIRY_MARGIN_S
+        return newer.learned_at + self.due_s - EXPIRY_MARGIN_S
 
     async def members(self):
         """See `spread.BaseOutlook.members`."""
@@ -218,7 +218,7 @@
             for upstream in self.catalog.members(self.cfg.service)
             if not upstream.leaving
         ]
-        listed.sort(key=lambda upstream: upstream.born)
+        listed.sort(key=lambda upstream: upstream.started_at_ms)
         return [
             spread.Member(u.address[0], u.data_centre, u.versions or {})
             for u in listed
--- a/catkinshunt/platform/tests/test_quarantine_keys.py
+++ b/catkinshunt/platform/tests/test_quarantine_keys.py
@@ -19,11 +19,11 @@
     wall = asyncio.get_running_loop().time
     found, tasks = [], []
     for name in NAMES:
-        roster = catalogs.Roster()
-        roster.replace(NAMES)
+        live_entries = catalogs.LiveEntries()
+        live_entries.replace(NAMES)
         barred = quarantine.Quarantine()
         keys = _quarantine_keys.QuarantineKeys(
-            store, barred, roster, name, wall
+            store, barred, live_entries, name, wall
         )
         tasks.append(asyncio.ensure_future(keys.run()))
         found.append(barred)
--- a/catkinshunt/spread/_holding.py
+++ b/catkinshunt/spread/_holding.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from catkinshunt import changes
 from catkinshunt import errors
+from catkinshunt import notifier
 from catkinshunt.spread import _waits
 
 
@@ -30,7 +30,7 @@
     is_slow: bool = False
     waits: _waits.Waits = attrs.field(factory=_waits.Waits)
     _given: collections.Counter = attrs.field(factory=collections.Counter)
-    _changes: changes.Changes = attrs.field(factory=changes.Changes)
+    _changes: notifier.Notifier = attrs.field(factory=notifier.Notifier)
 
     @property
     def missing(self):
@@ -59,12 +59,12 @@
             errors.CorruptChunkError: it is not the chunk of the manifest.
         """
         self.chunks[index] = self.manifest.check(index, data)
-        self._changes.announce()
+        self._changes.notify_all()
 
     def describe(self, manifest):
         """Take over the manifest."""
         self.manifest = manifest
-        self._changes.announce()
+        self._changes.notify_all()
 
     def awaits(self, indices):
         """Return whether one of these comes here soon, to be passed on.
@@ -83,12 +83,12 @@
     def end(self):
         """Note that no transfer fills it any more."""
         self.filled = False
-        self._changes.announce()
+        self._changes.notify_all()
 
     def give_nothing(self):
         """Let others take all chunks elsewhere from now on."""
         self.is_slow = True
-        self._changes.announce()
+        self._changes.notify_all()
 
     def forget(self):
         """Drop the manifest and all chunks that were checked by it."""
