--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -258,13 +258,13 @@
     Mutation(
         'one-reader-for-all-regions',
         'catkinshunt/feed/_watchers.py',
-        'if far is not None:',
+        'if remote is not None:',
         'if False:',
     ),
     Mutation(
         'whoever-is-turned-away-asks-others',
         'catkinshunt/feed/_watchers.py',
-        'if now < self._unserved_until:',
+        'if now < self._source_failed_until:',
         'if False:',
     ),
     Mutation(
@@ -276,25 +276,25 @@
     Mutation(
         'proofs-are-told-at-once',
         'catkinshunt/feed/_server.py',
-        'view.revision > after or view.confirmed_at > confirmed_at',
-        'view.revision > after',
+        'cache.revision > after or cache.confirmed_at > confirmed_at',
+        'cache.revision > after',
     ),
     Mutation(
         'reader-tells-only-what-it-knows',
         'catkinshunt/feed/_watch_cache.py',
-        'return after >= self._floor',
+        'return after >= self._compacted_revision',
         'return True',
     ),
     Mutation(
         'values-in-between-are-skipped',
         'catkinshunt/feed/_regional.py',
-        'if self._large_at is not None:',
+        'if self._large_value_at is not None:',
         'if False:',
     ),
     Mutation(
         'deletions-show-in-a-read',
         'catkinshunt/feed/_watch_cache.py',
-        'return gone + [',
+        'return deleted + [',
         'return [',
     ),
     Mutation(
@@ -342,19 +342,19 @@
     Mutation(
         'deletions-are-handed-on',
         'catkinshunt/feed/_watch_cache.py',
-        'self._deleted[item.key] = item',
+        'self._tombstones[item.key] = item',
         'pass',
     ),
     Mutation(
         'unread-answers-prove-nothing',
         'catkinshunt/feed/_peer.py',
-        'confirmed_at = asked_at + told.held_s - told.proved_ago_s',
-        'confirmed_at = self.wall() - told.proved_ago_s',
+        'requested_at + relayed.waited_s - relayed.confirmed_ago_s',
+        'self.wall() - relayed.confirmed_ago_s',
     ),
     Mutation(
         'readers-that-start-are-waited-for',
         'catkinshunt/feed/_regional.py',
-        'if self.wall() - self._began < START_PATIENCE_S:',
+        'if self.wall() - self._started_at < START_RETRY_PERIOD_S:',
         'if False:',
     ),
     Mutation(
@@ -531,20 +531,20 @@
     Mutation(
         'proof-of-one-part',
         'catkinshunt/feed/_watch_cache.py',
-        'self._prove((prefix,), page, now)',
-        'self._prove(tuple(self._read_at), page, now)',
+        'self._confirm((prefix,), page, now)',
+        'self._confirm(tuple(self._revisions), page, now)',
     ),
     Mutation(
         'second-read-told-as-changes',
         'catkinshunt/feed/_watch_cache.py',
-        'if prefix in self._read_at:',
+        'if prefix in self._revisions:',
         'if False:',
     ),
     Mutation(
         'newest-only-after-a-lost-reader',
         'catkinshunt/feed/_regional.py',
-        'if self._has_large(page):\n            self._large_at =',
-        'if False:\n            self._large_at =',
+        'if self._has_large_value(page):\n            self._large_value_at =',
+        'if False:\n            self._large_value_at =',
     ),
     Mutation(
         'list-only-rises',
--- a/catkinshunt/catalog/_catalog.py
+++ b/catkinshunt/catalog/_catalog.py
@@ -13,11 +13,11 @@
 #: other is left. The entries of live upstreams that lapsed in an outage of
 #: the platform's store are back within two seconds; work must have stopped
 #: two seconds after an upstream has gone.
-VANISHED_S = 1.5
+VANISHED_GRACE_S = 1.5
 #: Versions of a model that are remembered; they are due one by one.
-MOST_VERSIONS = 8
+MAX_VERSIONS = 8
 #: Upstreams that one log line names at most.
-MOST_NAMED = 20
+MAX_LOGGED_UPSTREAMS = 20
 
 _log = logs.get_logger('catalog')
 
@@ -68,14 +68,14 @@
         self._confirmed_at = None
         self._upstreams = {}
         self._vanished = {}
-        self._changes = notifier.Notifier()
+        self._notifier = notifier.Notifier()
 
     async def wait_for_change(self):
         """Return once a version or an upstream has changed.
 
         Or once the state has been read for the first time.
         """
-        await self._changes.wait()
+        await self._notifier.wait()
 
     @property
     def is_loaded(self):
@@ -86,7 +86,7 @@
         """Note that the state was the newest one at `now`."""
         if self._confirmed_at is None:
             self._confirmed_at = now
-            self._changes.notify_all()
+            self._notifier.notify_all()
         self._confirmed_at = max(self._confirmed_at, now)
 
     @property
@@ -112,8 +112,8 @@
 
     def declare(self, declaration):
         """Put `declaration` in force unless a newer one is."""
-        held = self.declaration
-        if held is not None and declaration.revision <= held.revision:
+        current = self.declaration
+        if current is not None and declaration.revision <= current.revision:
             return False
         self.declaration = declaration
         _log.info(
@@ -122,8 +122,8 @@
             revision=declaration.revision,
             rules=len(declaration.rule_set.rules),
         )
-        if held is None:
-            self._changes.notify_all()
+        if current is None:
+            self._notifier.notify_all()
         return True
 
     def add_named_version(self, model, version, now, found=False):
@@ -135,16 +135,16 @@
             now: seconds on the clock of the catalog.
             found: it may have been named long before `now`.
         """
-        held = self.newest_version(model)
-        if held is not None and version <= held.version:
+        current = self.newest_version(model)
+        if current is not None and version <= current.version:
             return False
         known = self._versions.setdefault(model, [])
         known.append(NamedVersion(version, now, found=found))
-        del known[:-MOST_VERSIONS]
+        del known[:-MAX_VERSIONS]
         _log.info(
             'Version {} of {} is named.', version, model, version=version
         )
-        self._changes.notify_all()
+        self._notifier.notify_all()
         return True
 
     def mark_pending(self, model, version, now):
@@ -154,7 +154,7 @@
             named.learned_at = now
             named.is_pending = True
             _log.info('Version {} of {} is not due yet.', version, model)
-            self._changes.notify_all()
+            self._notifier.notify_all()
 
     def end_pending(self, model, version):
         """Note that a version may be due from now on."""
@@ -163,7 +163,7 @@
             named.learned_at = -math.inf
             named.is_pending = False
             _log.info('Version {} of {} is due.', version, model)
-            self._changes.notify_all()
+            self._notifier.notify_all()
 
     def pending_versions(self):
         """Return pairs of model and version that others know to be pending."""
@@ -211,7 +211,7 @@
 
     def put_upstream(self, upstream):
         """Add or replace an upstream."""
-        if self._keep(upstream):
+        if self._store_upstream(upstream):
             _log.info(
                 'Upstream {} of {} is {}.',
                 upstream.id,
@@ -234,13 +234,13 @@
         listed = {upstream.id for upstream in upstreams}
         for missing in set(self._upstreams) - listed:
             self.drop_upstream(missing, now)
-        changed = [u.id for u in upstreams if self._keep(u)]
+        changed = [u.id for u in upstreams if self._store_upstream(u)]
         if changed:
             _log.info(
                 'Listed {} upstreams, {} of them new or changed.',
                 len(upstreams),
                 len(changed),
-                changed=changed[:MOST_NAMED],
+                changed=changed[:MAX_LOGGED_UPSTREAMS],
             )
 
     def upstreams(self, service, now):
@@ -254,7 +254,7 @@
             for upstream in self._upstreams.values()
             if upstream.service == service and not upstream.leaving
         ]
-        return found or self._just_vanished(service, now)
+        return found or self._recently_vanished(service, now)
 
     def members(self, service):
         """Return all upstreams of `service`, those that leave as well."""
@@ -279,19 +279,19 @@
         """Return the upstream with this id, or None."""
         return self._upstreams.get(upstream_id)
 
-    def _keep(self, upstream):
+    def _store_upstream(self, upstream):
         """Add or replace `upstream`; return whether it differs."""
         known = self._upstreams.get(upstream.id)
         self._vanished.pop(upstream.id, None)
         self._upstreams[upstream.id] = upstream
         if known != upstream:
-            self._changes.notify_all()
+            self._notifier.notify_all()
         return known != upstream
 
-    def _just_vanished(self, service, now):
-        for gone, (_, since) in list(self._vanished.items()):
-            if now - since > VANISHED_S:
-                del self._vanished[gone]
+    def _recently_vanished(self, service, now):
+        for upstream_id, (_, since) in list(self._vanished.items()):
+            if now - since > VANISHED_GRACE_S:
+                del self._vanished[upstream_id]
         return [
             upstream
             for upstream, _ in self._vanished.values()
--- a/catkinshunt/catalog/_live_entries.py
+++ b/catkinshunt/catalog/_live_entries.py
@@ -32,7 +32,7 @@
 
     def __init__(self):
         self._entries = {}
-        self._changes = notifier.Notifier()
+        self._notifier = notifier.Notifier()
 
     def names(self):
         """Return the names of the entries that are alive, sorted."""
@@ -41,9 +41,9 @@
     def locations(self):
         """Return the `EntryLocation` of each entry that told it, by name."""
         return {
-            name: home
-            for name, home in self._entries.items()
-            if home is not None
+            name: location
+            for name, location in self._entries.items()
+            if location is not None
         }
 
     def has(self, name):
@@ -60,21 +60,25 @@
             entries = dict.fromkeys(entries)
         self._set(entries)
 
-    def put(self, name, home=None):
+    def put(self, name, location=None):
         """Note that the entry `name` is listed."""
-        self._set({**self._entries, name: home})
+        self._set({**self._entries, name: location})
 
     def drop(self, name):
         """Note that the entry `name` is no longer listed."""
-        kept = {n: home for n, home in self._entries.items() if n != name}
+        kept = {
+            other: location
+            for other, location in self._entries.items()
+            if other != name
+        }
         self._set(kept)
 
     async def wait_for_change(self):
         """Return when an entry has come or gone."""
-        await self._changes.wait()
+        await self._notifier.wait()
 
     def _set(self, entries):
         if entries == self._entries:
             return
         self._entries = entries
-        self._changes.notify_all()
+        self._notifier.notify_all()
--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -33,10 +33,10 @@
         Greeting(names=('a', 'b'))
     """
 
-    def __init__(self, kinds, max_bytes):
-        self.kinds = kinds
+    def __init__(self, message_classes, max_bytes):
+        self.message_classes = message_classes
         self.max_bytes = max_bytes
-        self._by_name = {cls.kind: cls for cls in kinds}
+        self._by_kind = {cls.kind: cls for cls in message_classes}
 
     def dump(self, message):
         """Return the bytes of a message."""
@@ -53,26 +53,26 @@
             raise DecodeError(f'{len(data)} bytes')
         try:
             kind, *values = json.loads(data)
-            cls = self._by_name[kind]
+            cls = self._by_kind[kind]
         except (ValueError, TypeError, KeyError, RecursionError) as exc:
             raise DecodeError('no message') from exc
         fields = attrs.fields(cls)
         if len(values) != len(fields):
             raise DecodeError(f'{kind} with {len(values)} fields')
-        return cls(*map(_read, fields, values))
+        return cls(*map(_check_field, fields, values))
 
 
-def _read(field, value):
+def _check_field(field, value):
     """Return `value` if it is of the type of `field`, and not below zero."""
     if field.type is float:
-        fits = type(value) in (int, float) and 0 <= value < float('inf')
+        is_valid = type(value) in (int, float) and 0 <= value < float('inf')
     elif field.type is int:
-        fits = type(value) is int and value >= 0
+        is_valid = type(value) is int and value >= 0
     elif field.type is tuple:
-        fits = type(value) is list and all(type(v) is str for v in value)
-        value = tuple(value) if fits else value
+        is_valid = type(value) is list and all(type(v) is str for v in value)
+        value = tuple(value) if is_valid else value
     else:
-        fits = type(value) is field.type
-    if not fits:
+        is_valid = type(value) is field.type
+    if not is_valid:
         raise DecodeError(f'{field.name} is {value!r}'[:80])
     return value
--- a/catkinshunt/feed/_messages.py
+++ b/catkinshunt/feed/_messages.py
@@ -14,13 +14,13 @@
 
 
 #: Values from this size on are compressed, in bytes.
-PACKED_FROM_BYTES = 1024
+COMPRESS_MIN_BYTES = 1024
 #: Level of the compression; higher ones take several times as long.
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 #: Largest value that is taken from another process, in bytes.
-MOST_VALUE_BYTES = 8 << 20
+MAX_VALUE_BYTES = 8 << 20
 #: Packed values that are kept, to be told to several processes.
-KEPT_PACKED = 2
+COMPRESSED_CACHE_SIZE = 2
 
 
 @attrs.frozen
@@ -29,26 +29,26 @@
 
     Attributes:
         page: the `base.Page`, without times.
-        proved_ago_s: seconds before it was sent at which nothing newer was
+        confirmed_ago_s: seconds before it was sent at which nothing newer was
             there for certain.
-        held_s: seconds for which the request waited for it.
+        waited_s: seconds for which the request waited for it.
     """
 
     page: base.Page
-    proved_ago_s: float
-    held_s: float
+    confirmed_ago_s: float
+    waited_s: float
 
 
-_UNREADABLE = (ValueError, KeyError, TypeError, binascii.Error, zlib.error)
+_DECODE_ERRORS = (ValueError, KeyError, TypeError, binascii.Error, zlib.error)
 
 
-def dump(told):
+def dump(relayed):
     """Return a `RelayedPage` as bytes."""
-    page = told.page
+    page = relayed.page
     document = {
         'revision': page.revision,
-        'proved_ago_s': told.proved_ago_s,
-        'held_s': told.held_s,
+        'proved_ago_s': relayed.confirmed_ago_s,
+        'held_s': relayed.waited_s,
         'seen_ago_s': page.seen_ago_s,
         'items': [_dump_item(item) for item in page.items],
     }
@@ -59,27 +59,27 @@
     value = item.value
     if value is None:
         return [item.key, item.revision, None]
-    if len(value) >= PACKED_FROM_BYTES:
-        return [item.key, item.revision, _pack(value), True]
+    if len(value) >= COMPRESS_MIN_BYTES:
+        return [item.key, item.revision, _compress(value), True]
     return [item.key, item.revision, base64.b64encode(value).decode()]
 
 
-@functools.lru_cache(maxsize=KEPT_PACKED)
-def _pack(value):
+@functools.lru_cache(maxsize=COMPRESSED_CACHE_SIZE)
+def _compress(value):
     """Return `value` compressed, as text.
 
     A large configuration, told to each process of a region as it is, takes
     longer on the link of the one that tells than the time between two edits.
     """
-    return base64.b64encode(zlib.compress(value, LEVEL)).decode()
+    return base64.b64encode(zlib.compress(value, COMPRESSION_LEVEL)).decode()
 
 
-def _unpack(data):
-    unpacker = zlib.decompressobj()
-    value = unpacker.decompress(data, MOST_VALUE_BYTES)
-    if not unpacker.eof:
+def _decompress(data):
+    decompressor = zlib.decompressobj()
+    value = decompressor.decompress(data, MAX_VALUE_BYTES)
+    if not decompressor.eof:
         raise ValueError(
-            f'a value of over {MOST_VALUE_BYTES} bytes, or a part of one'
+            f'a value of over {MAX_VALUE_BYTES} bytes, or a part of one'
         )
     return value
 
@@ -94,7 +94,7 @@
         document = checks.load_json(data)
         page = base.Page(
             tuple(_load_item(*row) for row in document['items']),
-            _whole(document['revision']),
+            _check_int(document['revision']),
             seen_ago_s=float(document['seen_ago_s']),
         )
         return RelayedPage(
@@ -102,22 +102,22 @@
             float(document['proved_ago_s']),
             float(document['held_s']),
         )
-    except _UNREADABLE as exc:
+    except _DECODE_ERRORS as exc:
         raise errors.StoreUnavailableError(
             f'told an unknown page: {exc!r}', step='read-page', peer=peer
         ) from exc
 
 
-def _load_item(key, revision, value, packed=False):
+def _load_item(key, revision, value, compressed=False):
     if not isinstance(key, str):
         raise TypeError('a key is no text')
     if value is not None:
         value = base64.b64decode(value, validate=True)
-        value = _unpack(value) if packed else value
-    return base.Item(key, value, _whole(revision))
+        value = _decompress(value) if compressed else value
+    return base.Item(key, value, _check_int(revision))
 
 
-def _whole(value):
+def _check_int(value):
     if isinstance(value, bool) or not isinstance(value, int):
         raise TypeError(f'{value!r} is no whole number')
     return value
--- a/catkinshunt/feed/_peer.py
+++ b/catkinshunt/feed/_peer.py
@@ -12,16 +12,16 @@
 
 #: Seconds beyond the wait that was asked for after which a process that gives
 #: no sign is taken as gone.
-SIGN_S = 0.4
+RESPONSE_MARGIN_S = 0.4
 #: Seconds within which a connection must be made.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 
 
 class HistoryGoneError(errors.StoreError):
     """The changes after the revision asked for are no longer known."""
 
 
-class NotReadingError(errors.StoreUnavailableError):
+class NotCurrentError(errors.StoreUnavailableError):
     """The process is there, but nobody may rely on what it knows."""
 
 
@@ -39,41 +39,43 @@
     def __init__(self, host, port, clock, wall, must_be_direct=False):
         self.wall = wall
         self.must_be_direct = must_be_direct
-        self._pool = http1.Pool(host, port, clock, connect_s=CONNECT_S)
+        self._pool = http1.Pool(host, port, clock, connect_s=CONNECT_TIMEOUT_S)
 
-    async def read_prefix(self, prefix, wait_s=_server.LONGEST_WAIT_S):
+    async def read_prefix(self, prefix, wait_s=_server.MAX_WAIT_S):
         """Wait until the peer has read `prefix`, and return its page."""
         query = {'prefix': prefix, 'wait_s': wait_s}
-        return await self._ask(_server.READ_PATH, query, wait_s)
+        return await self._fetch(_server.READ_PATH, query, wait_s)
 
     async def watch(self, prefix, after, wait_s):
         """See `base.BaseWatchSource.watch`."""
         query = {'prefix': prefix, 'after': after, 'wait_s': wait_s}
-        return await self._ask(_server.WATCH_PATH, query, wait_s)
+        return await self._fetch(_server.WATCH_PATH, query, wait_s)
 
-    async def _ask(self, path, query, wait_s):
+    async def _fetch(self, path, query, wait_s):
         query['reads'] = int(self.must_be_direct)
         target = f'{path}?{urllib.parse.urlencode(query)}'
-        asked_at = self.wall()
+        requested_at = self.wall()
         try:
             head, body = await http1.exchange(
-                self._pool, 'GET', target, timeout_s=wait_s + SIGN_S
+                self._pool, 'GET', target, timeout_s=wait_s + RESPONSE_MARGIN_S
             )
         except errors.RequestError as exc:
             self._pool.close_idle()
             raise errors.StoreUnavailableError(
                 exc.message, step='ask-peer', peer=self._pool.peer
             ) from exc
-        if head.status == _server.GONE:
+        if head.status == _server.STATUS_GONE:
             raise HistoryGoneError('history is gone', step='ask-peer')
         if head.status != 200:
-            raise NotReadingError(
+            raise NotCurrentError(
                 f'answered {head.status}',
                 step='ask-peer',
                 peer=self._pool.peer,
             )
-        told = _messages.load(body, self._pool.peer)
+        relayed = _messages.load(body, self._pool.peer)
         # An answer can lie unread for seconds, so its times count from when
         # it was asked for.
-        confirmed_at = asked_at + told.held_s - told.proved_ago_s
-        return attrs.evolve(told.page, confirmed_at=confirmed_at)
+        confirmed_at = (
+            requested_at + relayed.waited_s - relayed.confirmed_ago_s
+        )
+        return attrs.evolve(relayed.page, confirmed_at=confirmed_at)
--- a/catkinshunt/feed/_regional.py
+++ b/catkinshunt/feed/_regional.py
@@ -20,7 +20,7 @@
 SOURCE_WAIT_S = 0.6
 #: Share of all that is known from which on a value counts as large. To read
 #: all again costs less than twice as much then.
-LARGE_SHARE = 0.5
+LARGE_VALUE_RATIO = 0.5
 #: Seconds after a large value in which further ones are likely to have come
 #: unseen where the process that was followed is lost.
 BUSY_S = 3.0
@@ -31,12 +31,12 @@
 STALE_S = 1.3
 #: Seconds after its last answer for which this process counts as one that
 #: reads from the service itself.
-DIRECT_S = 4.0
+DIRECT_VALID_S = 4.0
 #: Seconds for which a process that has just started asks one that is not
 #: there yet again, and the pause between two tries. After a loss of power all
 #: start at the same moment.
-START_PATIENCE_S = 0.6
-START_PAUSE_S = 0.1
+START_RETRY_PERIOD_S = 0.6
+START_RETRY_DELAY_S = 0.1
 
 _log = logs.get_logger('feed')
 
@@ -71,20 +71,20 @@
         self.make_peer = make_peer
         self.wall = wall
         self.prefixes = prefixes
-        self.view = _watch_cache.WatchCache(prefixes)
-        self._large_at = None
-        self._direct_at = -math.inf
-        self._far_at = -math.inf
+        self.cache = _watch_cache.WatchCache(prefixes)
+        self._large_value_at = None
+        self._source_response_at = -math.inf
+        self._remote_response_at = -math.inf
         self._peers = {}
-        self._asked = None
-        self._began = wall()
+        self._current_watcher = None
+        self._started_at = wall()
 
     @property
     def is_direct(self):
         """Whether this process reads from the service itself."""
-        return self.wall() - self._direct_at < DIRECT_S
+        return self.wall() - self._source_response_at < DIRECT_VALID_S
 
-    def may_tell(self, must_be_direct):
+    def may_relay(self, must_be_direct):
         """Return whether another may rely on what this process knows.
 
         Args:
@@ -92,163 +92,173 @@
         """
         if self.is_direct:
             return True
-        return not must_be_direct and self.wall() - self._far_at < DIRECT_S
+        return (
+            not must_be_direct
+            and self.wall() - self._remote_response_at < DIRECT_VALID_S
+        )
 
     async def read_prefix(self, prefix):
         """See `base.BaseWatchSource.read_prefix`."""
         page = None
         if prefix != self.prefixes[-1]:
-            page = await self._read_at_peer(prefix)
+            page = await self._read_from_peer(prefix)
         if page is None:
             page = await self._read_source(prefix)
-        self.view.take_read(prefix, page, self.wall())
+        self.cache.apply_read(prefix, page, self.wall())
         return page
 
     async def _read_source(self, prefix):
-        asked_at = self.wall()
+        requested_at = self.wall()
         try:
             page = await self.source.read_prefix(prefix)
         except errors.StoreError:
-            self._note_unserved()
+            self._note_source_failure()
             raise
-        self._note_direct()
-        return attrs.evolve(page, confirmed_at=asked_at)
+        self._note_source_response()
+        return attrs.evolve(page, confirmed_at=requested_at)
 
     async def watch(self, prefix, after, wait_s):
         """See `base.BaseWatchSource.watch`."""
-        page = await self._watch_at_peer(prefix, after)
+        page = await self._watch_peer(prefix, after)
         if page is None:
-            page = await self._follow_source(prefix, after, wait_s)
-            self._large_at = None
-        self._note_large(page)
-        self.view.take_changes(page, self.wall())
+            page = await self._changes_from_source(prefix, after, wait_s)
+            self._large_value_at = None
+        self._note_large_value(page)
+        self.cache.apply_changes(page, self.wall())
         return page
 
-    async def _follow_source(self, prefix, after, wait_s):
+    async def _changes_from_source(self, prefix, after, wait_s):
         """Return the changes that the service tells."""
         try:
-            if self._large_at is not None:
+            if self._large_value_at is not None:
                 # A watch gives every value since; behind a slow link it
                 # falls further back with each.
-                page = await self._read_changes()
+                page = await self._reread_all()
             else:
                 page = await self._watch_source(prefix, after, wait_s)
         except _peer.HistoryGoneError:
-            self._note_direct()
+            self._note_source_response()
             raise
         except errors.StoreError:
-            self._note_unserved()
+            self._note_source_failure()
             raise
-        self._note_direct()
+        self._note_source_response()
         return page
 
-    async def _read_changes(self):
+    async def _reread_all(self):
         """Read all, and return what differs from what is known."""
-        asked_at = self.wall()
+        requested_at = self.wall()
         pages = [(p, await self.source.read_prefix(p)) for p in self.prefixes]
-        items = [i for p, page in pages for i in self.view.differing(p, page)]
+        items = [i for p, page in pages for i in self.cache.diff(p, page)]
         return base.Page(
             tuple(sorted(items, key=lambda item: item.revision)),
             min(page.revision for _, page in pages),
-            confirmed_at=asked_at,
-            seen_ago_s=max(0.0, self.wall() - self.view.confirmed_at),
+            confirmed_at=requested_at,
+            seen_ago_s=max(0.0, self.wall() - self.cache.confirmed_at),
         )
 
-    def _note_large(self, page):
+    def _note_large_value(self, page):
         """Remember a large value until none has followed for a while.
 
         While no answer comes, further ones may pile up unseen.
         """
         now = self.wall()
-        if self._has_large(page):
-            self._large_at = now
-        elif self._large_at is not None and now - self._large_at > BUSY_S:
-            self._large_at = None
+        if self._has_large_value(page):
+            self._large_value_at = now
+        elif (
+            self._large_value_at is not None
+            and now - self._large_value_at > BUSY_S
+        ):
+            self._large_value_at = None
 
-    def _has_large(self, page):
+    def _has_large_value(self, page):
         """Return whether a page brings a value that outweighs the others."""
-        least = LARGE_SHARE * self.view.size_bytes
+        least = LARGE_VALUE_RATIO * self.cache.size_bytes
         return any(len(item.value or b'') >= least for item in page.items)
 
     async def _watch_source(self, prefix, after, wait_s):
         if len(self.live_entries.names()) > 1:
             wait_s = min(wait_s, SOURCE_WAIT_S)
-        asked_at = self.wall()
+        requested_at = self.wall()
         page = await self.source.watch(prefix, after, wait_s)
         # An answer can lie unread while the process is suspended, so the
         # time at which it was read proves nothing.
-        confirmed_at = asked_at
+        confirmed_at = requested_at
         if not page.items:
-            confirmed_at = min(asked_at + wait_s, self.wall())
+            confirmed_at = min(requested_at + wait_s, self.wall())
         return attrs.evolve(page, confirmed_at=confirmed_at)
 
-    def _note_unserved(self):
+    def _note_source_failure(self):
         # Others ask elsewhere at once.
-        self._direct_at = -math.inf
-        self.watchers.note_unserved(self.wall())
+        self._source_response_at = -math.inf
+        self.watchers.note_source_failure(self.wall())
 
-    def _note_direct(self):
-        self._direct_at = self.wall()
+    def _note_source_response(self):
+        self._source_response_at = self.wall()
 
-    async def _read_at_peer(self, prefix):
+    async def _read_from_peer(self, prefix):
         """Return what another process knows, or None."""
-        while (reader := self._choose()) is not None:
+        while (watcher := self._choose_watcher()) is not None:
             try:
-                page = await self._peer(reader).read_prefix(prefix)
+                page = await self._peer_source(watcher).read_prefix(prefix)
             except errors.StoreError as exc:
-                if self.wall() - self._began < START_PATIENCE_S:
-                    await asyncio.sleep(START_PAUSE_S)
+                if self.wall() - self._started_at < START_RETRY_PERIOD_S:
+                    await asyncio.sleep(START_RETRY_DELAY_S)
                     continue
-                self._blame(reader, exc)
+                self._note_failure(watcher, exc)
                 return None
-            if self._is_new(page, reader):
+            if self._check_age(page, watcher):
                 return page
         return None
 
-    async def _watch_at_peer(self, prefix, after):
+    async def _watch_peer(self, prefix, after):
         """Return the changes that another process tells, or None."""
-        reader = self._choose()
-        if reader is None:
+        watcher = self._choose_watcher()
+        if watcher is None:
             return None
         try:
-            page = await self._peer(reader).watch(prefix, after, PEER_WAIT_S)
+            page = await self._peer_source(watcher).watch(
+                prefix, after, PEER_WAIT_S
+            )
         except _peer.HistoryGoneError:
             # It has started a moment ago; the service knows more.
             return None
         except errors.StoreError as exc:
-            self._blame(reader, exc)
+            self._note_failure(watcher, exc)
             return None
-        return page if self._is_new(page, reader) else None
+        return page if self._check_age(page, watcher) else None
 
-    def _is_new(self, page, reader):
+    def _check_age(self, page, watcher):
         """Return whether it is proved that little can have changed since."""
         now = self.wall()
         if now - page.confirmed_at >= STALE_S:
-            self._blame(reader, 'what it knows is too old', answered=True)
+            self._note_failure(
+                watcher, 'what it knows is too old', responded=True
+            )
             return False
-        self.watchers.praise(reader)
-        if reader.is_far:
-            self._far_at = now
+        self.watchers.note_success(watcher)
+        if watcher.is_remote:
+            self._remote_response_at = now
         return True
 
-    def _choose(self):
-        reader = self.watchers.choose(self.wall())
-        if reader is not None and reader != self._asked:
-            self._asked = reader
-            _log.info('Follows the service through {}.', reader.name)
-        return reader
+    def _choose_watcher(self):
+        watcher = self.watchers.choose(self.wall())
+        if watcher is not None and watcher != self._current_watcher:
+            self._current_watcher = watcher
+            _log.info('Follows the service through {}.', watcher.name)
+        return watcher
 
-    def _peer(self, reader):
-        host = self.live_entries.locations()[reader.name].host
-        key = (host, reader.must_be_direct)
+    def _peer_source(self, watcher):
+        host = self.live_entries.locations()[watcher.name].host
+        key = (host, watcher.must_be_direct)
         if key not in self._peers:
-            self._peers[key] = self.make_peer(host, reader.must_be_direct)
+            self._peers[key] = self.make_peer(host, watcher.must_be_direct)
         return self._peers[key]
 
-    def _blame(self, reader, reason, answered=False):
-        answered = answered or isinstance(reason, _peer.NotReadingError)
-        self.watchers.blame(reader, self.wall(), answered)
-        self._asked = None
+    def _note_failure(self, watcher, reason, responded=False):
+        responded = responded or isinstance(reason, _peer.NotCurrentError)
+        self.watchers.note_failure(watcher, self.wall(), responded)
+        self._current_watcher = None
         _log.warning(
-            'Does not follow the service through {}: {}.', reader.name, reason
+            'Does not follow the service through {}: {}.', watcher.name, reason
         )
--- a/catkinshunt/feed/_server.py
+++ b/catkinshunt/feed/_server.py
@@ -11,11 +11,11 @@
 READ_PATH = '/feed/read'
 WATCH_PATH = '/feed/changes'
 #: Seconds for which a request waits at most.
-LONGEST_WAIT_S = 2.0
+MAX_WAIT_S = 2.0
 #: Status of an answer that the changes asked for are no longer known, and of
 #: one that nobody may rely on what this process knows.
-GONE = 410
-NOT_DIRECT = 503
+STATUS_GONE = 410
+STATUS_NOT_CURRENT = 503
 
 _log = logs.get_logger('feed')
 
@@ -29,8 +29,8 @@
         clock: gives seconds on the steady clock.
     """
 
-    def __init__(self, feed, wall, clock):
-        self.feed = feed
+    def __init__(self, source, wall, clock):
+        self.source = source
         self.wall = wall
         self._listener = http1.Listener(http1.answer_with(self._answer), clock)
 
@@ -53,7 +53,7 @@
         query = dict(urllib.parse.parse_qsl(url.query))
         try:
             prefix = query.get('prefix', '')
-            wait_s = min(float(query.get('wait_s', 0)), LONGEST_WAIT_S)
+            wait_s = min(float(query.get('wait_s', 0)), MAX_WAIT_S)
             after = int(query.get('after', 0))
             must_be_direct = bool(int(query.get('reads', 0)))
         except ValueError:
@@ -66,47 +66,53 @@
         return http1.Reply(404)
 
     async def _read(self, prefix, wait_s, must_be_direct):
-        view = self.feed.view
-        began = self.wall()
+        cache = self.source.cache
+        started_at = self.wall()
         # One that follows another by now will not read it from the service.
         await self._wait(
-            lambda: view.has_read(prefix) or view.is_complete, wait_s
+            lambda: cache.has_read(prefix) or cache.is_complete, wait_s
         )
-        if not (self.feed.may_tell(must_be_direct) and view.has_read(prefix)):
-            return http1.Reply(NOT_DIRECT)
-        return self._tell(view.below(prefix), began)
+        if not (
+            self.source.may_relay(must_be_direct) and cache.has_read(prefix)
+        ):
+            return http1.Reply(STATUS_NOT_CURRENT)
+        return self._reply(cache.read_prefix(prefix), started_at)
 
     async def _watch(self, prefix, after, wait_s, must_be_direct):
-        view = self.feed.view
-        began = self.wall()
-        if not (self.feed.may_tell(must_be_direct) and view.is_complete):
-            return http1.Reply(NOT_DIRECT)
-        if not view.knows_since(after):
-            return http1.Reply(GONE)
-        confirmed_at = view.confirmed_at
+        cache = self.source.cache
+        started_at = self.wall()
+        if not (self.source.may_relay(must_be_direct) and cache.is_complete):
+            return http1.Reply(STATUS_NOT_CURRENT)
+        if not cache.has_history_since(after):
+            return http1.Reply(STATUS_GONE)
+        confirmed_at = cache.confirmed_at
         # A new proof is told at once. Told at the end of each wait only, it
         # would be too old behind two processes.
         await self._wait(
-            lambda: view.revision > after or view.confirmed_at > confirmed_at,
+            lambda: (
+                cache.revision > after or cache.confirmed_at > confirmed_at
+            ),
             wait_s,
         )
-        if not self.feed.may_tell(must_be_direct):
-            return http1.Reply(NOT_DIRECT)
-        return self._tell(view.changes(prefix, after, self.wall()), began)
+        if not self.source.may_relay(must_be_direct):
+            return http1.Reply(STATUS_NOT_CURRENT)
+        return self._reply(
+            cache.changes_after(prefix, after, self.wall()), started_at
+        )
 
     async def _wait(self, condition, wait_s):
         """Return once `condition` holds, or after `wait_s` seconds."""
         try:
             async with asyncio.timeout(wait_s):
                 while not condition():
-                    await self.feed.view.wait()
+                    await self.source.cache.wait()
         except TimeoutError:
             return
 
-    def _tell(self, page, began):
+    def _reply(self, page, started_at):
         now = self.wall()
-        told = _messages.RelayedPage(
-            page, now - page.confirmed_at, now - began
+        relayed = _messages.RelayedPage(
+            page, now - page.confirmed_at, now - started_at
         )
         items = (('Content-Type', 'application/json'),)
-        return http1.Reply(200, _messages.dump(told), items)
+        return http1.Reply(200, _messages.dump(relayed), items)
--- a/catkinshunt/feed/_watch_cache.py
+++ b/catkinshunt/feed/_watch_cache.py
@@ -6,7 +6,7 @@
 from catkinshunt import notifier
 
 #: Deletions that are remembered; whoever missed an older one reads all again.
-MOST_DELETED = 2000
+MAX_TOMBSTONES = 2000
 
 
 class WatchCache:
@@ -17,57 +17,57 @@
 
     Examples:
         >>> view = WatchCache(prefixes=('rules/',))
-        >>> view.take_read('rules/', base.Page((), 7), now=1.0)
+        >>> view.apply_read('rules/', base.Page((), 7), now=1.0)
         >>> item = base.Item('rules/first', b'{}', 9)
-        >>> view.take_changes(base.Page((item,), 9), now=2.0)
-        >>> [item.key for item in view.changes('', 8, now=2.5).items]
+        >>> view.apply_changes(base.Page((item,), 9), now=2.0)
+        >>> [item.key for item in view.changes_after('', 8, now=2.5).items]
         ['rules/first']
     """
 
     def __init__(self, prefixes):
         self.prefixes = prefixes
         self._items = {}
-        self._deleted = collections.OrderedDict()
+        self._tombstones = collections.OrderedDict()
         self._seen_at = {}
-        self._read_at = {}
-        self._proved_at = {}
-        self._floor = 0
-        self._news = notifier.Notifier()
+        self._revisions = {}
+        self._confirmed_at = {}
+        self._compacted_revision = 0
+        self._notifier = notifier.Notifier()
 
     @property
     def is_complete(self):
         """Whether all that others ask for has been read."""
-        return all(prefix in self._read_at for prefix in self.prefixes)
+        return all(prefix in self._revisions for prefix in self.prefixes)
 
     @property
     def revision(self):
         """Revision up to which changes are known."""
-        return min(self._read_at.values(), default=0)
+        return min(self._revisions.values(), default=0)
 
     @property
     def confirmed_at(self):
         """When nothing newer was there for certain; None before any read."""
-        return min(self._proved_at.values(), default=None)
+        return min(self._confirmed_at.values(), default=None)
 
     @property
     def size_bytes(self):
         """Bytes of all values."""
         return sum(len(item.value) for item in self._items.values())
 
-    def differing(self, prefix, page):
+    def diff(self, prefix, page):
         """Return what a read of all items below `prefix` changes, as items.
 
         Whatever is no longer there is told as deleted at that read.
         """
         found = {item.key: item for item in page.items}
-        gone = [
+        deleted = [
             base.Item(key, None, page.revision)
             for key, item in self._items.items()
             if key.startswith(prefix)
             and key not in found
             and item.revision <= page.revision
         ]
-        return gone + [
+        return deleted + [
             item
             for key, item in found.items()
             if key not in self._items
@@ -76,77 +76,79 @@
 
     def has_read(self, prefix):
         """Return whether all items below `prefix` are known."""
-        return prefix in self._read_at
+        return prefix in self._revisions
 
     async def wait(self):
         """Return once something has been taken in."""
-        await self._news.wait()
+        await self._notifier.wait()
 
-    def take_read(self, prefix, page, now):
+    def apply_read(self, prefix, page, now):
         """Take in all items below `prefix`.
 
         Where they were known before, what is missing was deleted since.
         """
-        if prefix in self._read_at:
-            seen_at = self._proved_at[prefix]
-            for item in self.differing(prefix, page):
-                self._take(item, seen_at)
-            revision = max(self._read_at[prefix], page.revision)
+        if prefix in self._revisions:
+            seen_at = self._confirmed_at[prefix]
+            for item in self.diff(prefix, page):
+                self._apply_item(item, seen_at)
+            revision = max(self._revisions[prefix], page.revision)
         else:
             self._items.update((item.key, item) for item in page.items)
             revision = page.revision
             # What was deleted before that cannot be told.
-            self._floor = max(self._floor, revision)
-        self._read_at[prefix] = revision
-        self._prove((prefix,), page, now)
+            self._compacted_revision = max(self._compacted_revision, revision)
+        self._revisions[prefix] = revision
+        self._confirm((prefix,), page, now)
 
-    def take_changes(self, page, now):
+    def apply_changes(self, page, now):
         """Take in changes behind all that was read."""
         for item in page.items:
-            self._take(item, now - page.seen_ago_s)
-        for prefix, revision in self._read_at.items():
-            self._read_at[prefix] = max(revision, page.revision)
-        self._prove(tuple(self._read_at), page, now)
+            self._apply_item(item, now - page.seen_ago_s)
+        for prefix, revision in self._revisions.items():
+            self._revisions[prefix] = max(revision, page.revision)
+        self._confirm(tuple(self._revisions), page, now)
 
-    def _take(self, item, seen_at):
-        known = self._items.get(item.key) or self._deleted.get(item.key)
+    def _apply_item(self, item, seen_at):
+        known = self._items.get(item.key) or self._tombstones.get(item.key)
         if known is not None and item.revision <= known.revision:
             return
         self._seen_at[item.key] = seen_at
         if item.value is not None:
             self._items[item.key] = item
-            self._deleted.pop(item.key, None)
+            self._tombstones.pop(item.key, None)
             return
         self._items.pop(item.key, None)
-        self._deleted[item.key] = item
-        self._deleted.move_to_end(item.key)
-        while len(self._deleted) > MOST_DELETED:
-            _, dropped = self._deleted.popitem(last=False)
-            self._floor = max(self._floor, dropped.revision)
-
-    def _prove(self, prefixes, page, now):
+        self._tombstones[item.key] = item
+        self._tombstones.move_to_end(item.key)
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            _, dropped = self._tombstones.popitem(last=False)
+            self._compacted_revision = max(
+                self._compacted_revision, dropped.revision
+            )
+
+    def _confirm(self, prefixes, page, now):
         confirmed_at = now if page.confirmed_at is None else page.confirmed_at
         for prefix in prefixes:
-            before = self._proved_at.get(prefix, confirmed_at)
-            self._proved_at[prefix] = max(confirmed_at, before)
-        self._news.notify_all()
+            before = self._confirmed_at.get(prefix, confirmed_at)
+            self._confirmed_at[prefix] = max(confirmed_at, before)
+        self._notifier.notify_all()
 
-    def below(self, prefix):
+    def read_prefix(self, prefix):
         """Return all items below `prefix` as a `Page`."""
         items = [i for k, i in self._items.items() if k.startswith(prefix)]
         return base.Page(
             tuple(items),
-            self._read_at[prefix],
-            confirmed_at=self._proved_at[prefix],
+            self._revisions[prefix],
+            confirmed_at=self._confirmed_at[prefix],
         )
 
-    def knows_since(self, after):
+    def has_history_since(self, after):
         """Return whether all changes after a revision are known."""
-        return after >= self._floor
+        return after >= self._compacted_revision
 
-    def changes(self, prefix, after, now):
+    def changes_after(self, prefix, after, now):
         """Return the changes below `prefix` after a revision as a `Page`."""
-        every = [*self._items.values(), *self._deleted.values()]
+        every = [*self._items.values(), *self._tombstones.values()]
         items = sorted(
             (
                 item
--- a/catkinshunt/feed/_watchers.py
+++ b/catkinshunt/feed/_watchers.py
@@ -8,11 +8,11 @@
 
 #: Seconds for which a process that gave no answer is not asked, at first and
 #: at most.
-FIRST_PAUSE_S = 1.0
-MOST_PAUSE_S = 16.0
+INITIAL_PAUSE_S = 1.0
+MAX_PAUSE_S = 16.0
 #: Seconds for which a process that the service did not answer asks others
 #: that read from it.
-UNSERVED_S = 2.0
+SOURCE_FAILED_S = 2.0
 #: Key by which all agree on the region that reads for the others.
 _REGIONS_KEY = 'regions'
 
@@ -23,13 +23,13 @@
 
     Attributes:
         name: its name.
-        is_far: it stands in another region.
+        is_remote: it stands in another region.
         must_be_direct: it is relied on only if it reads from the service
             itself, so that no two follow each other.
     """
 
     name: str
-    is_far: bool = False
+    is_remote: bool = False
     must_be_direct: bool = False
 
 
@@ -38,7 +38,7 @@
     """How long a process, or another region, is not asked."""
 
     until: float
-    for_s: float
+    duration_s: float
 
 
 class WatcherSelector:
@@ -63,18 +63,18 @@
         self.name = name
         self.region = region
         self._pauses = {}
-        self._unserved_until = -math.inf
+        self._source_failed_until = -math.inf
 
     def choose(self, now):
         """Return the `Watcher` to ask now, or None for the service."""
-        near = self.regional_watcher(now)
-        if near is not None:
-            return Watcher(near)
-        far = self._first_far(now)
-        if far is not None:
-            return Watcher(far, is_far=True, must_be_direct=True)
-        if now < self._unserved_until:
-            other = self._first_behind(now)
+        regional = self.regional_watcher(now)
+        if regional is not None:
+            return Watcher(regional)
+        remote = self._remote_watcher(now)
+        if remote is not None:
+            return Watcher(remote, is_remote=True, must_be_direct=True)
+        if now < self._source_failed_until:
+            other = self._fallback_watcher(now)
             return (
                 None if other is None else Watcher(other, must_be_direct=True)
             )
@@ -82,19 +82,19 @@
 
     def regional_watcher(self, now):
         """Return who reads for this region, or None for this process."""
-        return self._first(self.region, now)
+        return self._first_available(self.region, now)
 
-    def praise(self, reader):
+    def note_success(self, watcher):
         """Note that a reader gave an answer with proof."""
-        self._pauses.pop(reader.name, None)
-        if reader.is_far:
+        self._pauses.pop(watcher.name, None)
+        if watcher.is_remote:
             self._pauses.pop(_REGIONS_KEY, None)
 
-    def note_unserved(self, now):
+    def note_source_failure(self, now):
         """Note that the service gave this process no answer."""
-        self._unserved_until = now + UNSERVED_S
+        self._source_failed_until = now + SOURCE_FAILED_S
 
-    def blame(self, reader, now, answered=False):
+    def note_failure(self, watcher, now, responded=False):
         """Leave out a reader for a while.
 
         Args:
@@ -102,22 +102,24 @@
             now: present time in seconds.
             answered: it is within reach, but does not know enough.
         """
-        self._pause(reader.name, now)
-        if reader.is_far and not answered:
+        self._pause(watcher.name, now)
+        if watcher.is_remote and not responded:
             # Were its neighbours asked next, all that follow this process
             # would wait for a region out of reach, one time-out after another.
             self._pause(_REGIONS_KEY, now)
 
-    def _first_far(self, now):
+    def _remote_watcher(self, now):
         if self._is_paused(_REGIONS_KEY, now):
             return None
         regions = {
             home.region for home in self.live_entries.locations().values()
         }
         first = rendezvous.rank(_REGIONS_KEY, regions | {self.region})[0]
-        return None if first == self.region else self._first(first, now)
+        return (
+            None if first == self.region else self._first_available(first, now)
+        )
 
-    def _first(self, region, now):
+    def _first_available(self, region, now):
         """Return the first that can be asked there, None for this one."""
         for name in rendezvous.rank(region, self._members(region)):
             if name == self.name:
@@ -126,7 +128,7 @@
                 return name
         return None
 
-    def _first_behind(self, now):
+    def _fallback_watcher(self, now):
         """Return one of this region that may read in place of this one."""
         for name in rendezvous.rank(self.region, self._members(self.region)):
             if name != self.name and not self._is_paused(name, now):
@@ -145,7 +147,7 @@
 
     def _pause(self, key, now):
         known = self._pauses.get(key)
-        for_s = FIRST_PAUSE_S
+        duration_s = INITIAL_PAUSE_S
         if known is not None:
-            for_s = min(2 * known.for_s, MOST_PAUSE_S)
-        self._pauses[key] = _Pause(now + for_s, for_s)
+            duration_s = min(2 * known.duration_s, MAX_PAUSE_S)
+        self._pauses[key] = _Pause(now + duration_s, duration_s)
--- a/catkinshunt/feed/tests/test_messages.py
+++ b/catkinshunt/feed/tests/test_messages.py
@@ -29,7 +29,7 @@
 def test_a_value_without_end_is_refused(monkeypatch):
     """A damaged value could otherwise take all memory."""
     data = tell(b'\0' * 5000)
-    monkeypatch.setattr(_messages, 'MOST_VALUE_BYTES', 4000)
+    monkeypatch.setattr(_messages, 'MAX_VALUE_BYTES', 4000)
     with pytest.raises(errors.StoreUnavailableError):
         feed.load(data, 'peer')
 
--- /dev/null
+++ b/catkinshunt/feed/tests/test_watch_cache.py
@@ -0,0 +1,70 @@
+from catkinshunt import feed
+
+PREFIXES = ('operator/', 'entries/')
+
+
+def make_cache(now):
+    """Return a view of which every part was read at `now`."""
+    cache = feed.WatchCache(PREFIXES)
+    for prefix in PREFIXES:
+        cache.apply_read(prefix, feed.Page((), 7), now)
+    return cache
+
+
+def test_a_read_of_one_part_does_not_prove_the_others():
+    """Who follows would take an old configuration for the newest one."""
+    cache = make_cache(now=1.0)
+    cache.apply_read('entries/', feed.Page((), 9), now=5.0)
+    assert cache.changes_after('', 7, now=5.0).confirmed_at == 1.0
+    assert cache.read_prefix('operator/').confirmed_at == 1.0
+    assert cache.read_prefix('entries/').confirmed_at == 5.0
+
+
+def test_changes_prove_all_parts():
+    cache = make_cache(now=1.0)
+    cache.apply_changes(feed.Page((), 9), now=5.0)
+    assert cache.changes_after('', 7, now=5.0).confirmed_at == 5.0
+
+
+def test_an_older_page_takes_no_proof_back():
+    cache = make_cache(now=5.0)
+    cache.apply_changes(feed.Page((), 9, confirmed_at=3.0), now=6.0)
+    assert cache.confirmed_at == 5.0
+
+
+def test_what_a_second_read_lacks_is_told_as_deleted():
+    """Who follows would otherwise have to read all again from the store."""
+    cache = feed.WatchCache(PREFIXES)
+    kept = feed.Item('entries/1', b'', 3)
+    lost = feed.Item('entries/2', b'', 4)
+    cache.apply_read('operator/', feed.Page((), 7), 1.0)
+    cache.apply_read('entries/', feed.Page((kept, lost), 7), 1.0)
+    cache.apply_read('entries/', feed.Page((kept,), 9), 2.0)
+    cache.apply_read('operator/', feed.Page((), 9), 2.0)
+    assert cache.has_history_since(7)
+    page = cache.changes_after('', 7, now=2.0)
+    assert page.items == (feed.Item('entries/2', None, 9),)
+    assert page.seen_ago_s == 1.0
+
+
+def test_an_older_read_deletes_nothing():
+    """Another entry may know less; what it lacks may have come since."""
+    cache = make_cache(now=1.0)
+    fresh = feed.Item('entries/1', b'', 9)
+    cache.apply_changes(feed.Page((fresh,), 9), now=2.0)
+    cache.apply_read('entries/', feed.Page((), 8, confirmed_at=1.5), now=3.0)
+    assert cache.read_prefix('entries/').items == (fresh,)
+    assert cache.revision == 9
+
+
+def test_an_older_read_brings_back_nothing_deleted():
+    """Who follows would go on sending requests to an upstream that is gone."""
+    gone = feed.Item('entries/1', b'', 3)
+    lost = feed.Item('entries/1', None, 10)
+    cache = feed.WatchCache(PREFIXES)
+    cache.apply_read('operator/', feed.Page((), 7), 1.0)
+    cache.apply_read('entries/', feed.Page((gone,), 7), 1.0)
+    cache.apply_changes(feed.Page((lost,), 10), 2.0)
+    cache.apply_read('entries/', feed.Page((gone,), 8, confirmed_at=1.5), 3.0)
+    assert cache.changes_after('', 9, now=3.0).items == (lost,)
+    assert cache.read_prefix('entries/').items == ()
--- a/catkinshunt/feed/tests/test_readers.py
+++ b/catkinshunt/feed/tests/test_watchers.py
@@ -21,10 +21,10 @@
 
 def test_one_reads_and_one_of_each_other_region_asks_it():
     found = chosen()
-    (reader,) = [name for name, choice in found.items() if choice is None]
-    far = {n: c for n, c in found.items() if c is not None and c.is_far}
-    assert {choice.name for choice in far.values()} == {reader}
-    assert {NAMES[n] for n in far} == set(REGIONS) - {NAMES[reader]}
+    (watcher,) = [name for name, choice in found.items() if choice is None]
+    far = {n: c for n, c in found.items() if c is not None and c.is_remote}
+    assert {choice.name for choice in far.values()} == {watcher}
+    assert {NAMES[n] for n in far} == set(REGIONS) - {NAMES[watcher]}
 
 
 def test_nobody_follows_in_a_circle():
@@ -43,11 +43,13 @@
     times,
 ):
     """Each would take a time-out, in which nothing newer is learnt."""
-    name = next(n for n, c in chosen().items() if c is not None and c.is_far)
+    name = next(
+        n for n, c in chosen().items() if c is not None and c.is_remote
+    )
     readers = make(name)
     now = 0.0
     for _ in range(times):
-        readers.blame(readers.choose(now), now)
+        readers.note_failure(readers.choose(now), now)
         assert readers.choose(now) is None
-        now += _watchers.MOST_PAUSE_S
+        now += _watchers.MAX_PAUSE_S
     assert readers.choose(now) is not None
--- a/catkinshunt/notifier.py
+++ b/catkinshunt/notifier.py
@@ -22,13 +22,13 @@
     """
 
     def __init__(self):
-        self._next = asyncio.Event()
+        self._event = asyncio.Event()
 
     def notify_all(self):
         """Wake all that wait."""
-        told, self._next = self._next, asyncio.Event()
-        told.set()
+        event, self._event = self._event, asyncio.Event()
+        event.set()
 
     async def wait(self):
         """Return at the next announcement."""
-        await self._next.wait()
+        await self._event.wait()
