--- a/catkinshunt/catalog/__init__.py
+++ b/catkinshunt/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""What the operator declares and which upstreams are there."""
+"""The operator's declaration, the upstreams and the live entries."""
 
 from catkinshunt.catalog._catalog import Catalog
 from catkinshunt.catalog._catalog import NamedVersion
--- a/catkinshunt/catalog/_catalog.py
+++ b/catkinshunt/catalog/_catalog.py
@@ -1,4 +1,4 @@
-"""The state of the platform as one process knows it."""
+"""Local copy of the platform state in one process."""
 
 import collections
 import math
@@ -9,14 +9,13 @@
 from catkinshunt import logs
 from catkinshunt import notifier
 
-#: Seconds for which an upstream that vanished may still be used where no
-#: other is left. The entries of live upstreams that lapsed in an outage of
-#: the platform's store are back within two seconds; work must have stopped
-#: two seconds after an upstream has gone.
+#: Seconds for which a vanished upstream may still be used if there is no
+#: other. After a store outage, expired entries of live upstreams reappear
+#: within 2 s; requests to an upstream must stop within 2 s of its removal.
 VANISHED_GRACE_S = 1.5
-#: Versions of a model that are remembered; they are due one by one.
+#: Newest versions of a model that are kept; each becomes due separately.
 MAX_VERSIONS = 8
-#: Upstreams that one log line names at most.
+#: Maximum number of upstreams listed in one log line.
 MAX_LOGGED_UPSTREAMS = 20
 
 _log = logs.get_logger('catalog')
@@ -24,15 +23,17 @@
 
 @attrs.define
 class NamedVersion:
-    """A version of a model's weights that the operator named.
+    """A version of a model's weights that the operator wants served.
 
     Attributes:
-        version: its number; a higher one is newer.
-        since: seconds on the clock of the catalog when it was learnt.
-        is_pending: it was named before this process started, and others
-            know that it is not due yet.
-        found: it was there when the store was read, and may have been named
-            long before `learned_at`.
+        version: version number; a higher one is newer.
+        learned_at: time in seconds on the catalog's clock at which this
+            process learned of the version; minus infinity if it may have
+            been named long before.
+        is_pending: the version was named before this process started, and
+            the store marks it as not due yet.
+        found: the version was already in the store at the first read, so it
+            may have been named long before `learned_at`.
     """
 
     version: int
@@ -42,14 +43,16 @@
 
 
 class Catalog(base.ParamsMixin):
-    """Keeps the newest declaration, the upstreams, and how fresh they are.
+    """Newest declaration, named versions, upstreams and their age.
+
+    Times are seconds on a clock that keeps counting while the machine is
+    suspended.
 
     Args:
-        key_trust_s: seconds without word from the store after which the keys
-            of accounts are no longer trusted: a key may have been taken
-            away meanwhile. The clock must count the time of a suspend.
-        absence_trust_s: the same after which a newer declaration must be in
-            force, so that what this one lacks may be there.
+        key_trust_s: age of the state in seconds from which account keys are
+            no longer accepted, since a key may have been revoked.
+        absence_trust_s: age of the state in seconds from which something
+            missing from the declaration may exist in a newer one.
 
     Examples:
         >>> catalog = Catalog(key_trust_s=3.0, absence_trust_s=2.0)
@@ -71,19 +74,16 @@
         self._notifier = notifier.Notifier()
 
     async def wait_for_change(self):
-        """Return once a version or an upstream has changed.
-
-        Or once the state has been read for the first time.
-        """
+        """Wait for the first read, or a change of a version or upstream."""
         await self._notifier.wait()
 
     @property
     def is_loaded(self):
-        """Whether the state has been read since the start."""
+        """Whether the state has been read at least once."""
         return self.declaration is not None and self._confirmed_at is not None
 
     def confirm(self, now):
-        """Note that the state was the newest one at `now`."""
+        """Record that the state was the newest one at `now`."""
         if self._confirmed_at is None:
             self._confirmed_at = now
             self._notifier.notify_all()
@@ -91,27 +91,31 @@
 
     @property
     def confirmed_at(self):
-        """When the state was last known to be the newest, or None."""
+        """Time of the latest confirmation in seconds, or None."""
         return self._confirmed_at
 
     def age_s(self, now):
-        """Return the seconds since the state was last confirmed, or None."""
+        """Return the seconds since the latest confirmation, or None."""
         if self._confirmed_at is None:
             return None
         return now - self._confirmed_at
 
     def can_trust_keys(self, now):
-        """Return whether the keys of accounts can be trusted."""
+        """Return whether account keys may be accepted."""
         age_s = self.age_s(now)
         return age_s is not None and age_s < self.key_trust_s
 
     def can_trust_absence(self, now):
-        """Return whether what the declaration lacks can be denied."""
+        """Return whether anything the declaration lacks can be denied."""
         age_s = self.age_s(now)
         return age_s is not None and age_s < self.absence_trust_s
 
     def declare(self, declaration):
-        """Put `declaration` in force unless a newer one is."""
+        """Replace the declaration if `declaration` is newer.
+
+        Returns:
+            Whether it was replaced.
+        """
         current = self.declaration
         if current is not None and declaration.revision <= current.revision:
             return False
@@ -127,13 +131,16 @@
         return True
 
     def add_named_version(self, model, version, now, found=False):
-        """Note that the operator wants `version` of `model` served.
+        """Record that the operator wants `version` of `model` served.
 
         Args:
             model: name of the model.
-            version: its version.
-            now: seconds on the clock of the catalog.
-            found: it may have been named long before `now`.
+            version: version number.
+            now: time in seconds on the catalog's clock.
+            found: whether it may have been named long before `now`.
+
+        Returns:
+            Whether it is newer than the versions known before.
         """
         current = self.newest_version(model)
         if current is not None and version <= current.version:
@@ -142,13 +149,13 @@
         known.append(NamedVersion(version, now, found=found))
         del known[:-MAX_VERSIONS]
         _log.info(
-            'Version {} of {} is named.', version, model, version=version
+            'Operator named version {} of {}.', version, model, version=version
         )
         self._notifier.notify_all()
         return True
 
     def mark_pending(self, model, version, now):
-        """Note that a version that was named before is not due yet."""
+        """Mark a version found at the first read as not due yet."""
         named = self._find_version(model, version)
         if named is not None and math.isinf(named.learned_at):
             named.learned_at = now
@@ -157,7 +164,7 @@
             self._notifier.notify_all()
 
     def end_pending(self, model, version):
-        """Note that a version may be due from now on."""
+        """Remove the pending mark of a version, which may then be due."""
         named = self._find_version(model, version)
         if named is not None and named.is_pending:
             named.learned_at = -math.inf
@@ -166,7 +173,7 @@
             self._notifier.notify_all()
 
     def pending_versions(self):
-        """Return pairs of model and version that others know to be pending."""
+        """Return the (model, version) pairs marked as pending."""
         return [
             (model, named.version)
             for model, known in self._versions.items()
@@ -181,7 +188,7 @@
         return None
 
     def named_models(self):
-        """Return the models of which a version was named."""
+        """Return the models for which a version was named."""
         return list(self._versions)
 
     def newest_version(self, model):
@@ -190,17 +197,18 @@
         return known[-1] if known else None
 
     def next_version(self, model, version):
-        """Return the first `NamedVersion` after `version`, or None."""
+        """Return the oldest `NamedVersion` newer than `version`, or None."""
         for named in self._versions.get(model, ()):
             if named.version > version:
                 return named
         return None
 
     def due_version(self, model, grace_s, now):
-        """Return the newest version named `grace_s` seconds ago, or None.
+        """Return the newest version that is due, or None.
 
-        A newer one that was named since does not put it off: requests that
-        begin on an older one would be wrong from then on.
+        A version is due `grace_s` seconds after it was named, even if a newer
+        one was named meanwhile: from then on no request may start on an
+        older version.
         """
         due = [
             named.version
@@ -211,7 +219,7 @@
 
     def put_upstream(self, upstream):
         """Add or replace an upstream."""
-        if self._store_upstream(upstream):
+        if self._set_upstream(upstream):
             _log.info(
                 'Upstream {} of {} is {}.',
                 upstream.id,
@@ -222,7 +230,7 @@
             )
 
     def drop_upstream(self, upstream_id, now):
-        """Take an upstream that vanished out of use, soon for good."""
+        """Remove an upstream; keep it as a fallback for a grace period."""
         known = self._upstreams.pop(upstream_id, None)
         if known is None:
             return
@@ -230,11 +238,11 @@
         _log.info('Upstream {} vanished.', upstream_id)
 
     def replace_upstreams(self, upstreams, now):
-        """Take over a whole list; those that are missing have vanished."""
+        """Replace all upstreams; drop those that are not in the list."""
         listed = {upstream.id for upstream in upstreams}
         for missing in set(self._upstreams) - listed:
             self.drop_upstream(missing, now)
-        changed = [u.id for u in upstreams if self._store_upstream(u)]
+        changed = [u.id for u in upstreams if self._set_upstream(u)]
         if changed:
             _log.info(
                 'Listed {} upstreams, {} of them new or changed.',
@@ -244,10 +252,9 @@
             )
 
     def upstreams(self, service, now):
-        """Return the upstreams of `service` that take new work.
+        """Return the upstreams of `service` that accept new requests.
 
-        Those that vanished a moment ago are returned only where there is
-        no other.
+        Recently vanished upstreams are returned only if there is no other.
         """
         found = [
             upstream
@@ -257,7 +264,7 @@
         return found or self._recently_vanished(service, now)
 
     def members(self, service):
-        """Return all upstreams of `service`, those that leave as well."""
+        """Return all upstreams of `service`, including leaving ones."""
         return [
             upstream
             for upstream in self._upstreams.values()
@@ -265,7 +272,7 @@
         ]
 
     def all_upstreams(self):
-        """Return all upstreams that are listed."""
+        """Return all listed upstreams."""
         return list(self._upstreams.values())
 
     def count_upstreams(self):
@@ -279,8 +286,8 @@
         """Return the upstream with this id, or None."""
         return self._upstreams.get(upstream_id)
 
-    def _store_upstream(self, upstream):
-        """Add or replace `upstream`; return whether it differs."""
+    def _set_upstream(self, upstream):
+        """Add or replace `upstream`; return whether it changed."""
         known = self._upstreams.get(upstream.id)
         self._vanished.pop(upstream.id, None)
         self._upstreams[upstream.id] = upstream
--- a/catkinshunt/catalog/_live_entries.py
+++ b/catkinshunt/catalog/_live_entries.py
@@ -1,4 +1,4 @@
-"""The entries that are alive, as one of them knows them."""
+"""Local copy of the list of live entries."""
 
 import attrs
 
@@ -8,11 +8,11 @@
 
 @attrs.frozen
 class EntryLocation:
-    """Where an entry runs.
+    """Address and region of an entry.
 
     Attributes:
-        host: its address.
-        region: its region.
+        host: IP address.
+        region: name of the region.
     """
 
     host: str
@@ -20,7 +20,7 @@
 
 
 class LiveEntries(base.ParamsMixin):
-    """Keeps the entries that are listed in the store.
+    """Entries that the store lists as alive.
 
     Examples:
         >>> live_entries = LiveEntries()
@@ -35,11 +35,11 @@
         self._notifier = notifier.Notifier()
 
     def names(self):
-        """Return the names of the entries that are alive, sorted."""
+        """Return the sorted names of the entries."""
         return sorted(self._entries)
 
     def locations(self):
-        """Return the `EntryLocation` of each entry that told it, by name."""
+        """Return the published `EntryLocation` of entries, by name."""
         return {
             name: location
             for name, location in self._entries.items()
@@ -51,21 +51,21 @@
         return name in self._entries
 
     def replace(self, entries):
-        """Take these in place of all that were known.
+        """Replace all entries.
 
         Args:
-            entries: names, or homes by name.
+            entries: names, or mapping of name to `EntryLocation` or None.
         """
         if not isinstance(entries, dict):
             entries = dict.fromkeys(entries)
         self._set(entries)
 
     def put(self, name, location=None):
-        """Note that the entry `name` is listed."""
+        """Add or update the entry `name`."""
         self._set({**self._entries, name: location})
 
     def drop(self, name):
-        """Note that the entry `name` is no longer listed."""
+        """Remove the entry `name`."""
         kept = {
             other: location
             for other, location in self._entries.items()
@@ -74,7 +74,7 @@
         self._set(kept)
 
     async def wait_for_change(self):
-        """Return when an entry has come or gone."""
+        """Wait until an entry is added, updated or removed."""
         await self._notifier.wait()
 
     def _set(self, entries):
--- a/catkinshunt/catalog/_model.py
+++ b/catkinshunt/catalog/_model.py
@@ -1,4 +1,4 @@
-"""What the operator declares, and the upstreams that are there."""
+"""Data classes of the operator's declaration and of upstreams."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Share:
-    """A service and its weight among those that a rule spreads over."""
+    """A service and its weight in a weighted split of requests."""
 
     service: str
     weight: float
@@ -17,19 +17,20 @@
 
 @attrs.frozen
 class Serve(rules_base.BaseAction):
-    """Send the request to an upstream of a service, within these bounds.
+    """Route the request to an upstream of a service, within these bounds.
 
     Attributes:
-        shares: services that take the requests, by weight.
-        timeout_s: longest time that the caller is kept waiting.
-        goal_s: time to the answer, or to its first event, that is aimed at.
-        max_tries: most upstreams that one request may be sent to.
-        priority: rank; 0 goes first.
-        idempotent: running it twice does no harm.
-        streaming: the answer is a series of events.
-        resumable: a broken series may be taken up by another upstream.
-        public: needs no key of an account.
-        gap_target_s: longest pause between events that is aimed at.
+        shares: services and their weights.
+        timeout_s: maximum time in seconds that the caller waits.
+        goal_s: target in seconds for the time to the answer, or to the first
+            event of a stream.
+        max_tries: maximum number of upstreams that a request is sent to.
+        priority: priority class; 0 is served first.
+        idempotent: whether the request may safely run twice.
+        streaming: whether the answer is a stream of events.
+        resumable: whether another upstream can resume a broken stream.
+        public: whether requests need no account key.
+        gap_target_s: target in seconds for the longest gap between events.
     """
 
     keyword = 'serve'
@@ -47,11 +48,11 @@
 
     @property
     def repeatable(self):
-        """Whether a try that may have run can be made again elsewhere."""
+        """Whether an attempt that may have run can be retried elsewhere."""
         return self.idempotent or (self.streaming and self.resumable)
 
     def choose_service(self, fraction):
-        """Return the service for `fraction`, from 0 up to 1.
+        """Return the service for `fraction`, a number in [0, 1).
 
         Examples:
             >>> serve = Serve([Share('a', 9), Share('b', 1)])
@@ -68,20 +69,20 @@
 
 @attrs.frozen
 class EngineProfile:
-    """How fast the engines of a service work, and what their weights are.
+    """Speed of the engines of a service, and size of their weights.
 
     Attributes:
-        slots: requests that an engine works on at once.
-        step_s: time of one token step without any request.
-        step_s_per_request: time that each writing request adds to a step.
-        prefill_tokens_per_s: prompt tokens read in a second.
-        stride: token steps in one pass.
-        mean_prompt_tokens: mean prompt tokens of a request.
-        mean_output_tokens: mean tokens of an answer.
+        slots: requests that an engine runs concurrently.
+        step_s: base time of one decode step in seconds.
+        step_s_per_request: seconds that each decoding request adds to a step.
+        prefill_tokens_per_s: prompt tokens processed per second.
+        steps_per_pass: decode steps in one pass of the engine.
+        mean_prompt_tokens: mean number of prompt tokens of a request.
+        mean_output_tokens: mean number of output tokens of a request.
         models: names of the models that the engines serve.
-        chunks: pieces that the weights of a version consist of.
-        chunk_bytes: bytes of one piece.
-        load_s: time that loading whole weights takes.
+        chunks: number of chunks in the weights of a version.
+        chunk_bytes: size of a chunk in bytes.
+        load_s: seconds that an engine takes to load complete weights.
     """
 
     slots: int = 8
@@ -99,13 +100,14 @@
 
 @attrs.frozen
 class Origin:
-    """Where the weights of new versions come from.
+    """Source of the weights of new versions.
 
     Attributes:
         address: pair of IP address and port.
-        data_centre: where it stands.
-        link_mbps: speed of its link.
-        max_connections: connections that it takes from all members.
+        data_centre: name of its data centre.
+        link_mbps: speed of its link in Mbit/s.
+        max_connections: connections that it accepts from all members
+            together.
     """
 
     address: tuple[str, int]
@@ -116,13 +118,14 @@
 
 @attrs.frozen
 class Service:
-    """A group of upstreams that do the same work.
+    """A group of interchangeable upstreams.
 
     Attributes:
-        health_path: path of its health check.
-        max_connections: connections that one upstream takes.
+        name: name of the service.
+        health_path: path of the health check.
+        max_connections: connections that one upstream accepts.
         engine: profile of its model engines; None for a plain service.
-        origin: set where the service is an origin of weights.
+        origin: set if the service is the origin of weights.
     """
 
     name: str
@@ -134,15 +137,16 @@
 
 @attrs.frozen(slots=False)
 class Declaration:
-    """One accepted revision of what the operator wants.
+    """One accepted revision of the operator's configuration.
 
     Attributes:
-        revision: grows with each accepted change.
-        rule_set: ordered rules; those on requests end in `Serve`.
+        revision: number that rises with each accepted change.
+        rule_set: ordered rules; the action of a request rule is `Serve`.
         services: `Service` by name.
-        accounts: name of the account by key; None where none are declared.
-        account_priorities: rank by account, where it has one of its own.
-        limits: what callers may send.
+        accounts: account name by key; None if no accounts are declared.
+        account_priorities: priority class by account; overrides that of the
+            rule.
+        limits: limits on the size and timing of requests.
     """
 
     revision: int
@@ -166,14 +170,16 @@
     """One process that answers requests of a service.
 
     Attributes:
-        id: its name.
+        id: unique name.
+        service: name of its service.
         address: pair of IP address and port.
-        born: when it started, in milliseconds of the Unix time, or 0; one
-            that starts again under its id has another value.
-        leaving: it takes no new work.
-        versions: version of the weights by model that it serves; empty for
-            an engine that holds none. None for a plain service.
-        slots: requests that it works on at once.
+        data_centre: name of its data centre.
+        started_at_ms: start time in Unix milliseconds, or 0 if unknown; it
+            changes if the process restarts under the same id.
+        leaving: whether it accepts no new requests.
+        versions: version of the loaded weights by model; empty for an engine
+            without weights, None for a plain service.
+        slots: requests that it runs concurrently.
     """
 
     id: str
@@ -187,5 +193,5 @@
 
     @property
     def key(self):
-        """Names this start of the upstream."""
+        """Identity of this run of the upstream; a restart changes it."""
         return (self.id, self.started_at_ms, self.address)
--- a/catkinshunt/catalog/tests/test_catalog.py
+++ b/catkinshunt/catalog/tests/test_catalog.py
@@ -6,11 +6,11 @@
     return catalogs.Upstream(**{**fields, **changes})
 
 
-def test_a_later_version_does_not_put_off_the_one_before():
-    """Two versions are named two seconds apart.
+def test_a_later_version_does_not_delay_the_one_before():
+    """Each version becomes due at its own time.
 
-    Each is due on its own time. Counted from the last name only, requests
-    would begin on the oldest version beyond the bound of the middle one.
+    If only the latest one counted, requests would start on the oldest version
+    after the middle one is due.
     """
     catalog = catalogs.Catalog()
     catalog.add_named_version('drafts', 2, now=0.0)
@@ -19,14 +19,14 @@
     assert due == [None, 2, 3]
 
 
-def test_an_older_version_is_not_taken():
+def test_an_older_version_is_ignored():
     catalog = catalogs.Catalog()
     assert catalog.add_named_version('drafts', 3, now=0.0)
     assert not catalog.add_named_version('drafts', 2, now=1.0)
     assert catalog.newest_version('drafts').version == 3
 
 
-def test_an_upstream_that_leaves_gets_no_work():
+def test_a_leaving_upstream_gets_no_requests():
     catalog = catalogs.Catalog()
     catalog.put_upstream(upstream('u1'))
     catalog.put_upstream(upstream('u2'))
@@ -34,7 +34,7 @@
     assert [u.id for u in catalog.upstreams('desk', 0.0)] == ['u2']
 
 
-def test_a_vanished_upstream_is_not_used_beside_others():
+def test_a_vanished_upstream_is_not_used_if_there_are_others():
     catalog = catalogs.Catalog()
     catalog.put_upstream(upstream('u1'))
     catalog.put_upstream(upstream('u2'))
@@ -42,7 +42,7 @@
     assert [u.id for u in catalog.upstreams('desk', 0.1)] == ['u2']
 
 
-def test_a_vanished_upstream_that_comes_back_is_used():
+def test_a_vanished_upstream_that_reappears_is_used():
     catalog = catalogs.Catalog()
     catalog.put_upstream(upstream('u1'))
     catalog.drop_upstream('u1', now=0.0)
@@ -50,7 +50,7 @@
     assert [u.id for u in catalog.upstreams('desk', 9.0)] == ['u1']
 
 
-def test_the_present_time_decides_how_fresh_the_state_is():
+def test_account_keys_are_trusted_until_the_state_is_too_old():
     catalog = catalogs.Catalog(key_trust_s=3.0)
     assert not catalog.can_trust_keys(0.0)
     catalog.confirm(5.0)
