--- a/catkinshunt/feed/__init__.py
+++ b/catkinshunt/feed/__init__.py
@@ -1,4 +1,8 @@
-"""Changes of the key-value service, read once for a region."""
+"""Relayed watches on the key-value service.
+
+One process of a region watches the service and relays its changes to the
+others, so that a large value crosses each link only once.
+"""
 
 from catkinshunt.feed._messages import load
 from catkinshunt.feed._messages import RelayedPage
--- a/catkinshunt/feed/_messages.py
+++ b/catkinshunt/feed/_messages.py
@@ -1,4 +1,4 @@
-"""Pages between processes, as JSON."""
+"""JSON encoding of pages that one process relays to another."""
 
 import base64
 import binascii
@@ -13,25 +13,25 @@
 from catkinshunt.feed import base
 
 
-#: Values from this size on are compressed, in bytes.
+#: Minimum size of values that are compressed, in bytes.
 COMPRESS_MIN_BYTES = 1024
-#: Level of the compression; higher ones take several times as long.
+#: zlib level; higher levels take several times as long.
 COMPRESSION_LEVEL = 1
-#: Largest value that is taken from another process, in bytes.
+#: Maximum size of a decompressed value in bytes.
 MAX_VALUE_BYTES = 8 << 20
-#: Packed values that are kept, to be told to several processes.
+#: Number of compressed values kept for sending to further processes.
 COMPRESSED_CACHE_SIZE = 2
 
 
 @attrs.frozen
 class RelayedPage:
-    """A page as another process told it.
+    """A page relayed by another process.
 
     Attributes:
-        page: the `base.Page`, without times.
-        confirmed_ago_s: seconds before it was sent at which nothing newer was
-            there for certain.
-        waited_s: seconds for which the request waited for it.
+        page: the `base.Page`, without `confirmed_at`.
+        confirmed_ago_s: seconds between the latest confirmation that the
+            page is up to date and its sending.
+        waited_s: seconds for which the server held the request.
     """
 
     page: base.Page
@@ -43,7 +43,7 @@
 
 
 def dump(relayed):
-    """Return a `RelayedPage` as bytes."""
+    """Return the JSON bytes of a `RelayedPage`."""
     page = relayed.page
     document = {
         'revision': page.revision,
@@ -66,10 +66,10 @@
 
 @functools.lru_cache(maxsize=COMPRESSED_CACHE_SIZE)
 def _compress(value):
-    """Return `value` compressed, as text.
+    """Return `value` compressed and encoded as base64 text.
 
-    A large configuration, told to each process of a region as it is, takes
-    longer on the link of the one that tells than the time between two edits.
+    Sent uncompressed to each process of a region, a large configuration
+    occupies the sender's link for longer than the time between two edits.
     """
     return base64.b64encode(zlib.compress(value, COMPRESSION_LEVEL)).decode()
 
@@ -79,7 +79,7 @@
     value = decompressor.decompress(data, MAX_VALUE_BYTES)
     if not decompressor.eof:
         raise ValueError(
-            f'a value of over {MAX_VALUE_BYTES} bytes, or a part of one'
+            f'value exceeds {MAX_VALUE_BYTES} bytes or is truncated'
         )
     return value
 
@@ -88,7 +88,7 @@
     """Return the `RelayedPage` in `data`.
 
     Raises:
-        errors.StoreUnavailableError: it is none.
+        errors.StoreUnavailableError: `data` is malformed.
     """
     try:
         document = checks.load_json(data)
@@ -104,13 +104,13 @@
         )
     except _DECODE_ERRORS as exc:
         raise errors.StoreUnavailableError(
-            f'told an unknown page: {exc!r}', step='read-page', peer=peer
+            f'relayed page is malformed: {exc!r}', step='read-page', peer=peer
         ) from exc
 
 
 def _load_item(key, revision, value, compressed=False):
     if not isinstance(key, str):
-        raise TypeError('a key is no text')
+        raise TypeError('key is not a string')
     if value is not None:
         value = base64.b64decode(value, validate=True)
         value = _decompress(value) if compressed else value
@@ -119,5 +119,5 @@
 
 def _check_int(value):
     if isinstance(value, bool) or not isinstance(value, int):
-        raise TypeError(f'{value!r} is no whole number')
+        raise TypeError(f'{value!r} is not an integer')
     return value
--- a/catkinshunt/feed/_peer.py
+++ b/catkinshunt/feed/_peer.py
@@ -1,4 +1,4 @@
-"""What another process nearby reads from the service."""
+"""Reads and watches relayed by another process."""
 
 import urllib.parse
 
@@ -10,30 +10,29 @@
 from catkinshunt.feed import base
 from catkinshunt import http1
 
-#: Seconds beyond the wait that was asked for after which a process that gives
-#: no sign is taken as gone.
+#: Seconds beyond the requested wait after which a process that has not
+#: answered counts as unresponsive.
 RESPONSE_MARGIN_S = 0.4
-#: Seconds within which a connection must be made.
 CONNECT_TIMEOUT_S = 0.4
 
 
 class HistoryGoneError(errors.StoreError):
-    """The changes after the revision asked for are no longer known."""
+    """The changes after the requested revision are no longer available."""
 
 
 class NotCurrentError(errors.StoreUnavailableError):
-    """The process is there, but nobody may rely on what it knows."""
+    """The process answered, but its state may be out of date."""
 
 
 class PeerWatchSource(base.BaseWatchSource):
-    """Reads and watches at one other process.
+    """Watch source that reads from the `WatchRelayServer` of one process.
 
     Args:
-        host: its address.
+        host: address of the process.
         port: port of its `WatchRelayServer`.
-        clock: gives seconds on the steady clock.
-        wall: gives seconds on the clock of the view.
-        must_be_direct: whether it must read from the service itself.
+        clock: function that returns seconds on the monotonic clock.
+        wall: function that returns seconds on the clock of `Page` times.
+        must_be_direct: whether the process must watch the service directly.
     """
 
     def __init__(self, host, port, clock, wall, must_be_direct=False):
@@ -65,16 +64,16 @@
                 exc.message, step='ask-peer', peer=self._pool.peer
             ) from exc
         if head.status == _server.STATUS_GONE:
-            raise HistoryGoneError('history is gone', step='ask-peer')
+            raise HistoryGoneError('history is compacted', step='ask-peer')
         if head.status != 200:
             raise NotCurrentError(
-                f'answered {head.status}',
+                f'answered with status {head.status}',
                 step='ask-peer',
                 peer=self._pool.peer,
             )
         relayed = _messages.load(body, self._pool.peer)
-        # An answer can lie unread for seconds, so its times count from when
-        # it was asked for.
+        # The answer may be processed seconds after it arrived, so its times
+        # are counted from the request.
         confirmed_at = (
             requested_at + relayed.waited_s - relayed.confirmed_ago_s
         )
--- a/catkinshunt/feed/_regional.py
+++ b/catkinshunt/feed/_regional.py
@@ -1,4 +1,4 @@
-"""Lets one process of a region read from the service, for all of them."""
+"""Watches the service through another process where one is available."""
 
 import asyncio
 import math
@@ -12,29 +12,29 @@
 from catkinshunt.feed import base
 from catkinshunt import logs
 
-#: Seconds for which changes are waited for at another process. A short wait
-#: shows soon that it stands still; such a call costs the service nothing.
+#: Wait in seconds of a watch at another process. A short wait detects an
+#: unresponsive process early, and such a call costs the service nothing.
 PEER_WAIT_S = 0.4
-#: The same at the service, where others follow it through this process: what
-#: they know is proved anew by each answer.
+#: Wait in seconds of a watch at the service if there are other entries. Each
+#: answer confirms the state of those that watch through this process.
 SOURCE_WAIT_S = 0.6
-#: Share of all that is known from which on a value counts as large. To read
-#: all again costs less than twice as much then.
+#: A value counts as large from this fraction of the size of all values; to
+#: read everything again then costs less than twice as much as the value.
 LARGE_VALUE_RATIO = 0.5
-#: Seconds after a large value in which further ones are likely to have come
-#: unseen where the process that was followed is lost.
+#: Seconds after a large value during which further ones have probably been
+#: missed if the watcher is lost.
 BUSY_S = 3.0
-#: Seconds without proof after which what another process tells is too old: it
-#: may be cut off from the service, which then is asked directly. With the two
-#: waits and one read it stays below 2 s, the shortest bound within which a
-#: configuration must be in force.
+#: Age in seconds of the latest confirmation from which a watcher counts as
+#: stale: it may be disconnected from the service, which is then used directly.
+#: Together with the two waits and one read it stays below 2 s, the shortest
+#: bound within which a configuration must be in force.
 STALE_S = 1.3
-#: Seconds after its last answer for which this process counts as one that
-#: reads from the service itself.
+#: Seconds after the latest answer of the service for which this process counts
+#: as watching it directly.
 DIRECT_VALID_S = 4.0
-#: Seconds for which a process that has just started asks one that is not
-#: there yet again, and the pause between two tries. After a loss of power all
-#: start at the same moment.
+#: Seconds after its start for which a process retries a watcher that is not
+#: reachable yet, and the delay between two attempts. After a power failure all
+#: processes start at the same time.
 START_RETRY_PERIOD_S = 0.6
 START_RETRY_DELAY_S = 0.1
 
@@ -42,24 +42,24 @@
 
 
 class RegionalWatchSource(base.BaseWatchSource):
-    """Follows the service through another process, or directly.
+    """Watches the service through another process, or directly.
 
-    A large configuration, read by every entry of a region over one link,
-    takes seconds, and after a loss of power all requests are refused for as
-    long. Here one process reads it and hands it on, see
-    `_watchers.WatcherSelector`. Where that one gives no answer, or has no
-    proof that what it knows is new, the service is asked directly.
+    If every entry of a region read a large configuration over one link, it
+    would take seconds, and after a power failure all requests would be refused
+    for as long. Instead, one process reads it and relays it, see
+    `_watchers.WatcherSelector`. If that process is unresponsive or its state
+    is stale, the service is used directly.
 
     Args:
         source: `base.BaseWatchSource` of the service.
-        live_entries: `catalog.LiveEntries` with the homes of the entries.
+        live_entries: `catalog.LiveEntries` with the locations of the entries.
         name: name of this entry.
-        region: its region.
-        make_peer: function of a host, and of whether the process there must
-            read from the service itself, that returns its `PeerWatchSource`.
-        wall: gives seconds on the clock of the view.
-        prefixes: prefixes of all that is followed; those below the last one
-            tell which processes there are, and are read directly.
+        region: region of this entry.
+        make_peer: function of a host and of `must_be_direct` that returns the
+            `PeerWatchSource` of the process there.
+        wall: function that returns seconds on the clock of `Page` times.
+        prefixes: all watched prefixes. Keys under the last one list the live
+            entries, and are first read from the service itself.
     """
 
     def __init__(
@@ -81,14 +81,15 @@
 
     @property
     def is_direct(self):
-        """Whether this process reads from the service itself."""
+        """Whether this process watches the service directly."""
         return self.wall() - self._source_response_at < DIRECT_VALID_S
 
     def may_relay(self, must_be_direct):
-        """Return whether another may rely on what this process knows.
+        """Return whether other processes may use the state of this one.
 
         Args:
-            must_be_direct: only if this process reads from the service itself.
+            must_be_direct: whether this process must watch the service
+                directly.
         """
         if self.is_direct:
             return True
@@ -128,11 +129,11 @@
         return page
 
     async def _changes_from_source(self, prefix, after, wait_s):
-        """Return the changes that the service tells."""
+        """Return the changes since `after` from the service itself."""
         try:
             if self._large_value_at is not None:
-                # A watch gives every value since; behind a slow link it
-                # falls further back with each.
+                # A watch returns every intermediate value; over a slow link
+                # it would fall behind further with each of them.
                 page = await self._reread_all()
             else:
                 page = await self._watch_source(prefix, after, wait_s)
@@ -146,7 +147,7 @@
         return page
 
     async def _reread_all(self):
-        """Read all, and return what differs from what is known."""
+        """Read all items, and return those that differ from the cache."""
         requested_at = self.wall()
         pages = [(p, await self.source.read_prefix(p)) for p in self.prefixes]
         items = [i for p, page in pages for i in self.cache.diff(p, page)]
@@ -158,9 +159,9 @@
         )
 
     def _note_large_value(self, page):
-        """Remember a large value until none has followed for a while.
+        """Record a large value; forget it after a period without another.
 
-        While no answer comes, further ones may pile up unseen.
+        Further ones may accumulate while no answer arrives.
         """
         now = self.wall()
         if self._has_large_value(page):
@@ -172,7 +173,7 @@
             self._large_value_at = None
 
     def _has_large_value(self, page):
-        """Return whether a page brings a value that outweighs the others."""
+        """Return whether a page contains a large value."""
         least = LARGE_VALUE_RATIO * self.cache.size_bytes
         return any(len(item.value or b'') >= least for item in page.items)
 
@@ -181,15 +182,15 @@
             wait_s = min(wait_s, SOURCE_WAIT_S)
         requested_at = self.wall()
         page = await self.source.watch(prefix, after, wait_s)
-        # An answer can lie unread while the process is suspended, so the
-        # time at which it was read proves nothing.
+        # If this process is suspended, it handles the answer long after its
+        # arrival, so the time of handling confirms nothing.
         confirmed_at = requested_at
         if not page.items:
             confirmed_at = min(requested_at + wait_s, self.wall())
         return attrs.evolve(page, confirmed_at=confirmed_at)
 
     def _note_source_failure(self):
-        # Others ask elsewhere at once.
+        # Processes that watch through this one switch at once.
         self._source_response_at = -math.inf
         self.watchers.note_source_failure(self.wall())
 
@@ -197,7 +198,7 @@
         self._source_response_at = self.wall()
 
     async def _read_from_peer(self, prefix):
-        """Return what another process knows, or None."""
+        """Return the page of the chosen watcher, or None."""
         while (watcher := self._choose_watcher()) is not None:
             try:
                 page = await self._peer_source(watcher).read_prefix(prefix)
@@ -212,7 +213,7 @@
         return None
 
     async def _watch_peer(self, prefix, after):
-        """Return the changes that another process tells, or None."""
+        """Return the changes from the chosen watcher, or None."""
         watcher = self._choose_watcher()
         if watcher is None:
             return None
@@ -221,7 +222,7 @@
                 prefix, after, PEER_WAIT_S
             )
         except _peer.HistoryGoneError:
-            # It has started a moment ago; the service knows more.
+            # The watcher has just started; the service has a longer history.
             return None
         except errors.StoreError as exc:
             self._note_failure(watcher, exc)
@@ -229,12 +230,10 @@
         return page if self._check_age(page, watcher) else None
 
     def _check_age(self, page, watcher):
-        """Return whether it is proved that little can have changed since."""
+        """Return whether a page is recent enough; record the outcome."""
         now = self.wall()
         if now - page.confirmed_at >= STALE_S:
-            self._note_failure(
-                watcher, 'what it knows is too old', responded=True
-            )
+            self._note_failure(watcher, 'its state is stale', responded=True)
             return False
         self.watchers.note_success(watcher)
         if watcher.is_remote:
@@ -245,7 +244,7 @@
         watcher = self.watchers.choose(self.wall())
         if watcher is not None and watcher != self._current_watcher:
             self._current_watcher = watcher
-            _log.info('Follows the service through {}.', watcher.name)
+            _log.info('Watches the service through {}.', watcher.name)
         return watcher
 
     def _peer_source(self, watcher):
@@ -260,5 +259,7 @@
         self.watchers.note_failure(watcher, self.wall(), responded)
         self._current_watcher = None
         _log.warning(
-            'Does not follow the service through {}: {}.', watcher.name, reason
+            'Stopped watching the service through {}: {}.',
+            watcher.name,
+            reason,
         )
--- a/catkinshunt/feed/_server.py
+++ b/catkinshunt/feed/_server.py
@@ -1,4 +1,4 @@
-"""Hands what this process reads from the service on to others nearby."""
+"""HTTP server that relays the watched state to other processes."""
 
 import asyncio
 import urllib.parse
@@ -7,13 +7,13 @@
 from catkinshunt import http1
 from catkinshunt import logs
 
-#: Paths of a read of all items below a prefix, and of a wait for changes.
+#: Paths to read all items under a prefix, and to wait for changes.
 READ_PATH = '/feed/read'
 WATCH_PATH = '/feed/changes'
-#: Seconds for which a request waits at most.
+#: Maximum wait of a request in seconds.
 MAX_WAIT_S = 2.0
-#: Status of an answer that the changes asked for are no longer known, and of
-#: one that nobody may rely on what this process knows.
+#: Status codes if the requested changes are no longer available, and if the
+#: state of this process may be out of date.
 STATUS_GONE = 410
 STATUS_NOT_CURRENT = 503
 
@@ -21,12 +21,12 @@
 
 
 class WatchRelayServer:
-    """Answers reads and watches of other processes from a view.
+    """Answers reads and watches of other processes from the watch cache.
 
     Args:
-        feed: `RegionalWatchSource` of this process.
-        wall: gives seconds on the clock of the view.
-        clock: gives seconds on the steady clock.
+        source: `RegionalWatchSource` of this process.
+        wall: function that returns seconds on the clock of `Page` times.
+        clock: function that returns seconds on the monotonic clock.
     """
 
     def __init__(self, source, wall, clock):
@@ -41,11 +41,11 @@
 
     @property
     def port(self):
-        """The port that is listened on."""
+        """Listening port."""
         return self._listener.port
 
     def close(self):
-        """Accept no further connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
     async def _answer(self, req):
@@ -57,7 +57,7 @@
             after = int(query.get('after', 0))
             must_be_direct = bool(int(query.get('reads', 0)))
         except ValueError:
-            _log.warning('Left aside a request for {}.', req.target[:100])
+            _log.warning('Rejected malformed request {}.', req.target[:100])
             return http1.Reply(400)
         if url.path == READ_PATH:
             return await self._read(prefix, wait_s, must_be_direct)
@@ -68,7 +68,8 @@
     async def _read(self, prefix, wait_s, must_be_direct):
         cache = self.source.cache
         started_at = self.wall()
-        # One that follows another by now will not read it from the service.
+        # A complete cache reads no further prefixes: the process may watch
+        # through another one by now.
         await self._wait(
             lambda: cache.has_read(prefix) or cache.is_complete, wait_s
         )
@@ -86,8 +87,8 @@
         if not cache.has_history_since(after):
             return http1.Reply(STATUS_GONE)
         confirmed_at = cache.confirmed_at
-        # A new proof is told at once. Told at the end of each wait only, it
-        # would be too old behind two processes.
+        # A new confirmation is relayed at once. If it were sent only at the
+        # end of each wait, it would be stale after two relays.
         await self._wait(
             lambda: (
                 cache.revision > after or cache.confirmed_at > confirmed_at
--- a/catkinshunt/feed/_watch_cache.py
+++ b/catkinshunt/feed/_watch_cache.py
@@ -1,26 +1,27 @@
-"""The items of the service as one process knows them, to be handed on."""
+"""Cache of the service's items that answers reads and watches."""
 
 import collections
 
 from catkinshunt.feed import base
 from catkinshunt import notifier
 
-#: Deletions that are remembered; whoever missed an older one reads all again.
+#: Maximum number of deletions kept; a client that missed an older one must
+#: read everything again.
 MAX_TOMBSTONES = 2000
 
 
 class WatchCache:
-    """Keeps what pages told, and answers for others like the service.
+    """Items and recent deletions, from which reads and watches are answered.
 
     Args:
-        prefixes: prefixes that must have been read before changes are told.
+        prefixes: prefixes that must have been read before changes are served.
 
     Examples:
-        >>> view = WatchCache(prefixes=('rules/',))
-        >>> view.apply_read('rules/', base.Page((), 7), now=1.0)
+        >>> cache = WatchCache(prefixes=('rules/',))
+        >>> cache.apply_read('rules/', base.Page((), 7), now=1.0)
         >>> item = base.Item('rules/first', b'{}', 9)
-        >>> view.apply_changes(base.Page((item,), 9), now=2.0)
-        >>> [item.key for item in view.changes_after('', 8, now=2.5).items]
+        >>> cache.apply_changes(base.Page((item,), 9), now=2.0)
+        >>> [item.key for item in cache.changes_after('', 8, now=2.5).items]
         ['rules/first']
     """
 
@@ -36,28 +37,28 @@
 
     @property
     def is_complete(self):
-        """Whether all that others ask for has been read."""
+        """Whether all prefixes have been read."""
         return all(prefix in self._revisions for prefix in self.prefixes)
 
     @property
     def revision(self):
-        """Revision up to which changes are known."""
+        """Revision up to which all changes are applied."""
         return min(self._revisions.values(), default=0)
 
     @property
     def confirmed_at(self):
-        """When nothing newer was there for certain; None before any read."""
+        """Latest time at which all was up to date; None before any read."""
         return min(self._confirmed_at.values(), default=None)
 
     @property
     def size_bytes(self):
-        """Bytes of all values."""
+        """Total size of all values in bytes."""
         return sum(len(item.value) for item in self._items.values())
 
     def diff(self, prefix, page):
-        """Return what a read of all items below `prefix` changes, as items.
+        """Return the changes that a read of all items under `prefix` implies.
 
-        Whatever is no longer there is told as deleted at that read.
+        Items missing from the read are returned as deleted at its revision.
         """
         found = {item.key: item for item in page.items}
         deleted = [
@@ -75,17 +76,17 @@
         ]
 
     def has_read(self, prefix):
-        """Return whether all items below `prefix` are known."""
+        """Return whether all items under `prefix` have been read."""
         return prefix in self._revisions
 
     async def wait(self):
-        """Return once something has been taken in."""
+        """Wait until a page is applied."""
         await self._notifier.wait()
 
     def apply_read(self, prefix, page, now):
-        """Take in all items below `prefix`.
+        """Apply a read of all items under `prefix`.
 
-        Where they were known before, what is missing was deleted since.
+        On a repeated read, items that are missing count as deleted.
         """
         if prefix in self._revisions:
             seen_at = self._confirmed_at[prefix]
@@ -95,13 +96,13 @@
         else:
             self._items.update((item.key, item) for item in page.items)
             revision = page.revision
-            # What was deleted before that cannot be told.
+            # Deletions before the first read are not known.
             self._compacted_revision = max(self._compacted_revision, revision)
         self._revisions[prefix] = revision
         self._confirm((prefix,), page, now)
 
     def apply_changes(self, page, now):
-        """Take in changes behind all that was read."""
+        """Apply changes that follow the reads of all prefixes."""
         for item in page.items:
             self._apply_item(item, now - page.seen_ago_s)
         for prefix, revision in self._revisions.items():
@@ -134,7 +135,7 @@
         self._notifier.notify_all()
 
     def read_prefix(self, prefix):
-        """Return all items below `prefix` as a `Page`."""
+        """Return all items under `prefix` as a `Page`."""
         items = [i for k, i in self._items.items() if k.startswith(prefix)]
         return base.Page(
             tuple(items),
@@ -143,11 +144,11 @@
         )
 
     def has_history_since(self, after):
-        """Return whether all changes after a revision are known."""
+        """Return whether all changes after a revision are available."""
         return after >= self._compacted_revision
 
     def changes_after(self, prefix, after, now):
-        """Return the changes below `prefix` after a revision as a `Page`."""
+        """Return the changes under `prefix` after a revision as a `Page`."""
         every = [*self._items.values(), *self._tombstones.values()]
         items = sorted(
             (
--- a/catkinshunt/feed/_watchers.py
+++ b/catkinshunt/feed/_watchers.py
@@ -1,4 +1,4 @@
-"""Decides through whom a process follows the key-value service."""
+"""Selection of the process that relays the key-value service."""
 
 import math
 
@@ -6,26 +6,25 @@
 
 from catkinshunt import rendezvous
 
-#: Seconds for which a process that gave no answer is not asked, at first and
-#: at most.
+#: Initial and maximum pause in seconds after a process did not answer.
 INITIAL_PAUSE_S = 1.0
 MAX_PAUSE_S = 16.0
-#: Seconds for which a process that the service did not answer asks others
-#: that read from it.
+#: Seconds for which a process uses other watchers of its region after the
+#: service did not answer it.
 SOURCE_FAILED_S = 2.0
-#: Key by which all agree on the region that reads for the others.
+#: Rendezvous hashing key for the region that watches for all others.
 _REGIONS_KEY = 'regions'
 
 
 @attrs.frozen
 class Watcher:
-    """A process that reads for others.
+    """A process that watches the service for others.
 
     Attributes:
-        name: its name.
-        is_remote: it stands in another region.
-        must_be_direct: it is relied on only if it reads from the service
-            itself, so that no two follow each other.
+        name: name of the process.
+        is_remote: whether it is in another region.
+        must_be_direct: whether it is used only if it watches the service
+            directly; this rules out cycles of watchers.
     """
 
     name: str
@@ -35,27 +34,28 @@
 
 @attrs.define
 class _Pause:
-    """How long a process, or another region, is not asked."""
+    """Backoff of a process, or of all other regions."""
 
     until: float
     duration_s: float
 
 
 class WatcherSelector:
-    """Chooses who is asked for changes instead of the service.
+    """Selects the process to watch through instead of the service.
 
-    The first process of a region is asked by the others there. It asks the
-    first one of one region that all agree on, and only that one reads from
-    the service: a large value would otherwise cross every link between two
-    regions as the service sends it. Whoever gives no answer is passed over,
-    and the first one of a region then reads from the service itself. Where
-    that is in vain, it asks the others of its region: the service may be out
-    of reach for some and not for all.
+    Rendezvous hashing ranks the regions, and the processes of a region. The
+    first process of a region serves the others there. It watches through the
+    first process of the first region, which alone watches the service:
+    otherwise a large value would cross every link between two regions
+    uncompressed. Unresponsive processes are skipped. If the first region is
+    unreachable, the first process of a region watches the service directly.
+    If the service does not answer either, it uses another process of its
+    region, since the service may be unreachable for some processes only.
 
     Args:
         live_entries: `catalog.LiveEntries`.
         name: name of this process.
-        region: its region.
+        region: region of this process.
     """
 
     def __init__(self, live_entries, name, region):
@@ -66,7 +66,7 @@
         self._source_failed_until = -math.inf
 
     def choose(self, now):
-        """Return the `Watcher` to ask now, or None for the service."""
+        """Return the `Watcher` to use now, or None for the service itself."""
         regional = self.regional_watcher(now)
         if regional is not None:
             return Watcher(regional)
@@ -81,31 +81,32 @@
         return None
 
     def regional_watcher(self, now):
-        """Return who reads for this region, or None for this process."""
+        """Return the watcher of this region, or None for this process."""
         return self._first_available(self.region, now)
 
     def note_success(self, watcher):
-        """Note that a reader gave an answer with proof."""
+        """Record that a watcher returned an up-to-date page."""
         self._pauses.pop(watcher.name, None)
         if watcher.is_remote:
             self._pauses.pop(_REGIONS_KEY, None)
 
     def note_source_failure(self, now):
-        """Note that the service gave this process no answer."""
+        """Record that the service did not answer this process."""
         self._source_failed_until = now + SOURCE_FAILED_S
 
     def note_failure(self, watcher, now, responded=False):
-        """Leave out a reader for a while.
+        """Skip a watcher for a pause that doubles with each failure.
 
         Args:
-            reader: the `Watcher`.
-            now: present time in seconds.
-            answered: it is within reach, but does not know enough.
+            watcher: the `Watcher`.
+            now: current time in seconds.
+            responded: whether it was reached, but its state is out of date.
         """
         self._pause(watcher.name, now)
         if watcher.is_remote and not responded:
-            # Were its neighbours asked next, all that follow this process
-            # would wait for a region out of reach, one time-out after another.
+            # If the other processes of an unreachable region were tried next,
+            # all that watch through this process would wait for one time-out
+            # after another.
             self._pause(_REGIONS_KEY, now)
 
     def _remote_watcher(self, now):
@@ -120,7 +121,10 @@
         )
 
     def _first_available(self, region, now):
-        """Return the first that can be asked there, None for this one."""
+        """Return the first process that is not paused.
+
+        Returns None if this process comes before it, or all are paused.
+        """
         for name in rendezvous.rank(region, self._members(region)):
             if name == self.name:
                 return None
@@ -129,7 +133,7 @@
         return None
 
     def _fallback_watcher(self, now):
-        """Return one of this region that may read in place of this one."""
+        """Return another process of this region, or None."""
         for name in rendezvous.rank(self.region, self._members(self.region)):
             if name != self.name and not self._is_paused(name, now):
                 return name
--- a/catkinshunt/feed/base.py
+++ b/catkinshunt/feed/base.py
@@ -1,4 +1,4 @@
-"""Where changes of the key-value service come from."""
+"""Interface of the sources of key-value items and their changes."""
 
 import abc
 
@@ -7,11 +7,12 @@
 
 @attrs.frozen
 class Item:
-    """A key of the service, or its deletion.
+    """A key of the service with its value, or its deletion.
 
     Attributes:
-        value: its bytes; None where the key was deleted.
-        revision: of its last change.
+        key: name of the key.
+        value: value in bytes; None if the key was deleted.
+        revision: revision of its latest change.
     """
 
     key: str
@@ -21,14 +22,17 @@
 
 @attrs.frozen
 class Page:
-    """Items with the service's revision at which they were read.
+    """Items read at one revision of the service.
 
     Attributes:
-        has_more: further items follow on another page.
-        confirmed_at: when nothing newer was there for certain, in seconds on
-            the clock of who reads it; None where only the reader can tell.
-        seen_ago_s: seconds before it was read in which the oldest of the
-            items was learnt elsewhere.
+        items: the `Item` objects.
+        revision: revision of the service at which they were read.
+        has_more: whether further items follow on another page.
+        confirmed_at: latest time at which the page was known to be up to
+            date, in seconds on the clock of the caller; None if the source
+            does not determine it.
+        seen_ago_s: seconds since the first process on the way learned of the
+            oldest item.
     """
 
     items: tuple
@@ -39,20 +43,23 @@
 
 
 class BaseWatchSource(abc.ABC):
-    """Items of the service, and their changes.
+    """Source of the service's items and their changes.
 
-    Calls raise an `errors.StoreError` where they give no answer, and
-    `HistoryGoneError` where the changes asked for are no longer known.
+    Calls raise `errors.StoreError` if they fail, and `HistoryGoneError` if the
+    requested changes are no longer available.
     """
 
     @abc.abstractmethod
     async def read_prefix(self, prefix):
-        """Return all items below `prefix` as one `Page`."""
+        """Return all items under `prefix` as one `Page`."""
 
     @abc.abstractmethod
     async def watch(self, prefix, after, wait_s):
-        """Return the changes below `prefix` after a revision as a `Page`.
+        """Return the changes under `prefix` after a revision as a `Page`.
 
-        Waits for at most `wait_s` seconds; the page is empty where nothing
-        changed.
+        Args:
+            prefix: prefix of the keys.
+            after: revision; only later changes are returned.
+            wait_s: maximum time in seconds to wait for a change. The page is
+                empty if there is none.
         """
--- a/catkinshunt/feed/tests/test_watch_cache.py
+++ b/catkinshunt/feed/tests/test_watch_cache.py
@@ -4,15 +4,15 @@
 
 
 def make_cache(now):
-    """Return a view of which every part was read at `now`."""
+    """Return a cache whose prefixes were all read at `now`."""
     cache = feed.WatchCache(PREFIXES)
     for prefix in PREFIXES:
         cache.apply_read(prefix, feed.Page((), 7), now)
     return cache
 
 
-def test_a_read_of_one_part_does_not_prove_the_others():
-    """Who follows would take an old configuration for the newest one."""
+def test_a_read_of_one_prefix_does_not_confirm_the_others():
+    """Clients would take an outdated configuration for the newest one."""
     cache = make_cache(now=1.0)
     cache.apply_read('entries/', feed.Page((), 9), now=5.0)
     assert cache.changes_after('', 7, now=5.0).confirmed_at == 1.0
@@ -20,20 +20,20 @@
     assert cache.read_prefix('entries/').confirmed_at == 5.0
 
 
-def test_changes_prove_all_parts():
+def test_changes_confirm_all_prefixes():
     cache = make_cache(now=1.0)
     cache.apply_changes(feed.Page((), 9), now=5.0)
     assert cache.changes_after('', 7, now=5.0).confirmed_at == 5.0
 
 
-def test_an_older_page_takes_no_proof_back():
+def test_an_older_page_does_not_lower_the_confirmation_time():
     cache = make_cache(now=5.0)
     cache.apply_changes(feed.Page((), 9, confirmed_at=3.0), now=6.0)
     assert cache.confirmed_at == 5.0
 
 
-def test_what_a_second_read_lacks_is_told_as_deleted():
-    """Who follows would otherwise have to read all again from the store."""
+def test_items_missing_from_a_second_read_are_relayed_as_deleted():
+    """Clients would otherwise have to read all again from the store."""
     cache = feed.WatchCache(PREFIXES)
     kept = feed.Item('entries/1', b'', 3)
     lost = feed.Item('entries/2', b'', 4)
@@ -48,7 +48,7 @@
 
 
 def test_an_older_read_deletes_nothing():
-    """Another entry may know less; what it lacks may have come since."""
+    """A page of another entry may be older than an item it lacks."""
     cache = make_cache(now=1.0)
     fresh = feed.Item('entries/1', b'', 9)
     cache.apply_changes(feed.Page((fresh,), 9), now=2.0)
@@ -57,8 +57,8 @@
     assert cache.revision == 9
 
 
-def test_an_older_read_brings_back_nothing_deleted():
-    """Who follows would go on sending requests to an upstream that is gone."""
+def test_an_older_read_does_not_restore_deleted_items():
+    """Clients would go on sending requests to a removed upstream."""
     gone = feed.Item('entries/1', b'', 3)
     lost = feed.Item('entries/1', None, 10)
     cache = feed.WatchCache(PREFIXES)
--- a/catkinshunt/feed/tests/test_watchers.py
+++ b/catkinshunt/feed/tests/test_watchers.py
@@ -15,21 +15,21 @@
     return _watchers.WatcherSelector(live_entries, name, NAMES[name])
 
 
-def chosen(now=0.0):
+def choices(now=0.0):
     return {name: make(name).choose(now) for name in NAMES}
 
 
-def test_one_reads_and_one_of_each_other_region_asks_it():
-    found = chosen()
+def test_one_process_is_direct_and_one_of_each_other_region_uses_it():
+    found = choices()
     (watcher,) = [name for name, choice in found.items() if choice is None]
-    far = {n: c for n, c in found.items() if c is not None and c.is_remote}
-    assert {choice.name for choice in far.values()} == {watcher}
-    assert {NAMES[n] for n in far} == set(REGIONS) - {NAMES[watcher]}
+    remote = {n: c for n, c in found.items() if c is not None and c.is_remote}
+    assert {choice.name for choice in remote.values()} == {watcher}
+    assert {NAMES[n] for n in remote} == set(REGIONS) - {NAMES[watcher]}
 
 
-def test_nobody_follows_in_a_circle():
-    """Two that follow each other would hold an old state for new."""
-    found = chosen()
+def test_watchers_form_no_cycle():
+    """Two that watch through each other would confirm an outdated state."""
+    found = choices()
     for name in NAMES:
         steps = 0
         while found[name] is not None:
@@ -39,17 +39,15 @@
 
 
 @pytest.mark.parametrize('times', [1, 2, 5])
-def test_a_region_out_of_reach_is_not_asked_one_process_after_the_other(
-    times,
-):
-    """Each would take a time-out, in which nothing newer is learnt."""
+def test_processes_of_an_unreachable_region_are_not_tried_in_turn(times):
+    """Each attempt would add a time-out without any newer state."""
     name = next(
-        n for n, c in chosen().items() if c is not None and c.is_remote
+        n for n, c in choices().items() if c is not None and c.is_remote
     )
-    readers = make(name)
+    selector = make(name)
     now = 0.0
     for _ in range(times):
-        readers.note_failure(readers.choose(now), now)
-        assert readers.choose(now) is None
+        selector.note_failure(selector.choose(now), now)
+        assert selector.choose(now) is None
         now += _watchers.MAX_PAUSE_S
-    assert readers.choose(now) is not None
+    assert selector.choose(now) is not None
