--- a/catkinshunt/base.py
+++ b/catkinshunt/base.py
@@ -1,11 +1,11 @@
-"""Base classes and mixins that all packages share."""
+"""Base classes and mixins shared by all packages."""
 
 import abc
 import inspect
 
 
 class ParamsMixin:
-    """Gives ``get_params`` and ``repr`` from the constructor's parameters.
+    """Implements ``get_params`` and ``repr`` from the constructor signature.
 
     Constructors only store their parameters under the same name; values are
     checked at first use by the helpers in `catkinshunt.checks`.
@@ -33,19 +33,19 @@
 
 
 class BaseService(ParamsMixin, abc.ABC):
-    """Something that runs until it is stopped.
+    """A component that runs until it is stopped.
 
-    ``start`` returns when the service is usable; ``stop`` lets work in
-    progress finish and may be called more than once.
+    ``start`` returns once the service is usable. ``stop`` waits for work in
+    progress and may be called more than once.
     """
 
     @abc.abstractmethod
     def start(self):
-        """Begin to serve; returns self."""
+        """Start the service and return self."""
 
     @abc.abstractmethod
     def stop(self):
-        """Finish the work in progress and release what is held."""
+        """Finish work in progress and release all resources."""
 
     def __enter__(self):
         return self.start()
--- a/catkinshunt/checks.py
+++ b/catkinshunt/checks.py
@@ -1,14 +1,14 @@
-"""Shared checks of parameters, called at first use."""
+"""Parameter checks, called at first use."""
 
 import json
 import random
 
 
 def check_positive(value, name):
-    """Return `value` if it is a number above zero.
+    """Return `value` if it is a positive number.
 
     Raises:
-        ValueError: `value` is not a number above zero.
+        ValueError: `value` is not a positive number.
 
     Examples:
         >>> check_positive(2, 'fanout')
@@ -16,19 +16,19 @@
         >>> check_positive(0, 'fanout')
         Traceback (most recent call last):
             ...
-        ValueError: fanout must be a number above 0, got 0
+        ValueError: fanout must be a positive number, got 0
     """
     wrong_type = isinstance(value, bool) or not isinstance(value, (int, float))
     if wrong_type or value <= 0:
-        raise ValueError(f'{name} must be a number above 0, got {value!r}')
+        raise ValueError(f'{name} must be a positive number, got {value!r}')
     return value
 
 
 def check_fraction(value, name):
-    """Return `value` if it lies from 0 to 1.
+    """Return `value` if it is a number between 0 and 1, inclusive.
 
     Raises:
-        ValueError: `value` is not a number from 0 to 1.
+        ValueError: `value` is not such a number.
 
     Examples:
         >>> check_fraction(0.5, 'share')
@@ -36,15 +36,15 @@
     """
     wrong_type = isinstance(value, bool) or not isinstance(value, (int, float))
     if wrong_type or not 0 <= value <= 1:
-        raise ValueError(f'{name} must lie from 0 to 1, got {value!r}')
+        raise ValueError(f'{name} must be between 0 and 1, got {value!r}')
     return value
 
 
 def check_count(value, name):
-    """Return `value` if it is a whole number from 0.
+    """Return `value` if it is a non-negative integer.
 
     Raises:
-        ValueError: `value` is not a whole number from 0.
+        ValueError: `value` is not a non-negative integer.
 
     Examples:
         >>> check_count(0, 'revision')
@@ -52,32 +52,32 @@
         >>> check_count(True, 'revision')
         Traceback (most recent call last):
             ...
-        ValueError: revision must be a whole number from 0, got True
+        ValueError: revision must be a non-negative integer, got True
     """
     if type(value) is not int or value < 0:
         raise ValueError(
-            f'{name} must be a whole number from 0, got {value!r}'
+            f'{name} must be a non-negative integer, got {value!r}'
         )
     return value
 
 
 def check_text(value, name):
-    """Return `value` if it is a text.
+    """Return `value` if it is a string.
 
     Raises:
-        ValueError: `value` is not a text.
+        ValueError: `value` is not a string.
 
     Examples:
         >>> check_text('larisa-a', 'data_centre')
         'larisa-a'
     """
     if not isinstance(value, str):
-        raise ValueError(f'{name} must be a text, got {value!r}')
+        raise ValueError(f'{name} must be a string, got {value!r}')
     return value
 
 
 def check_random_state(random_state):
-    """Return a `random.Random` from a seed, a generator or None.
+    """Return a `random.Random` for a seed, a generator or None.
 
     Examples:
         >>> check_random_state(1).random() == check_random_state(1).random()
@@ -89,14 +89,14 @@
 
 
 def load_json(data, object_hook=None):
-    """Return the value that the JSON text `data` describes.
+    """Return the value of the JSON document `data`.
 
     Args:
-        data: JSON text or bytes.
-        object_hook: function of each mapping that gives what replaces it.
+        data: JSON as str or bytes.
+        object_hook: function that replaces each mapping, or None.
 
     Raises:
-        ValueError: it is not JSON, or its values lie too deep in each other.
+        ValueError: `data` is not JSON, or nested too deeply.
 
     Examples:
         >>> load_json(b'[1]')
@@ -105,6 +105,6 @@
     try:
         return json.loads(data, object_hook=object_hook)
     except RecursionError as exc:
-        # A few kilobytes of brackets are enough. Readers expect ValueError
-        # for bad text; anything else would end the thread that reads.
-        raise ValueError('values lie too deep in each other') from exc
+        # A few kilobytes of brackets raise it. Callers handle ValueError for
+        # malformed input; another error would end the receiving thread.
+        raise ValueError('JSON is nested too deeply') from exc
--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -1,7 +1,7 @@
-"""Messages between processes, one in a datagram.
+"""Encoding of messages between processes, one message per datagram.
 
-A datagram is one JSON list that begins with a word for its kind, followed by
-the fields of an `attrs` class. All can be lost, doubled or late.
+A datagram is a JSON list: the kind of the message, then the fields of an
+`attrs` class by position. Datagrams can be lost, duplicated or delayed.
 """
 
 import json
@@ -10,16 +10,16 @@
 
 
 class DecodeError(ValueError):
-    """A datagram that is none of the messages that are known."""
+    """A datagram that is not a valid message."""
 
 
 class Codec:
-    """Writes and reads messages of some kinds.
+    """Encodes and decodes messages of the given classes.
 
     Args:
-        kinds: `attrs` classes with a class attribute ``kind``; their fields
-            are of type int, float, bool, str or tuple, the last one of str.
-        max_bytes: longest datagram that is read.
+        kinds: `attrs` classes with a class attribute ``kind``. Field types
+            are int, float, bool, str, and tuple for a tuple of str.
+        max_bytes: maximum size of a datagram that is decoded.
 
     Examples:
         >>> @attrs.frozen
@@ -47,15 +47,15 @@
         """Return the message in a datagram.
 
         Raises:
-            DecodeError: it is none.
+            DecodeError: the datagram is not a valid message.
         """
         if len(data) > self.max_bytes:
-            raise DecodeError(f'{len(data)} bytes')
+            raise DecodeError(f'{len(data)} bytes are too many')
         try:
             kind, *values = json.loads(data)
             cls = self._by_kind[kind]
         except (ValueError, TypeError, KeyError, RecursionError) as exc:
-            raise DecodeError('no message') from exc
+            raise DecodeError('not JSON, or unknown kind') from exc
         fields = attrs.fields(cls)
         if len(values) != len(fields):
             raise DecodeError(f'{kind} with {len(values)} fields')
@@ -63,7 +63,11 @@
 
 
 def _check_field(field, value):
-    """Return `value` if it is of the type of `field`, and not below zero."""
+    """Return `value` if it has the type of `field` and is not negative.
+
+    Raises:
+        DecodeError: `value` is not valid.
+    """
     if field.type is float:
         is_valid = type(value) in (int, float) and 0 <= value < float('inf')
     elif field.type is int:
--- a/catkinshunt/errors.py
+++ b/catkinshunt/errors.py
@@ -1,13 +1,13 @@
-"""The exception tree; every error names the step and the peer."""
+"""Exception hierarchy; errors carry the failed step and the peer."""
 
 
 class CatkinshuntError(Exception):
-    """Base of all errors raised by the system.
+    """Base class of all errors raised by the system.
 
     Args:
-        message: what went wrong, in one short sentence.
-        step: the step of the work at which it arose, such as ``'connect'``.
-        peer: the address or name of the other side, if there is one.
+        message: short description of the failure.
+        step: operation that failed, such as ``'connect'``.
+        peer: address or name of the remote process, if there is one.
     """
 
     def __init__(self, message, *, step='', peer=''):
@@ -26,10 +26,10 @@
 
 
 class SettingsError(CatkinshuntError):
-    """Settings that cannot be used; the message lists all of them.
+    """Invalid settings; the message lists all invalid fields.
 
     Args:
-        problems: one `catkinshunt.settings.Problem` for each wrong field.
+        problems: one `catkinshunt.settings.Problem` per invalid field.
     """
 
     def __init__(self, message, *, step='', peer='', problems=()):
@@ -38,10 +38,10 @@
 
 
 class RuleError(CatkinshuntError):
-    """Rules that cannot be accepted; names each rule and field.
+    """Invalid rules; the message names each rule and field.
 
     Args:
-        problems: one `catkinshunt.rules.Problem` for each thing wrong.
+        problems: one `catkinshunt.rules.Problem` per invalid field.
     """
 
     def __init__(self, message, *, step='', peer='', problems=()):
@@ -50,10 +50,10 @@
 
 
 class ConflictError(CatkinshuntError):
-    """A compare-and-swap met another revision than expected.
+    """A compare-and-swap found another revision than expected.
 
     Args:
-        changes: what others changed meanwhile, one sentence each.
+        changes: concurrent changes by others, one sentence each.
     """
 
     def __init__(self, message, *, step='', peer='', changes=()):
@@ -62,23 +62,23 @@
 
 
 class StoreError(CatkinshuntError):
-    """The key-value service gave no usable answer."""
+    """The key-value service returned no usable answer."""
 
 
 class StoreUnavailableError(StoreError):
-    """The key-value service is down; the call did not take effect."""
+    """The key-value service is unavailable; the call had no effect."""
 
 
 class StoreUnknownError(StoreError):
-    """The answer was lost; the write may have taken effect or not."""
+    """The answer was lost; the write may or may not have taken effect."""
 
 
 class PeerError(CatkinshuntError):
-    """A call to another process of the system gave no usable answer."""
+    """A call to another process of the system returned no usable answer."""
 
 
 class PeerUnavailableError(PeerError):
-    """The peer was not reached, takes no calls, or was cut off."""
+    """The peer is unreachable, rejects calls, or lost the connection."""
 
 
 class PeerTimeoutError(PeerError):
@@ -86,27 +86,27 @@
 
 
 class PeerUnauthenticatedError(PeerError):
-    """The peer does not accept the deployment's key."""
+    """The peer rejected the deployment key."""
 
 
 class RequestError(CatkinshuntError):
-    """A request that ends without its answer.
+    """A request that ended without a complete answer.
 
     Args:
-        retry_after_s: seconds after which the caller may come back; None
-            for what the class says.
+        retry_after_s: seconds after which the caller may retry; None for the
+            default of the class.
     """
 
-    #: Seconds after which the caller may come back where the cause tells
-    #: no better; None where the same request must not or need not be sent
-    #: again. After an unknown outcome a client that repeats by itself could
-    #: have a request without an idempotency key run twice.
+    #: Default seconds after which the caller may retry; None if the same
+    #: request must not or need not be sent again. After an unknown outcome, a
+    #: client that retries automatically could run a request without an
+    #: idempotency key twice.
     default_retry_after_s = None
     #: Whether the request ran: 'no', 'yes' or 'unknown'.
     ran = 'unknown'
-    #: HTTP status given to the caller.
+    #: HTTP status code returned to the caller.
     status = 502
-    #: Stable word for the cause, given to the caller.
+    #: Stable error code returned to the caller.
     code = 'failed'
 
     def __init__(self, message, *, step='', peer='', retry_after_s=None):
@@ -117,7 +117,7 @@
 
 
 class RefusedError(RequestError):
-    """The request was not run and may be sent again."""
+    """Rejected: the request was not run and may be sent again."""
 
     default_retry_after_s = 1.0
     ran = 'no'
@@ -126,22 +126,23 @@
 
 
 class OverloadedError(RefusedError):
-    """Not run: no place for it within its deadline or share."""
+    """Not run: no capacity within its deadline or fair share."""
 
     status = 429
     code = 'overloaded'
 
 
 class LeavingError(RefusedError):
-    """Not run: the instance takes no new work because it is leaving."""
+    """Not run: the instance is leaving and accepts no new requests."""
 
     code = 'leaving'
 
 
 class RecordUnavailableError(RefusedError):
-    """Not run now; whether an earlier try ran cannot be seen.
+    """Not run now; the record of earlier attempts cannot be read.
 
-    The caller may send the same key again, and must not take another one.
+    An earlier attempt may have run, so the caller may retry with the same
+    idempotency key but must not use another one.
     """
 
     ran = 'unknown'
@@ -149,7 +150,7 @@
 
 
 class InvalidRequestError(RefusedError):
-    """Not run: the request itself is wrong."""
+    """Not run: the request is invalid."""
 
     default_retry_after_s = None
     status = 400
@@ -170,7 +171,7 @@
 
 
 class InProgressError(OutcomeUnknownError):
-    """Another attempt with the same idempotency key is being run."""
+    """Another attempt with the same idempotency key is still running."""
 
     status = 409
     code = 'in-progress'
@@ -184,7 +185,7 @@
 
 
 class AnswerNotKeptError(RequestError):
-    """The request ran before; its answer was not kept."""
+    """The request ran before, but its answer was not stored."""
 
     ran = 'yes'
     status = 409
@@ -192,7 +193,7 @@
 
 
 class WrongVersionError(RequestError):
-    """Another model version answered than the request was routed for."""
+    """Another model version answered than the routed one."""
 
     default_retry_after_s = 1.0
     ran = 'yes'
@@ -201,7 +202,7 @@
 
 
 class IncompleteAnswerError(RequestError):
-    """An answer that began and could not be brought to its end."""
+    """An answer that started and could not be completed."""
 
     default_retry_after_s = 1.0
     ran = 'yes'
@@ -209,19 +210,20 @@
 
 
 class TransferError(CatkinshuntError):
-    """A weight transfer, or one chunk of it, failed."""
+    """A transfer of weights or of one chunk failed."""
 
 
 class ManifestError(TransferError):
-    """A manifest that is not whole or contradicts itself."""
+    """A manifest that is incomplete or inconsistent."""
 
 
 class SourceBusyError(TransferError):
-    """A source has no place, or not yet the chunk; ask it later.
+    """A source is at its limit or does not have the chunk yet.
 
     Args:
-        retry_after_s: seconds after which it may be asked again.
-        chains: by index of a chunk, whom the source waits for itself.
+        retry_after_s: seconds after which the request may be retried.
+        chains: by chunk index, the sources for which this one waits in turn;
+            used to detect cycles.
     """
 
     def __init__(
@@ -233,16 +235,16 @@
 
 
 class SourceUnableError(SourceBusyError):
-    """A source that will not have a version soon enough to pass it on."""
+    """A source that will not provide the version, or not in time."""
 
 
 class CorruptChunkError(TransferError):
-    """A chunk whose digest is not the one in the manifest."""
+    """A chunk whose digest differs from that in the manifest."""
 
 
 class OrderError(CatkinshuntError):
-    """A model engine refused or failed an order."""
+    """A model engine rejected a command or failed to execute it."""
 
 
 class StaleFencingError(OrderError):
-    """An order carried an older fencing number than the engine has seen."""
+    """A command carried an older fencing number than an earlier one."""
--- a/catkinshunt/notifier.py
+++ b/catkinshunt/notifier.py
@@ -1,13 +1,13 @@
-"""Wakes the tasks that wait for something to change."""
+"""Condition variable for the tasks of one event loop."""
 
 import asyncio
 
 
 class Notifier:
-    """Announces changes on one event loop.
+    """Wakes all waiting tasks, without a lock.
 
-    Each task that waits is woken by the next announcement; one that comes
-    later waits for the one after it.
+    A notification wakes the tasks that are waiting at that time; tasks that
+    begin to wait later need another one.
 
     Examples:
         >>> async def main():
@@ -25,10 +25,10 @@
         self._event = asyncio.Event()
 
     def notify_all(self):
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         event, self._event = self._event, asyncio.Event()
         event.set()
 
     async def wait(self):
-        """Return at the next announcement."""
+        """Wait for the next notification."""
         await self._event.wait()
--- a/catkinshunt/tests/test_errors.py
+++ b/catkinshunt/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests of the exception tree."""
+"""Tests of the exception hierarchy."""
 
 import pytest
 
@@ -15,14 +15,14 @@
     ],
 )
 def test_request_errors_say_whether_the_request_ran(cls, ran):
-    exc = cls('no place', step='admit', peer='upstream-1', retry_after_s=2)
+    exc = cls('no capacity', step='admit', peer='upstream-1', retry_after_s=2)
     assert exc.ran == ran
     assert exc.retry_after_s == 2
-    assert str(exc) == 'no place [step admit] [peer upstream-1]'
+    assert str(exc) == 'no capacity [step admit] [peer upstream-1]'
 
 
 @pytest.mark.parametrize(
-    ('cls', 'told'),
+    ('cls', 'has_default'),
     [
         (errors.RefusedError, True),
         (errors.OverloadedError, True),
@@ -34,10 +34,10 @@
         (errors.KeyReusedError, False),
     ],
 )
-def test_a_request_given_up_says_when_to_come_back(cls, told):
-    """A refusal is raised where nothing is known of when there is room.
+def test_a_rejected_request_has_a_retry_time(cls, has_default):
+    """An error raised without a retry time falls back to its class.
 
-    The caller got no time to come back, and its client tried again at once,
-    into the same burst. One whose outcome is unknown must not be told to.
+    Without a default, clients retried at once, into the same burst. A request
+    with an unknown outcome must get no retry time.
     """
-    assert (cls('no place').retry_after_s is not None) is told
+    assert (cls('no capacity').retry_after_s is not None) is has_default
