--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -213,13 +213,13 @@
     ),
     Mutation(
         'who-begins-late-says-so',
-        'catkinshunt/spread/_peers.py',
+        'catkinshunt/spread/_chunk_server.py',
         "[(UNABLE, '1')]",
         '[]',
     ),
     Mutation(
         'narrow-links-give-nothing',
-        'catkinshunt/spread/_speeds.py',
+        'catkinshunt/spread/_source_speeds.py',
         'return usual >= LEAST_SHARE and share < SLOW_PART * usual',
         'return False',
     ),
@@ -231,7 +231,7 @@
     ),
     Mutation(
         'members-stay-known',
-        'catkinshunt/platform/_outlook.py',
+        'catkinshunt/platform/_store_view.py',
         'if self._listed_at is None:\n                raise',
         'raise',
     ),
@@ -305,7 +305,7 @@
     ),
     Mutation(
         'various-chunks-go-out-first',
-        'catkinshunt/spread/_holding.py',
+        'catkinshunt/spread/_chunk_store.py',
         'index = min(here, key=lambda index: self._given[index])',
         'index = here[0]',
     ),
@@ -365,7 +365,7 @@
     ),
     Mutation(
         'origin-is-shown-alone',
-        'catkinshunt/platform/_outlook.py',
+        'catkinshunt/platform/_store_view.py',
         'await self._shown_origin() or await',
         'await',
     ),
@@ -373,7 +373,7 @@
     Mutation(
         'sidecar-ends-a-version',
         'catkinshunt/places/_ledger.py',
-        'if now + ask.read_s >= self._expires_at:',
+        'if now + ask.prefill_s >= self._expires_at:',
         'if False:',
     ),
     Mutation(
@@ -385,7 +385,7 @@
     # Entries that are listed.
     Mutation(
         'vanished-entry-is-listed-again',
-        'catkinshunt/platform/_membership.py',
+        'catkinshunt/platform/_registration.py',
         'and self.live_entries.has(self.name)',
         '',
     ),
@@ -628,7 +628,7 @@
     ),
     Mutation(
         'bars-kept-in-the-store',
-        'catkinshunt/platform/_mirror.py',
+        'catkinshunt/platform/_cache_updater.py',
         '            if item.key.startswith(_documents.QUARANTINE_PREFIX):\n'
         '                _apply',
         '            if False:\n                _apply',
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -15,12 +15,12 @@
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _dialect
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _membership
-from catkinshunt.platform import _mirror
-from catkinshunt.platform import _origin_key
-from catkinshunt.platform import _pending
+from catkinshunt.platform import _registration
+from catkinshunt.platform import _cache_updater
+from catkinshunt.platform import _origin_publisher
+from catkinshunt.platform import _pending_publisher
 from catkinshunt.platform import _process
-from catkinshunt.platform import _quarantine_keys
+from catkinshunt.platform import _quarantine_publisher
 from catkinshunt.platform import _signals
 from catkinshunt import quarantine
 from catkinshunt import retries
@@ -56,12 +56,12 @@
     """Serve as an entry until the signal to stop has been obeyed.
 
     Args:
-        cfg: `NodeSettings`.
+        cfg: `InstanceSettings`.
     """
     stop = _signals.watch_signals()
     registry = metrics.Registry()
     context = make_context(cfg, registry)
-    await context.places.start(cfg.ip)
+    await context.permit_client.start(cfg.ip)
     live_entries = catalogs.LiveEntries()
     gossip = make_gossip(cfg, live_entries, context.random)
     await gossip.start(cfg.ip)
@@ -80,8 +80,8 @@
     )
     mirror = make_mirror(followed, context, live_entries)
     home = catalogs.EntryLocation(cfg.ip, _region(cfg))
-    member = _membership.Membership(client, live_entries, cfg.name, home)
-    pending = _pending.PendingVersions(
+    member = _registration.Registration(client, live_entries, cfg.name, home)
+    pending = _pending_publisher.PendingPublisher(
         client,
         context.catalog,
         live_entries,
@@ -89,10 +89,10 @@
         context.version_grace_s,
         _clocks.wall,
     )
-    origin = _origin_key.OriginKey(
+    origin = _origin_publisher.OriginPublisher(
         client, context.catalog, live_entries, cfg.name
     )
-    barred = _quarantine_keys.QuarantineKeys(
+    barred = _quarantine_publisher.QuarantinePublisher(
         client, gossip.quarantine, live_entries, cfg.name, _clocks.wall
     )
     tasks = [
@@ -147,7 +147,7 @@
         retry_burst=make_burst_share(cfg).choose(_clocks.steady()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
-        places=places.PlaceClient(
+        permit_client=places.PermitClient(
             _process.place_port(cfg), _clocks.steady, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
@@ -164,8 +164,8 @@
     share = make_burst_share(cfg)
     while True:
         now = _clocks.steady()
-        share.see(len(live_entries.names()), now)
-        context.limit_retries(share.choose(now))
+        share.observe(len(live_entries.names()), now)
+        context.set_retry_burst(share.choose(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SHARE_S):
                 await live_entries.wait_for_change()
@@ -210,12 +210,12 @@
     registry.gauge(
         'quarantined_requests',
         'Requests that are not run, since upstreams crashed under them.',
-        lambda: context.guard.count_barred() if context.guard else 0,
+        lambda: context.guard.count_quarantined() if context.guard else 0,
     )
     registry.gauge(
         'retry_budget_tokens',
         'Further tries that are allowed now.',
-        context.budget_tokens,
+        context.retry_budget_tokens,
         ('service',),
     )
 
@@ -264,8 +264,8 @@
 
 
 def make_mirror(client, context, live_entries):
-    """Return the `Mirror` that feeds the catalog of `context`."""
-    return _mirror.Mirror(
+    """Return the `CacheUpdater` that feeds the catalog of `context`."""
+    return _cache_updater.CacheUpdater(
         client,
         context.catalog,
         live_entries,
--- a/catkinshunt/platform/tests/test_membership.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -4,7 +4,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
 from catkinshunt.platform import _entry
-from catkinshunt.platform import _membership
+from catkinshunt.platform import _registration
 from catkinshunt.platform.tests import fakes
 
 KEY = 'catkinshunt/entries/edge-1'
@@ -13,11 +13,11 @@
 @contextlib.asynccontextmanager
 async def listed(monkeypatch):
     """An entry that keeps itself listed, and looks often."""
-    monkeypatch.setattr(_membership, 'RENEW_S', 0.02)
-    monkeypatch.setattr(_membership, 'PAUSE_S', 0.02)
+    monkeypatch.setattr(_registration, 'RENEW_S', 0.02)
+    monkeypatch.setattr(_registration, 'PAUSE_S', 0.02)
     store = fakes.FakeStore()
     live_entries = catalogs.LiveEntries()
-    member = platform.Membership(store, live_entries, 'edge-1')
+    member = platform.Registration(store, live_entries, 'edge-1')
     task = asyncio.ensure_future(member.run())
     try:
         await fakes.until(lambda: KEY in store.items)
