--- a/catkinshunt/catalog/_catalog.py
+++ b/catkinshunt/catalog/_catalog.py
@@ -45,8 +45,7 @@
 class Catalog(base.ParamsMixin):
     """Newest declaration, named versions, upstreams and their age.
 
-    Times are seconds on a clock that keeps counting while the machine is
-    suspended.
+    Times are seconds on a clock that also counts during a system suspend.
 
     Args:
         key_trust_s: age of the state in seconds from which account keys are
