--- a/catkinshunt/catalog/__init__.py
+++ b/catkinshunt/catalog/__init__.py
@@ -1,7 +1,9 @@
-"""What the operator declares and which upstreams are there."""
+"""The operator's declaration, the upstreams and the live entries."""
 
 from catkinshunt.catalog._catalog import Catalog
 from catkinshunt.catalog._catalog import NamedVersion
+from catkinshunt.catalog._live_entries import EntryLocation
+from catkinshunt.catalog._live_entries import LiveEntries
 from catkinshunt.catalog._model import Declaration
 from catkinshunt.catalog._model import EngineProfile
 from catkinshunt.catalog._model import Origin
@@ -9,17 +11,15 @@
 from catkinshunt.catalog._model import Service
 from catkinshunt.catalog._model import Share
 from catkinshunt.catalog._model import Upstream
-from catkinshunt.catalog._live_entries import EntryLocation
-from catkinshunt.catalog._live_entries import LiveEntries
 
 __all__ = [
-    'EntryLocation',
     'Catalog',
     'Declaration',
     'EngineProfile',
+    'EntryLocation',
+    'LiveEntries',
     'NamedVersion',
     'Origin',
-    'LiveEntries',
     'Serve',
     'Service',
     'Share',
--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -1,7 +1,7 @@
-"""Messages between processes, one in a datagram.
+"""Encoding of messages between processes, one message per datagram.
 
-A datagram is one JSON list that begins with a word for its kind, followed by
-the fields of an `attrs` class. All can be lost, doubled or late.
+A datagram is a JSON list: the kind of the message, then the fields of an
+`attrs` class by position. Datagrams can be lost, duplicated or delayed.
 """
 
 import json
@@ -10,16 +10,16 @@
 
 
 class DecodeError(ValueError):
-    """A datagram that is none of the messages that are known."""
+    """A datagram that is not a valid message."""
 
 
 class Codec:
-    """Writes and reads messages of some kinds.
+    """Encodes and decodes messages of the given classes.
 
     Args:
-        kinds: `attrs` classes with a class attribute ``kind``; their fields
-            are of type int, float, bool, str or tuple, the last one of str.
-        max_bytes: longest datagram that is read.
+        kinds: `attrs` classes with a class attribute ``kind``. Field types
+            are int, float, bool, str, and tuple for a tuple of str.
+        max_bytes: maximum size of a datagram that is decoded.
 
     Examples:
         >>> @attrs.frozen
@@ -33,10 +33,10 @@
         Greeting(names=('a', 'b'))
     """
 
-    def __init__(self, kinds, max_bytes):
-        self.kinds = kinds
+    def __init__(self, message_classes, max_bytes):
+        self.message_classes = message_classes
         self.max_bytes = max_bytes
-        self._by_name = {cls.kind: cls for cls in kinds}
+        self._by_kind = {cls.kind: cls for cls in message_classes}
 
     def dump(self, message):
         """Return the bytes of a message."""
@@ -47,32 +47,36 @@
         """Return the message in a datagram.
 
         Raises:
-            DecodeError: it is none.
+            DecodeError: the datagram is not a valid message.
         """
         if len(data) > self.max_bytes:
-            raise DecodeError(f'{len(data)} bytes')
+            raise DecodeError(f'{len(data)} bytes are too many')
         try:
             kind, *values = json.loads(data)
-            cls = self._by_name[kind]
+            cls = self._by_kind[kind]
         except (ValueError, TypeError, KeyError, RecursionError) as exc:
-            raise DecodeError('no message') from exc
+            raise DecodeError('not JSON, or unknown kind') from exc
         fields = attrs.fields(cls)
         if len(values) != len(fields):
             raise DecodeError(f'{kind} with {len(values)} fields')
-        return cls(*map(_read, fields, values))
+        return cls(*map(_check_field, fields, values))
 
 
-def _read(field, value):
-    """Return `value` if it is of the type of `field`, and not below zero."""
+def _check_field(field, value):
+    """Return `value` if it has the type of `field` and is not negative.
+
+    Raises:
+        DecodeError: `value` is not valid.
+    """
     if field.type is float:
-        fits = type(value) in (int, float) and 0 <= value < float('inf')
+        is_valid = type(value) in (int, float) and 0 <= value < float('inf')
     elif field.type is int:
-        fits = type(value) is int and value >= 0
+        is_valid = type(value) is int and value >= 0
     elif field.type is tuple:
-        fits = type(value) is list and all(type(v) is str for v in value)
-        value = tuple(value) if fits else value
+        is_valid = type(value) is list and all(type(v) is str for v in value)
+        value = tuple(value) if is_valid else value
     else:
-        fits = type(value) is field.type
-    if not fits:
+        is_valid = type(value) is field.type
+    if not is_valid:
         raise DecodeError(f'{field.name} is {value!r}'[:80])
     return value
--- a/catkinshunt/feed/_server.py
+++ b/catkinshunt/feed/_server.py
@@ -1,4 +1,4 @@
-"""Hands what this process reads from the service on to others nearby."""
+"""HTTP server that relays the watched state to other processes."""
 
 import asyncio
 import urllib.parse
@@ -7,30 +7,30 @@
 from catkinshunt import http1
 from catkinshunt import logs
 
-#: Paths of a read of all items below a prefix, and of a wait for changes.
+#: Paths to read all items under a prefix, and to wait for changes.
 READ_PATH = '/feed/read'
 WATCH_PATH = '/feed/changes'
-#: Seconds for which a request waits at most.
-LONGEST_WAIT_S = 2.0
-#: Status of an answer that the changes asked for are no longer known, and of
-#: one that nobody may rely on what this process knows.
-GONE = 410
-NOT_DIRECT = 503
+#: Maximum wait of a request in seconds.
+MAX_WAIT_S = 2.0
+#: Status codes if the requested changes are no longer available, and if the
+#: state of this process may be out of date.
+STATUS_GONE = 410
+STATUS_NOT_CURRENT = 503
 
 _log = logs.get_logger('feed')
 
 
 class WatchRelayServer:
-    """Answers reads and watches of other processes from a view.
+    """Answers reads and watches of other processes from the watch cache.
 
     Args:
-        feed: `RegionalWatchSource` of this process.
-        wall: gives seconds on the clock of the view.
-        clock: gives seconds on the steady clock.
+        source: `RegionalWatchSource` of this process.
+        wall: function that returns seconds on the clock of `Page` times.
+        clock: function that returns seconds on the monotonic clock.
     """
 
-    def __init__(self, feed, wall, clock):
-        self.feed = feed
+    def __init__(self, source, wall, clock):
+        self.source = source
         self.wall = wall
         self._listener = http1.Listener(http1.answer_with(self._answer), clock)
 
@@ -41,11 +41,11 @@
 
     @property
     def port(self):
-        """The port that is listened on."""
+        """Listening port."""
         return self._listener.port
 
     def close(self):
-        """Accept no further connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
     async def _answer(self, req):
@@ -53,11 +53,11 @@
         query = dict(urllib.parse.parse_qsl(url.query))
         try:
             prefix = query.get('prefix', '')
-            wait_s = min(float(query.get('wait_s', 0)), LONGEST_WAIT_S)
+            wait_s = min(float(query.get('wait_s', 0)), MAX_WAIT_S)
             after = int(query.get('after', 0))
             must_be_direct = bool(int(query.get('reads', 0)))
         except ValueError:
-            _log.warning('Left aside a request for {}.', req.target[:100])
+            _log.warning('Rejected malformed request {}.', req.target[:100])
             return http1.Reply(400)
         if url.path == READ_PATH:
             return await self._read(prefix, wait_s, must_be_direct)
@@ -66,47 +66,54 @@
         return http1.Reply(404)
 
     async def _read(self, prefix, wait_s, must_be_direct):
-        view = self.feed.view
-        began = self.wall()
-        # One that follows another by now will not read it from the service.
+        cache = self.source.cache
+        started_at = self.wall()
+        # A complete cache reads no further prefixes: the process may watch
+        # through another one by now.
         await self._wait(
-            lambda: view.has_read(prefix) or view.is_complete, wait_s
+            lambda: cache.has_read(prefix) or cache.is_complete, wait_s
         )
-        if not (self.feed.may_tell(must_be_direct) and view.has_read(prefix)):
-            return http1.Reply(NOT_DIRECT)
-        return self._tell(view.below(prefix), began)
+        if not (
+            self.source.may_relay(must_be_direct) and cache.has_read(prefix)
+        ):
+            return http1.Reply(STATUS_NOT_CURRENT)
+        return self._reply(cache.read_prefix(prefix), started_at)
 
     async def _watch(self, prefix, after, wait_s, must_be_direct):
-        view = self.feed.view
-        began = self.wall()
-        if not (self.feed.may_tell(must_be_direct) and view.is_complete):
-            return http1.Reply(NOT_DIRECT)
-        if not view.knows_since(after):
-            return http1.Reply(GONE)
-        confirmed_at = view.confirmed_at
-        # A new proof is told at once. Told at the end of each wait only, it
-        # would be too old behind two processes.
+        cache = self.source.cache
+        started_at = self.wall()
+        if not (self.source.may_relay(must_be_direct) and cache.is_complete):
+            return http1.Reply(STATUS_NOT_CURRENT)
+        if not cache.has_history_since(after):
+            return http1.Reply(STATUS_GONE)
+        confirmed_at = cache.confirmed_at
+        # A new confirmation is relayed at once. If it were sent only at the
+        # end of each wait, it would be stale after two relays.
         await self._wait(
-            lambda: view.revision > after or view.confirmed_at > confirmed_at,
+            lambda: (
+                cache.revision > after or cache.confirmed_at > confirmed_at
+            ),
             wait_s,
         )
-        if not self.feed.may_tell(must_be_direct):
-            return http1.Reply(NOT_DIRECT)
-        return self._tell(view.changes(prefix, after, self.wall()), began)
+        if not self.source.may_relay(must_be_direct):
+            return http1.Reply(STATUS_NOT_CURRENT)
+        return self._reply(
+            cache.changes_after(prefix, after, self.wall()), started_at
+        )
 
     async def _wait(self, condition, wait_s):
         """Return once `condition` holds, or after `wait_s` seconds."""
         try:
             async with asyncio.timeout(wait_s):
                 while not condition():
-                    await self.feed.view.wait()
+                    await self.source.cache.wait()
         except TimeoutError:
             return
 
-    def _tell(self, page, began):
+    def _reply(self, page, started_at):
         now = self.wall()
-        told = _messages.RelayedPage(
-            page, now - page.confirmed_at, now - began
+        relayed = _messages.RelayedPage(
+            page, now - page.confirmed_at, now - started_at
         )
         items = (('Content-Type', 'application/json'),)
-        return http1.Reply(200, _messages.dump(told), items)
+        return http1.Reply(200, _messages.dump(relayed), items)
--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -11,13 +11,13 @@
 from catkinshunt.places._ledger import NO_ROOM
 from catkinshunt.places._ledger import RELOADING
 from catkinshunt.places._messages import PermitRequest
+from catkinshunt.places._messages import DecodeError
 from catkinshunt.places._messages import PermitRelease
 from catkinshunt.places._messages import dump
 from catkinshunt.places._messages import PermitGranted
 from catkinshunt.places._messages import load
 from catkinshunt.places._messages import PermitQueued
 from catkinshunt.places._messages import PermitRejected
-from catkinshunt.places._messages import DecodeError
 from catkinshunt.places._server import PermitServer
 from catkinshunt.places.base import BaseAdmission
 
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -73,7 +73,7 @@
 
 
 def dump_home(home):
-    """Return the value of the key of an entry, from its `catalog.EntryLocation`."""
+    """Return the value of an entry's key from a `catalog.EntryLocation`."""
     return json.dumps({'host': home.host, 'region': home.region}).encode()
 
 
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -229,7 +229,7 @@
 
 
 def make_feed(cfg, client, live_entries):
-    """Return the `feed.RegionalWatchSource` of an entry with these settings."""
+    """Return the `feed.RegionalWatchSource` of an entry with `cfg`."""
 
     def make_peer(host, must_be_direct):
         return feed.PeerWatchSource(
--- a/catkinshunt/platform/_registration.py
+++ b/catkinshunt/platform/_registration.py
@@ -26,7 +26,7 @@
         client: `StoreClient`.
         roster: `catalog.LiveEntries` that shows whether the key is there.
         name: name of the instance.
-        home: its `catalog.EntryLocation`, for others of its region; None for none.
+        home: its `catalog.EntryLocation`, or None.
     """
 
     def __init__(self, client, live_entries, name, home=None):
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from catkinshunt import notifier
 from catkinshunt import errors
+from catkinshunt import notifier
 from catkinshunt.spread import _wait_graph
 
 
--- a/standins/soak/_platform.py
+++ b/standins/soak/_platform.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from catkinshunt import notifier
 from catkinshunt import http1
+from catkinshunt import notifier
 from standins.soak import _records
 
 MODEL = 'drafts'
