--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -56,7 +56,7 @@
     'ranks-order-engines',
     _ENTRIES,
     'request.rank = rank\n',
-    'request.rank = rank = dispatch.Rank.EARLY\n',
+    'request.rank = rank = dispatch.Rank.ON_TIME\n',
 )
 #: Callers that come back count as new ones.
 RETURNS = mutations.Mutation(
--- a/catkinshunt/gateway/__init__.py
+++ b/catkinshunt/gateway/__init__.py
@@ -8,13 +8,12 @@
 from catkinshunt.gateway._exchange import Exchange
 from catkinshunt.gateway._gateway import Gateway
 from catkinshunt.gateway._metrics import GatewayMetrics
-from catkinshunt.gateway.base import Ask
 from catkinshunt.gateway.base import BaseDialect
 from catkinshunt.gateway.base import Forward
 from catkinshunt.gateway.base import ReplyNote
+from catkinshunt.gateway.base import RequestInfo
 
 __all__ = [
-    'Ask',
     'BaseDialect',
     'Context',
     'Decision',
@@ -24,6 +23,7 @@
     'Gateway',
     'GatewayMetrics',
     'ReplyNote',
+    'RequestInfo',
     'StaleError',
     'decide',
 ]
--- a/catkinshunt/gateway/base.py
+++ b/catkinshunt/gateway/base.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Ask:
+class RequestInfo:
     """A caller's request, decoded.
 
     Attributes:
@@ -76,7 +76,7 @@
 
     @abc.abstractmethod
     def read_ask(self, req):
-        """Return the `Ask` in an `http1.Request`.
+        """Return the `RequestInfo` in an `http1.Request`.
 
         Raises:
             errors.InvalidRequestError: a header cannot be read.
--- a/catkinshunt/gateway/tests/dialect.py
+++ b/catkinshunt/gateway/tests/dialect.py
@@ -18,7 +18,7 @@
         if left_ms is not None and not left_ms.isdigit():
             raise errors.InvalidRequestError('Left-Ms is no number')
         tokens_in, tokens_out = headers.get('Tokens', '0,0').split(',')
-        return base.Ask(
+        return base.RequestInfo(
             id=headers.get('Request-Id', ''),
             host=headers.get('Host', ''),
             path=req.path,
--- a/catkinshunt/platform/_dialect.py
+++ b/catkinshunt/platform/_dialect.py
@@ -49,7 +49,7 @@
                 'one Host header is needed', step='read-request'
             )
         tokens_in, most_out = _read_tokens(headers.get(TOKENS))
-        return base.Ask(
+        return base.RequestInfo(
             id=headers.get(REQUEST_ID, ''),
             host=hosts[0].partition(':')[0].lower(),
             path=req.path,
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -144,7 +144,7 @@
         retry_burst=make_burst_share(cfg).choose(_clocks.steady()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
-        places=places.PlaceClient(
+        places=places.PermitClient(
             _process.place_port(cfg), _clocks.steady, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
@@ -161,7 +161,7 @@
     share = make_burst_share(cfg)
     while True:
         now = _clocks.steady()
-        share.see(len(roster.names()), now)
+        share.observe(len(roster.names()), now)
         context.limit_retries(share.choose(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SHARE_S):
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -46,7 +46,7 @@
         _clocks.wall,
         cfg.bounds.version_s,
     )
-    door = places.PlaceServer(places.Ledger(), _clocks.steady)
+    door = places.PermitServer(places.PermitAllocator(), _clocks.steady)
     await door.start(cfg.ip, _process.place_port(cfg))
     chunk_port = _process.chunk_port(cfg)
     agent = spread.Agent(
--- a/catkinshunt/platform/tests/test_dialect.py
+++ b/catkinshunt/platform/tests/test_dialect.py
@@ -23,7 +23,7 @@
             ('Last-Event-Id', '12'),
         )
     )
-    assert ask == gateway.Ask(
+    assert ask == gateway.RequestInfo(
         id='a1',
         host='shop.example',
         path='/a/b',
