--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -48,8 +48,9 @@
 DELAY = mutations.Mutation(
     'predicted-delay-chooses',
     _CHOICE,
-    'cost_s = delay_s + self._distance_s(upstream)',
-    'cost_s = len(state.jobs) + state.asking + self._distance_s(upstream)',
+    'cost_s = delay_s + self._distance_penalty_s(upstream)',
+    'cost_s = len(state.jobs) + state.asking\n'
+    '        cost_s += self._distance_penalty_s(upstream)',
 )
 #: Engines take requests in the order in which they come.
 RANKS = mutations.Mutation(
@@ -61,7 +62,7 @@
 #: Callers that come back count as new ones.
 RETURNS = mutations.Mutation(
     'returned-callers-are-known',
-    'catkinshunt/dispatch/_returns.py',
+    'catkinshunt/dispatch/_returning.py',
     'if is_longest:',
     'if True:',
 )
@@ -86,7 +87,7 @@
     mutations.Mutation(
         'failure-rates-count',
         _CHOICE,
-        'cost_s += FAILURE_S * state.failure_rate(now)',
+        'cost_s += FAILURE_PENALTY_S * state.failure_rate(now)',
         'pass',
     ),
     mutations.Mutation(
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -188,13 +188,13 @@
     # Queues past capacity.
     Mutation(
         'various-deadlines-are-no-return',
-        'catkinshunt/dispatch/_returns.py',
-        'granted.longest_share >= self.constant_share',
+        'catkinshunt/dispatch/_returning.py',
+        'timeouts.max_share >= self.constant_share',
         'True',
     ),
     Mutation(
         'learnt-delay-corrects',
-        'catkinshunt/dispatch/_forecast.py',
+        'catkinshunt/dispatch/_correction.py',
         'return predicted_s * self.scale(now)',
         'return predicted_s',
     ),
@@ -373,7 +373,7 @@
     Mutation(
         'sidecar-ends-a-version',
         'catkinshunt/places/_ledger.py',
-        'if now + ask.prefill_s >= self._expires_at:',
+        'if now + request.prefill_s >= self._expires_at:',
         'if False:',
     ),
     Mutation(
--- a/catkinshunt/dispatch/__init__.py
+++ b/catkinshunt/dispatch/__init__.py
@@ -6,8 +6,8 @@
 from catkinshunt.dispatch._choice import occupancy_s
 from catkinshunt.dispatch._choice import predict_delay_s
 from catkinshunt.dispatch._choice import prefill_s
-from catkinshunt.dispatch._forecast import DelayCorrector
-from catkinshunt.dispatch._returns import ReturningRequestDetector
+from catkinshunt.dispatch._correction import DelayCorrector
+from catkinshunt.dispatch._returning import ReturningRequestDetector
 from catkinshunt.dispatch._state import Job
 from catkinshunt.dispatch._state import Load
 from catkinshunt.dispatch._state import Rank
--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -10,29 +10,29 @@
 
 #: Seconds that an upstream elsewhere must be ahead to get the work. Bytes
 #: between data centres cost more than a short wait.
-OTHER_DATA_CENTRE_S = 0.06
-OTHER_REGION_S = 0.09
+OTHER_DATA_CENTRE_PENALTY_S = 0.06
+OTHER_REGION_PENALTY_S = 0.09
 #: Seconds that a rate of failures of 1 counts for; one fifth of failures
 #: outweighs a full engine.
-FAILURE_S = 4.0
+FAILURE_PENALTY_S = 4.0
 #: Seconds that a pause or silence counts for: such an upstream gets work
 #: only where all others are as bad.
-PAUSED_S = 30.0
-SILENT_S = 60.0
+PAUSED_PENALTY_S = 30.0
+UNRESPONSIVE_PENALTY_S = 60.0
 #: Time that one request takes at a plain service, in seconds, where nothing
 #: is known of it; only the order matters.
-PLAIN_WORK_S = 0.05
+PLAIN_REQUEST_S = 0.05
 #: Passes of a full engine until the first token of a request that just got
 #: room: half of the one under way, its own, and what others read beside it.
 FIRST_TOKEN_PASSES = 3.0
 #: Prompts that are read beside a pass of an engine while an answer lasts.
 #: Taken too high, an engine that is to load refuses answers that would have
 #: ended before.
-READS_PER_PASS = 0.3
+PREFILLS_PER_PASS = 0.3
 #: Upstreams whose place in the order of a process is kept.
-KEPT_SCORES = 1 << 14
+SCORE_CACHE_SIZE = 1 << 14
 
-_score = functools.lru_cache(maxsize=KEPT_SCORES)(rendezvous.score)
+_score = functools.lru_cache(maxsize=SCORE_CACHE_SIZE)(rendezvous.score)
 
 
 @attrs.frozen
@@ -66,24 +66,26 @@
         now: seconds on the steady clock.
     """
     # A late one that has not begun waits behind this one.
-    ahead = [
+    preceding = [
         other
         for other in state.jobs
         if other.answering or other.rank < _state.Rank.LATE
     ]
-    others = state.others(now)
-    count = len(ahead) + state.asking + others
+    others = state.other_requests(now)
+    count = len(preceding) + state.asking + others
     if engine is None:
-        return PLAIN_WORK_S * (1 + max(0.0, count + 1 - slots) / slots)
-    unread = sum(other.tokens_in for other in ahead if not other.answering)
+        return PLAIN_REQUEST_S * (1 + max(0.0, count + 1 - slots) / slots)
+    prefill_tokens = sum(
+        other.tokens_in for other in preceding if not other.answering
+    )
     waiting = state.load.waiting if state.load and others else 0
-    unread += min(waiting, others) * engine.usual_prompt
-    prefill_s = (unread + job.tokens_in) / engine.read_tokens_per_s
+    prefill_tokens += min(waiting, others) * engine.usual_prompt
+    prefill_s = (prefill_tokens + job.tokens_in) / engine.read_tokens_per_s
     step_s = engine.step_s + engine.per_request_s * min(count, slots)
     pass_s = engine.stride * step_s
-    over = max(0.0, count + 1 - slots)
+    excess = max(0.0, count + 1 - slots)
     answer_s = engine.usual_answer * step_s * 1.5
-    return prefill_s + pass_s * (1 + count / slots) + over * answer_s / slots
+    return prefill_s + pass_s * (1 + count / slots) + excess * answer_s / slots
 
 
 def first_token_s(engine, job):
@@ -113,7 +115,7 @@
     """
     tokens = job.tokens_out or engine.usual_answer
     passes = tokens / engine.stride
-    pass_s = _full_pass_s(engine) + READS_PER_PASS * (
+    pass_s = _full_pass_s(engine) + PREFILLS_PER_PASS * (
         engine.usual_prompt / engine.read_tokens_per_s
     )
     return first_token_s(engine, job) + passes * pass_s
@@ -155,7 +157,7 @@
         """
         return min(
             (
-                self._rate(upstream, tracker, engine, job, now)
+                self._evaluate(upstream, tracker, engine, job, now)
                 for upstream in upstreams
                 if upstream.key not in avoid
             ),
@@ -166,22 +168,22 @@
             default=None,
         )
 
-    def _rate(self, upstream, tracker, engine, job, now):
+    def _evaluate(self, upstream, tracker, engine, job, now):
         state = tracker.state(upstream)
         delay_s = predict_delay_s(state, engine, upstream.slots, job, now)
-        cost_s = delay_s + self._distance_s(upstream)
-        cost_s += FAILURE_S * state.failure_rate(now)
+        cost_s = delay_s + self._distance_penalty_s(upstream)
+        cost_s += FAILURE_PENALTY_S * state.failure_rate(now)
         if state.is_paused(now, upstream.versions):
-            cost_s += PAUSED_S
+            cost_s += PAUSED_PENALTY_S
         if state.is_unresponsive(now):
-            cost_s += SILENT_S
+            cost_s += UNRESPONSIVE_PENALTY_S
         return Candidate(upstream, state, delay_s, cost_s)
 
-    def _distance_s(self, upstream):
+    def _distance_penalty_s(self, upstream):
         there = upstream.data_centre
         if there == self.data_centre:
             return 0.0
         here = self.regions.get(self.data_centre)
         if here is not None and self.regions.get(there) == here:
-            return OTHER_DATA_CENTRE_S
-        return OTHER_REGION_S
+            return OTHER_DATA_CENTRE_PENALTY_S
+        return OTHER_REGION_PENALTY_S
--- a/catkinshunt/dispatch/_forecast.py
+++ b/catkinshunt/dispatch/_correction.py
@@ -8,8 +8,8 @@
 NEWEST_WEIGHT = 0.1
 #: Bounds of the correction. Predictions are made from what one entry knows
 #: of engines that all use, and are right where there is no queue.
-LEAST_SCALE = 1.0
-MOST_SCALE = 4.0
+MIN_SCALE = 1.0
+MAX_SCALE = 4.0
 #: Seconds in which a correction halves while nothing new is learnt. An entry
 #: that puts all requests behind would otherwise never see that the burst is
 #: over; it is shorter than a burst, and longer than the pauses in which
@@ -39,7 +39,7 @@
         self.newest_weight = newest_weight
         self._predicted_s = 0.1
         self._delay_s = 0.1
-        self._learnt_at = 0.0
+        self._observed_at = 0.0
 
     def observe(self, predicted_s, delay_s, now):
         """Take in the delay of a request of the first rank.
@@ -53,7 +53,7 @@
         weight = self.newest_weight
         self._predicted_s += weight * (predicted_s - self._predicted_s)
         self._delay_s += weight * (delay_s - self._delay_s)
-        self._learnt_at = now
+        self._observed_at = now
 
     def correct(self, predicted_s, now):
         """Return the delay to expect where `predicted_s` is predicted."""
@@ -77,6 +77,6 @@
     def scale(self, now):
         """Return by how much delays exceed predictions, from 1."""
         scale = self._delay_s / max(self._predicted_s, 1e-3)
-        scale = min(max(scale, LEAST_SCALE), MOST_SCALE)
-        age_s = max(0.0, now - self._learnt_at)
+        scale = min(max(scale, MIN_SCALE), MAX_SCALE)
+        age_s = max(0.0, now - self._observed_at)
         return 1.0 + (scale - 1.0) * 0.5 ** (age_s / HALF_LIFE_S)
--- a/catkinshunt/dispatch/_returns.py
+++ b/catkinshunt/dispatch/_returning.py
@@ -9,48 +9,48 @@
 from catkinshunt import checks
 
 #: Difference between deadlines, in seconds, that is no sign of waiting.
-SAME_S = 0.02
+TOLERANCE_S = 0.02
 #: Share of the requests of a service whose callers grant the longest time,
 #: from which on a shorter one tells that the caller waited before. Where
 #: callers grant various times, few are near the longest.
 CONSTANT_SHARE = 0.3
 #: Share that is assumed at first, so that one that starts in the middle of a
 #: burst tells returned callers from its second request on.
-FIRST_SHARE = 0.5
+INITIAL_SHARE = 0.5
 #: Share of the newest request in that share; about the last ten count.
 NEWEST_WEIGHT = 0.1
 #: Times granted in calm seconds that are remembered for each service, and
 #: how many are needed before they tell anything.
-REMEMBERED = 200
-LEAST_REMEMBERED = 15
+MAX_SAMPLES = 200
+MIN_SAMPLES = 15
 #: Share of the remembered times that may be shorter than the usual ones, and
 #: the part of the longest by which one must be shorter than these.
-OUTLIERS = 0.02
-MARGIN = 0.03
+OUTLIER_SHARE = 0.02
+MARGIN_SHARE = 0.03
 
 
 @attrs.define
-class _Granted:
+class _Timeouts:
     """Times that the callers of one service grant, in seconds."""
 
-    longest_s: float
-    longest_share: float = FIRST_SHARE
-    calm: collections.deque = attrs.field(
-        factory=lambda: collections.deque(maxlen=REMEMBERED)
+    max_s: float
+    max_share: float = INITIAL_SHARE
+    samples: collections.deque = attrs.field(
+        factory=lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
-    learnt: int = 0
-    usual: tuple | None = None
+    sample_count: int = 0
+    first_attempt: tuple | None = None
 
-    def observe(self, deadline_s):
+    def add_sample(self, deadline_s):
         """Remember a time that was granted in a calm second."""
-        self.calm.append(deadline_s)
-        self.learnt += 1
-        if self.learnt % LEAST_REMEMBERED:
+        self.samples.append(deadline_s)
+        self.sample_count += 1
+        if self.sample_count % MIN_SAMPLES:
             return
-        ordered = sorted(self.calm)
-        least_s = ordered[int(OUTLIERS * len(ordered))]
-        middle_s = ordered[len(ordered) // 2]
-        self.usual = (least_s - MARGIN * ordered[-1], middle_s)
+        ordered = sorted(self.samples)
+        min_s = ordered[int(OUTLIER_SHARE * len(ordered))]
+        median_s = ordered[len(ordered) // 2]
+        self.first_attempt = (min_s - MARGIN_SHARE * ordered[-1], median_s)
 
 
 class ReturningRequestDetector(base.ParamsMixin):
@@ -77,12 +77,12 @@
 
     def __init__(self, constant_share=CONSTANT_SHARE):
         self.constant_share = constant_share
-        self._granted = {}
-        self._refused_at = -math.inf
+        self._timeouts = {}
+        self._rejected_at = -math.inf
 
     def record_rejection(self, now):
         """Note that a caller was refused; it is likely to come back."""
-        self._refused_at = now
+        self._rejected_at = now
 
     def waited_s(self, service, deadline_s, now):
         """Return how long the caller of a request waited before, in seconds.
@@ -93,27 +93,25 @@
             now: seconds on the steady clock.
         """
         checks.check_fraction(self.constant_share, 'constant_share')
-        granted = self._granted.get(service)
-        if granted is None:
-            granted = self._granted[service] = _Granted(deadline_s)
-        short_s = granted.longest_s - deadline_s
-        granted.longest_s = max(granted.longest_s, deadline_s)
-        is_longest = short_s <= SAME_S
-        granted.longest_share += NEWEST_WEIGHT * (
-            is_longest - granted.longest_share
-        )
+        timeouts = self._timeouts.get(service)
+        if timeouts is None:
+            timeouts = self._timeouts[service] = _Timeouts(deadline_s)
+        short_s = timeouts.max_s - deadline_s
+        timeouts.max_s = max(timeouts.max_s, deadline_s)
+        is_longest = short_s <= TOLERANCE_S
+        timeouts.max_share += NEWEST_WEIGHT * (is_longest - timeouts.max_share)
         # Those that other entries refused come here too, in the same burst.
-        if now - self._refused_at > granted.longest_s:
-            granted.observe(deadline_s)
+        if now - self._rejected_at > timeouts.max_s:
+            timeouts.add_sample(deadline_s)
         if is_longest:
             return 0.0
-        if granted.longest_share >= self.constant_share:
+        if timeouts.max_share >= self.constant_share:
             return short_s
-        return self._left_over_s(granted, deadline_s)
+        return self._estimate_waited_s(timeouts, deadline_s)
 
-    def _left_over_s(self, granted, deadline_s):
+    def _estimate_waited_s(self, timeouts, deadline_s):
         """Return the likely wait where callers grant various times."""
-        if granted.usual is None:
+        if timeouts.first_attempt is None:
             return 0.0
-        least_s, middle_s = granted.usual
-        return 0.0 if deadline_s >= least_s else middle_s - deadline_s
+        min_s, median_s = timeouts.first_attempt
+        return 0.0 if deadline_s >= min_s else median_s - deadline_s
--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -14,13 +14,13 @@
 FAILURE_HALF_LIFE_S = 4.0
 #: Seconds of the first pause after a connection could not be made, doubled
 #: with each further failure in a row.
-FIRST_PAUSE_S = 0.4
+INITIAL_BACK_OFF_S = 0.4
 #: Longest such pause, in seconds.
-LONGEST_PAUSE_S = 4.0
+MAX_BACK_OFF_S = 4.0
 #: Seconds without a byte on any connection, while answers are due, after
 #: which an upstream is taken as silent. A pass of an engine that is five
 #: times as slow as usual takes 0.3 s.
-SILENT_S = 0.7
+UNRESPONSIVE_S = 0.7
 
 
 class Rank(enum.IntEnum):
@@ -91,9 +91,9 @@
     jobs: set = attrs.field(factory=set)
     asking: int = 0
     load: Load | None = None
-    load_at: float = 0.0
-    own_at_load: int = 0
-    expecting_since: float | None = None
+    load_reported_at: float = 0.0
+    own_requests_at_load: int = 0
+    reply_due_since: float | None = None
     failures_in_row: int = 0
     paused_until: float = 0.0
     versions_at_rest: dict | None = None
@@ -103,7 +103,7 @@
     def begin(self, job, now):
         """Count a try that is being sent; returns it."""
         if not self.jobs:
-            self.expecting_since = now
+            self.reply_due_since = now
         self.jobs.add(job)
         return job
 
@@ -111,23 +111,23 @@
         """Count a try that has ended."""
         self.jobs.discard(job)
         if not self.jobs:
-            self.expecting_since = None
+            self.reply_due_since = None
 
     def receive(self, now):
         """Note that bytes came from the upstream."""
-        if self.expecting_since is not None:
-            self.expecting_since = now
+        if self.reply_due_since is not None:
+            self.reply_due_since = now
 
     def report(self, load, now):
         """Take over the load that the upstream told."""
         self.load = load
-        self.load_at = now
-        self.own_at_load = len(self.jobs) + self.asking
+        self.load_reported_at = now
+        self.own_requests_at_load = len(self.jobs) + self.asking
 
     def is_unresponsive(self, now):
         """Return whether answers are due and no byte has come for long."""
-        since = self.expecting_since
-        return since is not None and now - since > SILENT_S
+        since = self.reply_due_since
+        return since is not None and now - since > UNRESPONSIVE_S
 
     def record_success(self, now):
         """Note a request that went well."""
@@ -144,8 +144,8 @@
 
     def back_off(self, now):
         """Give no work for a time that grows with failures in a row."""
-        pause_s = FIRST_PAUSE_S * 2**self.failures_in_row
-        self.paused_until = now + min(pause_s, LONGEST_PAUSE_S)
+        pause_s = INITIAL_BACK_OFF_S * 2**self.failures_in_row
+        self.paused_until = now + min(pause_s, MAX_BACK_OFF_S)
         self.failures_in_row += 1
         self.record_failure(now)
 
@@ -178,16 +178,16 @@
         age_s = max(0.0, now - self._failure_rate_at)
         return self._failure_rate * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
 
-    def others(self, now):
+    def other_requests(self, now):
         """Return the requests that other entries are likely to have there."""
         if self.load is None:
             return 0.0
-        age_s = now - self.load_at
+        age_s = now - self.load_reported_at
         if age_s > REPORT_VALID_S:
             return 0.0
-        told = self.load.running + self.load.waiting
-        left = 1 - age_s / REPORT_VALID_S
-        return max(0, told - self.own_at_load) * left
+        reported = self.load.running + self.load.waiting
+        freshness = 1 - age_s / REPORT_VALID_S
+        return max(0, reported - self.own_requests_at_load) * freshness
 
 
 class UpstreamTracker:
--- a/catkinshunt/dispatch/tests/crowd.py
+++ b/catkinshunt/dispatch/tests/multi_entry.py
@@ -8,7 +8,7 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt import dispatch
-from catkinshunt.dispatch.tests import burst
+from catkinshunt.dispatch.tests import simulation
 
 GOAL_S = 0.8
 #: Seconds without a first token after which a caller leaves.
@@ -19,9 +19,9 @@
 class Caller:
     """A request with the entry that it came to."""
 
-    request: burst.Request
+    request: simulation.Request
     entry: object
-    machine: object
+    engine: object
     predicted_s: float
 
     @property
@@ -34,15 +34,15 @@
 class Entry:
     """What one entry knows of the engines."""
 
-    def __init__(self, corrects):
+    def __init__(self, with_correction):
         self.tracker = dispatch.UpstreamTracker()
         self.chooser = dispatch.Chooser('a', {})
-        self.forecast = dispatch.DelayCorrector() if corrects else None
+        self.forecast = dispatch.DelayCorrector() if with_correction else None
 
     def send(self, upstreams, job, now):
         """Choose an engine for `job`; return the candidate."""
         found = self.chooser.choose(
-            upstreams, self.tracker, burst.ENGINE, job, now
+            upstreams, self.tracker, simulation.ENGINE, job, now
         )
         if self.forecast:
             job.rank = self.forecast.rank(0.0, found.delay_s, GOAL_S, now)
@@ -52,7 +52,7 @@
         return found
 
 
-class SharedEngine(burst.SimulatedEngine):
+class SharedEngine(simulation.SimulatedEngine):
     """An engine that tells each entry its load with the first token."""
 
     def __init__(self, upstream):
@@ -60,22 +60,22 @@
         self.callers = {}
 
     def work(self, now):
-        """See `burst.SimulatedEngine.work`."""
+        """See `simulation.SimulatedEngine.work`."""
         before = [*self.running, *self.waiting]
         unanswered = [r for r in before if r.first_s is None]
         end = super().work(now)
         for request in unanswered:
             if request.first_s is not None:
-                self._tell(self.callers[request], end)
+                self._report_load(self.callers[request], end)
         for request in before:
-            if request.unwritten <= 0:
+            if request.remaining_output <= 0:
                 caller = self.callers.pop(request)
                 caller.entry.tracker.state(self.upstream).end(request.job)
         return end
 
-    def _tell(self, caller, now):
+    def _report_load(self, caller, now):
         load = dispatch.Load(
-            len(self.running), len(self.waiting), burst.ENGINE.slots
+            len(self.running), len(self.waiting), simulation.ENGINE.slots
         )
         caller.entry.tracker.state(self.upstream).report(load, now)
         forecast = caller.entry.forecast
@@ -97,7 +97,9 @@
             forecast.observe(caller.predicted_s, PATIENCE_S, now)
 
 
-def play(rate, entries=5, engines=6, seconds=20.0, seed=3, corrects=True):
+def play(
+    rate, entries=5, engines=6, seconds=20.0, seed=3, with_correction=True
+):
     """Play a burst; return the shares in time and served at all.
 
     Args:
@@ -115,26 +117,26 @@
         )
         for n in range(engines)
     ]
-    machines = {u.id: SharedEngine(u) for u in upstreams}
-    doors = [Entry(corrects) for _ in range(entries)]
+    engines_by_id = {u.id: SharedEngine(u) for u in upstreams}
+    all_entries = [Entry(with_correction) for _ in range(entries)]
     order = itertools.count()
     events, callers = [], []
-    for now, tokens, answer in burst.make_requests(rate, seconds, rng):
+    for now, tokens, answer in simulation.make_requests(rate, seconds, rng):
         heapq.heappush(events, (now, next(order), 'come', (tokens, answer)))
     while events:
         now, _, kind, what = heapq.heappop(events)
         if kind == 'come':
             job = dispatch.Job(*what)
-            door = rng.choice(doors)
-            found = door.send(upstreams, job, now)
-            machine = machines[found.upstream.id]
-            request = burst.Request(now, job, *what)
-            caller = Caller(request, door, machine, found.delay_s)
-            machine.callers[request] = caller
+            entry = rng.choice(all_entries)
+            found = entry.send(upstreams, job, now)
+            engine = engines_by_id[found.upstream.id]
+            request = simulation.Request(now, job, *what)
+            caller = Caller(request, entry, engine, found.delay_s)
+            engine.callers[request] = caller
             callers.append(caller)
-            if not machine.running and not machine.waiting:
-                heapq.heappush(events, (now, next(order), 'work', machine))
-            machine.take(request, now)
+            if not engine.running and not engine.waiting:
+                heapq.heappush(events, (now, next(order), 'work', engine))
+            engine.take(request, now)
             leaves_at = now + PATIENCE_S
             heapq.heappush(events, (leaves_at, next(order), 'leave', caller))
         elif kind == 'work':
@@ -142,7 +144,7 @@
                 end = what.work(now)
                 heapq.heappush(events, (end, next(order), 'work', what))
         else:
-            what.machine.leave(what, now)
+            what.engine.leave(what, now)
     in_time = [c for c in callers if (c.request.first_s or 9) <= GOAL_S]
     served = [c for c in callers if c.is_served]
     return len(in_time) / len(callers), len(served) / len(callers)
--- a/catkinshunt/dispatch/tests/burst.py
+++ b/catkinshunt/dispatch/tests/simulation.py
@@ -31,8 +31,8 @@
 
     arrived_at: float
     job: dispatch.Job
-    unread: int
-    unwritten: int
+    remaining_prompt: int
+    remaining_output: int
     first_s: float | None = None
 
 
@@ -59,29 +59,29 @@
             self.running.append(self.waiting.pop(0))
         left = CHUNK_TOKENS * ENGINE.stride
         for request in self.running:
-            read = min(left, request.unread)
-            request.unread -= read
+            read = min(left, request.remaining_prompt)
+            request.remaining_prompt -= read
             left -= read
         read_tokens = CHUNK_TOKENS * ENGINE.stride - left
-        writers = [r for r in self.running if not r.unread]
+        decoding = [r for r in self.running if not r.remaining_prompt]
         end = now + read_tokens / ENGINE.read_tokens_per_s
-        end += ENGINE.stride * ENGINE.step_s if writers else 0.0
-        for request in writers:
-            self._write(request, end)
+        end += ENGINE.stride * ENGINE.step_s if decoding else 0.0
+        for request in decoding:
+            self._decode(request, end)
         self.state.receive(end)
         return end
 
-    def _write(self, request, end):
+    def _decode(self, request, end):
         if request.first_s is None:
             request.first_s = end - request.arrived_at
             request.job.answering = True
-        request.unwritten -= ENGINE.stride
-        if request.unwritten <= 0:
+        request.remaining_output -= ENGINE.stride
+        if request.remaining_output <= 0:
             self.running.remove(request)
             self.state.end(request.job)
 
 
-class LeastJobs:
+class FewestJobsChooser:
     """The baseline: the upstream with the fewest own jobs."""
 
     def choose(self, upstreams, tracker, engine, job, now):
@@ -119,30 +119,32 @@
         for n in range(engines)
     ]
     tracker = dispatch.UpstreamTracker()
-    machines = {u.id: SimulatedEngine(u, tracker.state(u)) for u in upstreams}
+    engines_by_id = {
+        u.id: SimulatedEngine(u, tracker.state(u)) for u in upstreams
+    }
     done, passes = [], []
     arrivals = make_requests(rate, seconds, random.Random(seed))
     for now, tokens, answer in arrivals:
-        _work_until(passes, machines, now)
+        _work_until(passes, engines_by_id, now)
         job = dispatch.Job(tokens, answer)
         found = chooser.choose(upstreams, tracker, ENGINE, job, now)
         if ranks and found.delay_s > GOAL_S:
             job.rank = dispatch.Rank.LATE
         found.state.begin(job, now)
         request = Request(now, job, tokens, answer)
-        machine = machines[found.upstream.id]
-        if not machine.running and not machine.waiting:
-            heapq.heappush(passes, (now, machine.upstream.id))
-        machine.take(request, now)
+        engine = engines_by_id[found.upstream.id]
+        if not engine.running and not engine.waiting:
+            heapq.heappush(passes, (now, engine.upstream.id))
+        engine.take(request, now)
         done.append(request)
-    _work_until(passes, machines, seconds + 60.0)
+    _work_until(passes, engines_by_id, seconds + 60.0)
     in_time = [r for r in done if r.first_s and r.first_s <= GOAL_S]
     return len(in_time) / len(done)
 
 
-def _work_until(passes, machines, until):
+def _work_until(passes, engines_by_id, until):
     while passes and passes[0][0] <= until:
         now, name = heapq.heappop(passes)
-        machine = machines[name]
-        if machine.running or machine.waiting:
-            heapq.heappush(passes, (machine.work(now), name))
+        engine = engines_by_id[name]
+        if engine.running or engine.waiting:
+            heapq.heappush(passes, (engine.work(now), name))
--- a/catkinshunt/dispatch/tests/test_burst.py
+++ b/catkinshunt/dispatch/tests/test_burst.py
@@ -1,8 +1,8 @@
 import pytest
 
 from catkinshunt import dispatch
-from catkinshunt.dispatch.tests import burst
-from catkinshunt.dispatch.tests import crowd
+from catkinshunt.dispatch.tests import multi_entry
+from catkinshunt.dispatch.tests import simulation
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
@@ -14,9 +14,11 @@
     virtual time against engines that read and write in passes.
     """
     chooser = dispatch.Chooser('a', {})
-    predicted = burst.play(chooser, rate=45.0, seed=seed)
-    counted = burst.play(burst.LeastJobs(), rate=45.0, seed=seed)
-    assert predicted >= counted
+    predicted = simulation.play(chooser, rate=45.0, seed=seed)
+    by_count = simulation.play(
+        simulation.FewestJobsChooser(), rate=45.0, seed=seed
+    )
+    assert predicted >= by_count
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
@@ -28,8 +30,8 @@
     the late ones are still served where there is room.
     """
     chooser = dispatch.Chooser('a', {})
-    ranked = burst.play(chooser, rate=55.0, seed=seed)
-    in_order = burst.play(chooser, rate=55.0, seed=seed, ranks=False)
+    ranked = simulation.play(chooser, rate=55.0, seed=seed)
+    in_order = simulation.play(chooser, rate=55.0, seed=seed, ranks=False)
     assert ranked >= in_order + 0.1
     assert ranked >= 0.75
 
@@ -43,22 +45,26 @@
     early ones, the engines put all of them first, and hardly a caller gets
     its first token in time.
     """
-    learnt, _ = crowd.play(90.0, entries, seed=seed)
-    guessed, _ = crowd.play(90.0, entries, seed=seed, corrects=False)
-    assert learnt >= guessed + 0.2
+    corrected, _ = multi_entry.play(90.0, entries, seed=seed)
+    uncorrected, _ = multi_entry.play(
+        90.0, entries, seed=seed, with_correction=False
+    )
+    assert corrected >= uncorrected + 0.2
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
 def test_entries_that_learn_serve_no_fewer(seed):
     """Those that are put behind others are still served before they leave."""
-    _, served = crowd.play(90.0, seed=seed)
-    _, served_by_guess = crowd.play(90.0, seed=seed, corrects=False)
-    assert served >= served_by_guess - 0.02
+    _, served = multi_entry.play(90.0, seed=seed)
+    _, served_uncorrected = multi_entry.play(
+        90.0, seed=seed, with_correction=False
+    )
+    assert served >= served_uncorrected - 0.02
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
 def test_learning_costs_nothing_below_capacity(seed):
-    in_time, served = crowd.play(50.0, seed=seed)
+    in_time, served = multi_entry.play(50.0, seed=seed)
     assert in_time >= 0.98
     assert served == 1.0
 
--- a/catkinshunt/dispatch/tests/test_choice.py
+++ b/catkinshunt/dispatch/tests/test_choice.py
@@ -119,12 +119,12 @@
 
 def test_a_silent_upstream_gets_work_only_as_the_last():
     """An upstream loses its power; its connections stay open and silent."""
-    dark, other = upstream('u1'), upstream('u2')
+    unresponsive, other = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
-    fill(tracker, dark, 1, now=0.0)
+    fill(tracker, unresponsive, 1, now=0.0)
     fill(tracker, other, 20, now=1.0)
-    assert choose([dark, other], tracker, now=1.0).upstream is other
-    assert choose([dark], tracker, now=1.0).upstream is dark
+    assert choose([unresponsive, other], tracker, now=1.0).upstream is other
+    assert choose([unresponsive], tracker, now=1.0).upstream is unresponsive
 
 
 def test_an_upstream_that_cannot_be_reached_rests_longer_each_time():
