--- a/catkinshunt/dispatch/__init__.py
+++ b/catkinshunt/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request, from what is known of their work."""
+"""Load balancing: choice of the upstream with the least predicted delay."""
 
 from catkinshunt.dispatch._choice import Candidate
 from catkinshunt.dispatch._choice import Chooser
--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the upstream that is likely to answer first."""
+"""Choice of the upstream with the least predicted delay."""
 
 import functools
 
@@ -8,28 +8,29 @@
 from catkinshunt.dispatch import _state
 from catkinshunt import rendezvous
 
-#: Seconds that an upstream elsewhere must be ahead to get the work. Bytes
-#: between data centres cost more than a short wait.
+#: Seconds added to the delay of a remote upstream. Traffic between data
+#: centres costs more than a short wait.
 OTHER_DATA_CENTRE_PENALTY_S = 0.06
 OTHER_REGION_PENALTY_S = 0.09
-#: Seconds that a rate of failures of 1 counts for; one fifth of failures
-#: outweighs a full engine.
+#: Seconds added at a failure rate of 1. One failure in five outweighs an
+#: engine whose slots are all in use.
 FAILURE_PENALTY_S = 4.0
-#: Seconds that a pause or silence counts for: such an upstream gets work
-#: only where all others are as bad.
+#: Seconds added for a paused or unresponsive upstream, so that it gets
+#: requests only where all others are paused or unresponsive too.
 PAUSED_PENALTY_S = 30.0
 UNRESPONSIVE_PENALTY_S = 60.0
-#: Time that one request takes at a plain service, in seconds, where nothing
-#: is known of it; only the order matters.
+#: Assumed seconds per request at a plain service. Only the resulting order
+#: of upstreams matters.
 PLAIN_REQUEST_S = 0.05
-#: Passes of a full engine until the first token of a request that just got
-#: room: half of the one under way, its own, and what others read beside it.
+#: Passes of a full engine until the first token of a request that got a free
+#: slot: half of the current pass, its own pass, and the prefill of requests
+#: that were admitted with it.
 FIRST_TOKEN_PASSES = 3.0
-#: Prompts that are read beside a pass of an engine while an answer lasts.
-#: Taken too high, an engine that is to load refuses answers that would have
-#: ended before.
+#: Prefills of other requests per decoding pass. If this is too high, an
+#: engine that is about to load a version rejects requests that would have
+#: finished before.
 PREFILLS_PER_PASS = 0.3
-#: Upstreams whose place in the order of a process is kept.
+#: Cached rendezvous scores, one per upstream.
 SCORE_CACHE_SIZE = 1 << 14
 
 _score = functools.lru_cache(maxsize=SCORE_CACHE_SIZE)(rendezvous.score)
@@ -37,11 +38,13 @@
 
 @attrs.frozen
 class Candidate:
-    """An upstream with the seconds that it is likely to take.
+    """An upstream with its predicted delay.
 
     Attributes:
-        delay_s: time until the first byte of the answer.
-        cost_s: delay with what distance and failures count for.
+        upstream: `catalog.Upstream`.
+        state: its `UpstreamState`.
+        delay_s: predicted seconds until the first byte of the answer.
+        cost_s: `delay_s` plus penalties for distance, failures and pauses.
     """
 
     upstream: object
@@ -51,21 +54,21 @@
 
 
 def predict_delay_s(state, engine, slots, job, now):
-    """Return the likely seconds until `job` gets its first byte.
+    """Return the predicted seconds until the first byte for `job`.
 
-    An engine reads the prompts that came before, then this one, then makes
-    a pass; beyond its slots, requests wait for others to end. The caller
-    ranks a request late that is likely to miss its goal, so that past
+    An engine prefills the prompts in order of arrival and then makes a
+    decoding pass; requests beyond its slots wait until others end. Callers
+    rank requests that are predicted to miss their goal as late, so that past
     capacity the others are in time.
 
     Args:
         state: `UpstreamState`.
         engine: `catalog.EngineProfile`, or None for a plain service.
-        slots: requests that the upstream works on at once.
+        slots: requests that the upstream processes concurrently.
         job: `Job` that is to be sent.
         now: seconds on the steady clock.
     """
-    # A late one that has not begun waits behind this one.
+    # Late requests that have not started are queued behind this one.
     preceding = [
         other
         for other in state.jobs
@@ -89,10 +92,10 @@
 
 
 def first_token_s(engine, job):
-    """Return the seconds to the first token once a full engine has room.
+    """Return the seconds from a free slot at a full engine to the first token.
 
-    The pass that is under way ends first; then the prompt is read, with
-    those of others that came beside it, and the next pass is made.
+    The current pass ends first; then the prompt is prefilled, with those of
+    requests admitted at the same time, and the next pass is made.
 
     Args:
         engine: `catalog.EngineProfile`.
@@ -102,12 +105,14 @@
 
 
 def prefill_s(engine, job):
-    """Return the seconds that an engine takes to read the prompt of `job`."""
+    """Return the seconds that an engine takes to prefill `job`."""
     return job.tokens_in / engine.read_tokens_per_s
 
 
 def occupancy_s(engine, job):
-    """Return the seconds for which `job` is likely to hold a full engine.
+    """Return the predicted seconds for which `job` occupies a slot.
+
+    The engine is taken to be full.
 
     Args:
         engine: `catalog.EngineProfile`.
@@ -127,14 +132,14 @@
 
 
 class Chooser(base.ParamsMixin):
-    """Orders the upstreams of a service for one request.
+    """Chooses the upstream of a service with the least cost for a request.
 
-    Upstreams that seem alike are taken in an order of this process alone. In
-    one order for all, many processes that each know little of the others'
-    requests would choose the same few upstreams while the rest are idle.
+    Ties are broken by rendezvous hashing of the process name. With one order
+    for all processes, each of which sees few of the others' requests, all
+    would choose the same few upstreams while the rest are idle.
 
     Args:
-        data_centre: where this process stands.
+        data_centre: data centre of this process.
         regions: region by data centre.
         name: name of this process.
     """
@@ -145,15 +150,15 @@
         self.name = name
 
     def choose(self, upstreams, tracker, engine, job, now, avoid=()):
-        """Return the best `Candidate`, or None.
+        """Return the `Candidate` with the least cost, or None.
 
         Args:
-            upstreams: `catalog.Upstream` that may take the request.
+            upstreams: `catalog.Upstream` objects that may take the request.
             tracker: `UpstreamTracker`.
             engine: profile of the service's engines, or None.
             job: `Job` that is to be sent.
             now: seconds on the steady clock.
-            avoid: keys of upstreams that were tried already.
+            avoid: keys of upstreams to leave out.
         """
         return min(
             (
--- a/catkinshunt/dispatch/_correction.py
+++ b/catkinshunt/dispatch/_correction.py
@@ -1,37 +1,38 @@
-"""Corrects predicted delays by those that were seen."""
+"""Correction of predicted delays by observed ones."""
 
 from catkinshunt import base
 from catkinshunt import checks
 from catkinshunt.dispatch import _state
 
-#: Share of the newest delay in the running means; about the last ten count.
+#: Weight of the newest delay in the running means, which cover about the last
+#: ten.
 NEWEST_WEIGHT = 0.1
-#: Bounds of the correction. Predictions are made from what one entry knows
-#: of engines that all use, and are right where there is no queue.
+#: Bounds of the correction factor. Predictions see only part of the load of a
+#: shared engine, so they are too low under load and right without a queue.
 MIN_SCALE = 1.0
 MAX_SCALE = 4.0
-#: Seconds in which a correction halves while nothing new is learnt. An entry
-#: that puts all requests behind would otherwise never see that the burst is
-#: over; it is shorter than a burst, and longer than the pauses in which
-#: engines load.
+#: Half-life of the correction without observations, in seconds. An entry that
+#: ranks all its requests as late observes no delays, and without the decay
+#: would go on so after the burst. Shorter than a burst, and longer than the
+#: pauses in which engines load a version.
 HALF_LIFE_S = 2.0
 
 
 class DelayCorrector(base.ParamsMixin):
-    """Learns by how much delays exceed what was predicted for them.
+    """Estimates by which factor delays exceed their predictions.
 
-    An entry sees only its own requests and, now and then, how many others
-    an engine has. In a burst past what the engines can do it would put so
-    many requests first that none of them is in time. With the correction
-    fewer are put first, and those are in time.
+    An entry sees its own requests and only occasional reports of the load by
+    others. In a burst past capacity it would rank too many requests as on
+    time, so that none of them is. With the correction fewer are ranked on
+    time, and those meet their goal.
 
     Args:
-        newest_weight: share of the newest delay in the running means.
+        newest_weight: weight of the newest delay in the running means.
 
     Examples:
-        >>> forecast = DelayCorrector(newest_weight=0.5)
-        >>> forecast.observe(predicted_s=0.2, delay_s=0.6, now=10.0)
-        >>> forecast.correct(0.1, now=10.0) > 0.2
+        >>> corrector = DelayCorrector(newest_weight=0.5)
+        >>> corrector.observe(predicted_s=0.2, delay_s=0.6, now=10.0)
+        >>> corrector.correct(0.1, now=10.0) > 0.2
         True
     """
 
@@ -42,11 +43,11 @@
         self._observed_at = 0.0
 
     def observe(self, predicted_s, delay_s, now):
-        """Take in the delay of a request of the first rank.
+        """Record the delay of a request of rank `Rank.ON_TIME`.
 
         Args:
-            predicted_s: seconds that were predicted, without correction.
-            delay_s: seconds that it took.
+            predicted_s: predicted seconds, without correction.
+            delay_s: observed seconds.
             now: seconds on the steady clock.
         """
         checks.check_fraction(self.newest_weight, 'newest_weight')
@@ -56,16 +57,16 @@
         self._observed_at = now
 
     def correct(self, predicted_s, now):
-        """Return the delay to expect where `predicted_s` is predicted."""
+        """Return `predicted_s` with the correction applied."""
         return predicted_s * self.scale(now)
 
     def rank(self, waited_s, predicted_s, goal_s, now):
         """Return the `Rank` of a request.
 
         Args:
-            waited_s: seconds that its caller has waited already.
-            predicted_s: seconds to its first byte by prediction.
-            goal_s: seconds after which it is late.
+            waited_s: seconds that the client has waited so far.
+            predicted_s: predicted seconds to the first byte, uncorrected.
+            goal_s: seconds after which the first byte is late.
             now: seconds on the steady clock.
         """
         if waited_s + predicted_s > goal_s:
@@ -75,7 +76,7 @@
         return _state.Rank.ON_TIME
 
     def scale(self, now):
-        """Return by how much delays exceed predictions, from 1."""
+        """Return the correction factor, at least 1."""
         scale = self._delay_s / max(self._predicted_s, 1e-3)
         scale = min(max(scale, MIN_SCALE), MAX_SCALE)
         age_s = max(0.0, now - self._observed_at)
--- a/catkinshunt/dispatch/_returning.py
+++ b/catkinshunt/dispatch/_returning.py
@@ -1,4 +1,4 @@
-"""Tells which callers have come back after a failed try."""
+"""Detection of returning requests: retries by clients after a rejection."""
 
 import collections
 import math
@@ -8,30 +8,39 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Difference between deadlines, in seconds, that is no sign of waiting.
+#: Difference between equal client timeouts, in seconds.
 TOLERANCE_S = 0.02
-#: Share of the requests of a service whose callers grant the longest time,
-#: from which on a shorter one tells that the caller waited before. Where
-#: callers grant various times, few are near the longest.
+#: Share of requests with the longest timeout from which on the clients of a
+#: service are taken to use one constant timeout. Where timeouts vary, few
+#: requests are near the longest.
 CONSTANT_SHARE = 0.3
-#: Share that is assumed at first, so that one that starts in the middle of a
-#: burst tells returned callers from its second request on.
+#: Initial value of that share. A process that starts during a burst detects
+#: returning requests from its second request on.
 INITIAL_SHARE = 0.5
-#: Share of the newest request in that share; about the last ten count.
+#: Weight of the newest request in that share, which covers about the last ten.
 NEWEST_WEIGHT = 0.1
-#: Times granted in calm seconds that are remembered for each service, and
-#: how many are needed before they tell anything.
+#: Timeouts kept per service, and how many are needed for an estimate. Only
+#: those of times without rejections are sampled.
 MAX_SAMPLES = 200
 MIN_SAMPLES = 15
-#: Share of the remembered times that may be shorter than the usual ones, and
-#: the part of the longest by which one must be shorter than these.
+#: Share of the shortest samples that is ignored, and the share of the longest
+#: sample by which a timeout must be below the rest to count as shortened.
 OUTLIER_SHARE = 0.02
 MARGIN_SHARE = 0.03
 
 
 @attrs.define
 class _Timeouts:
-    """Times that the callers of one service grant, in seconds."""
+    """Timeouts that the clients of one service set, in seconds.
+
+    Attributes:
+        max_s: longest timeout.
+        max_share: running share of requests with about the longest timeout.
+        samples: latest timeouts outside bursts.
+        sample_count: samples taken so far.
+        first_attempt: lower bound and median of the timeouts of first
+            attempts; None until there are enough samples.
+    """
 
     max_s: float
     max_share: float = INITIAL_SHARE
@@ -42,7 +51,7 @@
     first_attempt: tuple | None = None
 
     def add_sample(self, deadline_s):
-        """Remember a time that was granted in a calm second."""
+        """Record a timeout that was set while no request was rejected."""
         self.samples.append(deadline_s)
         self.sample_count += 1
         if self.sample_count % MIN_SAMPLES:
@@ -54,19 +63,19 @@
 
 
 class ReturningRequestDetector(base.ParamsMixin):
-    """Finds how long callers waited before by the time that they have left.
+    """Estimates from its timeout how long a returning request has waited.
 
-    A caller that comes back after a refusal has less time left than others
-    of its service, but does not say when it first asked. Where all callers
-    grant the same time at first, any shorter one tells. Where they do not,
-    the times granted in calm seconds tell how short a first one may be.
+    A client that retries after a rejection sends a shorter timeout but not
+    the time of its first attempt. Where all clients use the same timeout, any
+    shorter one marks a retry. Where timeouts vary, those that were sampled
+    outside bursts give the shortest timeout of a first attempt.
 
-    Past capacity, a refused caller that comes back cannot be in time. Taken
-    for a new one it gets a place that another would have been in time with.
+    Past capacity a returning request cannot be in time. Counted as a new one,
+    it would get a permit with which another request would have been in time.
 
     Args:
-        constant_share: share of requests near the longest time, from which
-            on shorter ones count as left over.
+        constant_share: share of requests with the longest timeout from which
+            on any shorter timeout marks a retry.
 
     Examples:
         >>> detector = ReturningRequestDetector()
@@ -81,15 +90,15 @@
         self._rejected_at = -math.inf
 
     def record_rejection(self, now):
-        """Note that a caller was refused; it is likely to come back."""
+        """Record a rejected request; its client is likely to retry."""
         self._rejected_at = now
 
     def waited_s(self, service, deadline_s, now):
-        """Return how long the caller of a request waited before, in seconds.
+        """Return the seconds that a client has waited in earlier attempts.
 
         Args:
-            service: name of the service that is to answer.
-            deadline_s: seconds that the caller waits from now on.
+            service: name of the requested service.
+            deadline_s: timeout of the request, in seconds from now.
             now: seconds on the steady clock.
         """
         checks.check_fraction(self.constant_share, 'constant_share')
@@ -100,7 +109,7 @@
         timeouts.max_s = max(timeouts.max_s, deadline_s)
         is_longest = short_s <= TOLERANCE_S
         timeouts.max_share += NEWEST_WEIGHT * (is_longest - timeouts.max_share)
-        # Those that other entries refused come here too, in the same burst.
+        # In a burst, requests that other entries rejected return here too.
         if now - self._rejected_at > timeouts.max_s:
             timeouts.add_sample(deadline_s)
         if is_longest:
@@ -110,7 +119,7 @@
         return self._estimate_waited_s(timeouts, deadline_s)
 
     def _estimate_waited_s(self, timeouts, deadline_s):
-        """Return the likely wait where callers grant various times."""
+        """Return the likely wait where timeouts vary."""
         if timeouts.first_attempt is None:
             return 0.0
         min_s, median_s = timeouts.first_attempt
--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -1,34 +1,34 @@
-"""What an entry knows of each upstream from its own requests."""
+"""Load and failures of each upstream, as one entry observes them."""
 
 import enum
 
 import attrs
 
-#: Seconds for which a reported load says something about the present.
+#: Seconds until a reported load expires.
 REPORT_VALID_S = 1.0
-#: Share of a failure in the running rate of failures; about the last eight
-#: requests count.
+#: Weight of the newest request in the failure rate, which covers about the
+#: last eight.
 FAILURE_WEIGHT = 0.12
-#: Seconds in which the rate of failures halves without requests, so that an
-#: upstream that recovered gets work again.
+#: Half-life of the failure rate without requests, in seconds, so that an
+#: upstream that recovered gets requests again.
 FAILURE_HALF_LIFE_S = 4.0
-#: Seconds of the first pause after a connection could not be made, doubled
-#: with each further failure in a row.
+#: First pause after a refused connection, in seconds; doubled with each
+#: further one in a row.
 INITIAL_BACK_OFF_S = 0.4
 #: Longest such pause, in seconds.
 MAX_BACK_OFF_S = 4.0
-#: Seconds without a byte on any connection, while answers are due, after
-#: which an upstream is taken as silent. A pass of an engine that is five
-#: times as slow as usual takes 0.3 s.
+#: Seconds without a byte on any connection, while replies are due, after
+#: which an upstream counts as unresponsive. One pass of an engine that runs
+#: five times slower than usual takes 0.3 s.
 UNRESPONSIVE_S = 0.7
 
 
 class Rank(enum.IntEnum):
-    """Order in which an engine takes requests that wait; lower ones first.
+    """Order of requests in the queue of an engine; lower ranks go first.
 
-    `AT_RISK` ones are in time by prediction, but not by the delays that
-    were seen lately. Where these mislead, the order is no worse than that
-    of the prediction alone.
+    `AT_RISK` requests are in time by the prediction but not after its
+    correction by recent delays. They keep their own rank, so that a wrong
+    correction gives no worse an order than the prediction alone.
     """
 
     ON_TIME = 0
@@ -38,12 +38,12 @@
 
 @attrs.frozen
 class Load:
-    """Work at an upstream, as it said itself.
+    """Load of an upstream, as it reports it.
 
     Attributes:
-        running: requests that it works on.
+        running: requests in progress.
         waiting: requests in its queue.
-        slots: requests that it works on at once.
+        slots: requests that it processes concurrently.
     """
 
     running: int
@@ -53,14 +53,14 @@
 
 @attrs.define(eq=False)
 class Job:
-    """One try at an upstream.
+    """One attempt of a request at an upstream.
 
     Attributes:
-        tokens_in: prompt tokens that are to be read.
-        tokens_out: likely tokens of the answer; 0 where nothing tells.
-        answering: its first byte has come.
-        rank: place among those that wait at an engine.
-        predicted_s: seconds to the first byte that were predicted.
+        tokens_in: prompt tokens.
+        tokens_out: expected tokens of the answer; 0 if unknown.
+        answering: whether the first byte has arrived.
+        rank: `Rank` in the queue of an engine.
+        predicted_s: predicted seconds to the first byte.
     """
 
     tokens_in: int = 0
@@ -72,11 +72,21 @@
 
 @attrs.define(eq=False)
 class UpstreamState:
-    """Jobs, load and failures of one start of an upstream.
+    """Jobs, load and failures of one process of an upstream.
 
     Attributes:
-        jobs: tries that were sent and have not ended.
-        asking: requests that wait for a place there.
+        jobs: attempts in progress.
+        asking: pending permit requests.
+        load: latest reported `Load`.
+        load_reported_at: when it was reported.
+        own_requests_at_load: requests of this entry at that time; the rest of
+            the load is due to other entries.
+        reply_due_since: when the last byte arrived or the first job was sent;
+            None while no reply is due.
+        failures_in_row: refused connections since the last success.
+        paused_until: end of the pause.
+        versions_at_rest: versions that the upstream served when a pause
+            began that ends with a change of them; None for any other pause.
 
     Examples:
         >>> state = UpstreamState()
@@ -101,72 +111,72 @@
     _failure_rate_at: float = 0.0
 
     def begin(self, job, now):
-        """Count a try that is being sent; returns it."""
+        """Add a job that is being sent; return it."""
         if not self.jobs:
             self.reply_due_since = now
         self.jobs.add(job)
         return job
 
     def end(self, job):
-        """Count a try that has ended."""
+        """Remove a job that has ended."""
         self.jobs.discard(job)
         if not self.jobs:
             self.reply_due_since = None
 
     def receive(self, now):
-        """Note that bytes came from the upstream."""
+        """Record that bytes arrived from the upstream."""
         if self.reply_due_since is not None:
             self.reply_due_since = now
 
     def report(self, load, now):
-        """Take over the load that the upstream told."""
+        """Record a load reported by the upstream."""
         self.load = load
         self.load_reported_at = now
         self.own_requests_at_load = len(self.jobs) + self.asking
 
     def is_unresponsive(self, now):
-        """Return whether answers are due and no byte has come for long."""
+        """Return whether replies are due and no byte has arrived lately."""
         since = self.reply_due_since
         return since is not None and now - since > UNRESPONSIVE_S
 
     def record_success(self, now):
-        """Note a request that went well."""
+        """Record a successful request."""
         self.failures_in_row = 0
         self.paused_until = 0.0
         self._failure_rate = self.failure_rate(now) * (1 - FAILURE_WEIGHT)
         self._failure_rate_at = now
 
     def record_failure(self, now):
-        """Note a request that broke off or failed."""
+        """Record a failed or incomplete request."""
         rate = self.failure_rate(now)
         self._failure_rate = rate + (1 - rate) * FAILURE_WEIGHT
         self._failure_rate_at = now
 
     def back_off(self, now):
-        """Give no work for a time that grows with failures in a row."""
+        """Record a failure and pause the upstream with exponential back-off."""
         pause_s = INITIAL_BACK_OFF_S * 2**self.failures_in_row
         self.paused_until = now + min(pause_s, MAX_BACK_OFF_S)
         self.failures_in_row += 1
         self.record_failure(now)
 
     def rest(self, now, pause_s, versions=None):
-        """Give no work for `pause_s` seconds, without blame.
+        """Pause the upstream for `pause_s` seconds without a failure.
 
         Args:
             now: seconds on the steady clock.
-            pause_s: seconds.
-            versions: what the upstream is known to serve; the rest ends
-                when that changes. None where it has nothing to do with it.
+            pause_s: length of the pause, in seconds.
+            versions: versions that the upstream serves, if the pause is to
+                end as soon as they change; None otherwise.
         """
         self.paused_until = max(self.paused_until, now + pause_s)
         self.versions_at_rest = versions
 
     def is_paused(self, now, versions=None):
-        """Return whether it gets no work for now.
+        """Return whether the upstream is paused.
 
         Args:
             now: seconds on the steady clock.
-            versions: what the upstream is known to serve now.
+            versions: versions that the upstream serves now.
         """
         if now >= self.paused_until:
             return False
@@ -174,12 +184,12 @@
         return before is None or before == versions
 
     def failure_rate(self, now):
-        """Return the share of requests that failed lately, from 0 to 1."""
+        """Return the recent share of failed requests, from 0 to 1."""
         age_s = max(0.0, now - self._failure_rate_at)
         return self._failure_rate * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
 
     def other_requests(self, now):
-        """Return the requests that other entries are likely to have there."""
+        """Return the estimated number of requests of other entries."""
         if self.load is None:
             return 0.0
         age_s = now - self.load_reported_at
@@ -191,20 +201,20 @@
 
 
 class UpstreamTracker:
-    """Keeps an `UpstreamState` for each start of an upstream."""
+    """Keeps an `UpstreamState` for each process of an upstream."""
 
     def __init__(self):
         self._states = {}
 
     def state(self, upstream):
-        """Return the state of `upstream`, a new one at first."""
+        """Return the state of `upstream`; creates it on first use."""
         found = self._states.get(upstream.key)
         if found is None:
             found = self._states[upstream.key] = UpstreamState()
         return found
 
     def forget(self, upstreams):
-        """Drop idle states of starts that are not among `upstreams`."""
+        """Remove states without jobs that are not of `upstreams`."""
         kept = {upstream.key for upstream in upstreams}
         for key, state in list(self._states.items()):
             if key not in kept and not state.jobs:
