--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -135,7 +135,7 @@
         self.own_requests_at_load = len(self.jobs) + self.asking
 
     def is_unresponsive(self, now):
-        """Return whether replies are due and no byte has arrived lately."""
+        """Return whether replies are due but no byte arrives."""
         since = self.reply_due_since
         return since is not None and now - since > UNRESPONSIVE_S
 
@@ -153,7 +153,7 @@
         self._failure_rate_at = now
 
     def back_off(self, now):
-        """Record a failure and pause the upstream with exponential back-off."""
+        """Record a failure and pause with exponential back-off."""
         pause_s = INITIAL_BACK_OFF_S * 2**self.failures_in_row
         self.paused_until = now + min(pause_s, MAX_BACK_OFF_S)
         self.failures_in_row += 1
--- a/catkinshunt/dispatch/tests/multi_entry.py
+++ b/catkinshunt/dispatch/tests/multi_entry.py
@@ -1,4 +1,4 @@
-"""A burst past capacity that reaches engines through several entries."""
+"""Simulation of a burst past capacity through several entries."""
 
 import heapq
 import itertools
@@ -11,13 +11,13 @@
 from catkinshunt.dispatch.tests import simulation
 
 GOAL_S = 0.8
-#: Seconds without a first token after which a caller leaves.
+#: Seconds after which a client without a first token disconnects.
 PATIENCE_S = 3.2
 
 
 @attrs.define(eq=False)
 class Caller:
-    """A request with the entry that it came to."""
+    """A request with its entry and its engine."""
 
     request: simulation.Request
     entry: object
@@ -26,26 +26,26 @@
 
     @property
     def is_served(self):
-        """Whether its first token came before it left."""
+        """Whether the first token arrived before the client disconnected."""
         first_s = self.request.first_s
         return first_s is not None and first_s <= PATIENCE_S
 
 
 class Entry:
-    """What one entry knows of the engines."""
+    """An entry with its own view of the load of the engines."""
 
     def __init__(self, with_correction):
         self.tracker = dispatch.UpstreamTracker()
         self.chooser = dispatch.Chooser('a', {})
-        self.forecast = dispatch.DelayCorrector() if with_correction else None
+        self.corrector = dispatch.DelayCorrector() if with_correction else None
 
     def send(self, upstreams, job, now):
         """Choose an engine for `job`; return the candidate."""
         found = self.chooser.choose(
             upstreams, self.tracker, simulation.ENGINE, job, now
         )
-        if self.forecast:
-            job.rank = self.forecast.rank(0.0, found.delay_s, GOAL_S, now)
+        if self.corrector:
+            job.rank = self.corrector.rank(0.0, found.delay_s, GOAL_S, now)
         elif found.delay_s > GOAL_S:
             job.rank = dispatch.Rank.LATE
         found.state.begin(job, now)
@@ -53,7 +53,7 @@
 
 
 class SharedEngine(simulation.SimulatedEngine):
-    """An engine that tells each entry its load with the first token."""
+    """An engine that reports its load with each first token."""
 
     def __init__(self, upstream):
         super().__init__(upstream, dispatch.UpstreamState())
@@ -78,12 +78,12 @@
             len(self.running), len(self.waiting), simulation.ENGINE.slots
         )
         caller.entry.tracker.state(self.upstream).report(load, now)
-        forecast = caller.entry.forecast
-        if forecast and not caller.request.job.rank:
-            forecast.observe(caller.predicted_s, caller.request.first_s, now)
+        corrector = caller.entry.corrector
+        if corrector and not caller.request.job.rank:
+            corrector.observe(caller.predicted_s, caller.request.first_s, now)
 
     def leave(self, caller, now):
-        """Take out the request of a caller who waited in vain."""
+        """Remove the request of a client that disconnects without a token."""
         request = caller.request
         if request.first_s is not None:
             return
@@ -92,23 +92,23 @@
                 queue.remove(request)
         self.callers.pop(request)
         caller.entry.tracker.state(self.upstream).end(request.job)
-        forecast = caller.entry.forecast
-        if forecast and not request.job.rank:
-            forecast.observe(caller.predicted_s, PATIENCE_S, now)
+        corrector = caller.entry.corrector
+        if corrector and not request.job.rank:
+            corrector.observe(caller.predicted_s, PATIENCE_S, now)
 
 
-def play(
+def simulate(
     rate, entries=5, engines=6, seconds=20.0, seed=3, with_correction=True
 ):
-    """Play a burst; return the shares in time and served at all.
+    """Simulate a burst; return the shares in time and served at all.
 
     Args:
-        rate: requests a second, at all entries together.
-        entries: number of entries; each request comes to one by chance.
+        rate: requests per second over all entries.
+        entries: number of entries; each request goes to a random one.
         engines: number of engines.
         seconds: length of the burst.
-        seed: decides the requests.
-        corrects: whether entries learn from the delays that they see.
+        seed: seed of the random requests.
+        with_correction: whether entries correct predicted delays.
     """
     rng = random.Random(seed)
     upstreams = [
--- a/catkinshunt/dispatch/tests/simulation.py
+++ b/catkinshunt/dispatch/tests/simulation.py
@@ -1,4 +1,4 @@
-"""Engines in virtual time, and a burst of requests before them."""
+"""Simulation of engines under a burst of requests, in virtual time."""
 
 import heapq
 import random
@@ -22,11 +22,12 @@
 
 @attrs.define(eq=False)
 class Request:
-    """A request in an engine.
+    """A request at an engine.
 
     Attributes:
-        unread: prompt tokens that are not read yet.
-        unwritten: tokens of the answer that are not made yet.
+        remaining_prompt: prompt tokens without prefill.
+        remaining_output: tokens of the answer that are not decoded.
+        first_s: seconds until the first token; None before it.
     """
 
     arrived_at: float
@@ -37,7 +38,7 @@
 
 
 class SimulatedEngine:
-    """Works in passes: reads prompts in order, then steps for all writers."""
+    """Prefills prompts in order and decodes all other requests, in passes."""
 
     def __init__(self, upstream, state):
         self.upstream = upstream
@@ -46,7 +47,7 @@
         self.free_at = 0.0
 
     def take(self, request, now):
-        """Take a request, before late ones; idle engines begin at once."""
+        """Enqueue a request by its rank; an idle engine starts at once."""
         at = len(self.waiting)
         while at and self.waiting[at - 1].job.rank > request.job.rank:
             at -= 1
@@ -54,7 +55,7 @@
         self.free_at = max(self.free_at, now)
 
     def work(self, now):
-        """Make one pass that begins at `now`; return when it ends."""
+        """Run one pass that starts at `now`; return when it ends."""
         while self.waiting and len(self.running) < ENGINE.slots:
             self.running.append(self.waiting.pop(0))
         left = CHUNK_TOKENS * ENGINE.stride
@@ -82,7 +83,7 @@
 
 
 class FewestJobsChooser:
-    """The baseline: the upstream with the fewest own jobs."""
+    """Baseline: chooses the upstream with the fewest jobs of its own."""
 
     def choose(self, upstreams, tracker, engine, job, now):
         """See `dispatch.Chooser.choose`."""
@@ -91,7 +92,7 @@
 
 
 def make_requests(rate, seconds, rng):
-    """Return requests of a burst: many short prompts and some long ones."""
+    """Return the requests of a burst: many short prompts, some long ones."""
     now, found = 0.0, []
     while now < seconds:
         now += rng.expovariate(rate)
@@ -101,16 +102,16 @@
     return found
 
 
-def play(chooser, rate, engines=5, seconds=20.0, seed=3, ranks=True):
-    """Play a burst; return the share of first tokens within the goal.
+def simulate(chooser, rate, engines=5, seconds=20.0, seed=3, ranks=True):
+    """Simulate a burst; return the share of first tokens within the goal.
 
     Args:
-        chooser: what chooses an engine for each request.
-        rate: requests a second.
+        chooser: a `dispatch.Chooser` or a baseline.
+        rate: requests per second.
         engines: number of engines.
         seconds: length of the burst.
-        seed: decides the requests.
-        ranks: whether requests that are likely to be late go behind.
+        seed: seed of the random requests.
+        ranks: whether requests that are predicted late get a lower rank.
     """
     upstreams = [
         catalogs.Upstream(
--- a/catkinshunt/dispatch/tests/test_burst.py
+++ b/catkinshunt/dispatch/tests/test_burst.py
@@ -6,77 +6,74 @@
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
-def test_a_burst_gets_more_first_tokens_in_time(seed):
-    """Many users come at once, some of them with long prompts.
+def test_predicted_delay_beats_fewest_jobs(seed):
+    """A burst mixes short and long prompts.
 
-    Counted by requests, a short question lands behind a long prompt while
-    another engine would have answered at once. The burst is replayed in
-    virtual time against engines that read and write in passes.
+    Choosing by the number of requests queues short prompts behind long ones
+    while another engine could answer at once.
     """
     chooser = dispatch.Chooser('a', {})
-    predicted = simulation.play(chooser, rate=45.0, seed=seed)
-    by_count = simulation.play(
+    predicted = simulation.simulate(chooser, rate=45.0, seed=seed)
+    by_count = simulation.simulate(
         simulation.FewestJobsChooser(), rate=45.0, seed=seed
     )
     assert predicted >= by_count
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
-def test_past_capacity_those_that_can_be_in_time_are(seed):
-    """More requests come than the engines can answer in time.
+def test_ranking_keeps_requests_in_time_past_capacity(seed):
+    """More requests arrive than the engines can answer in time.
 
-    Served in order all of them wait, and soon all of them are late. Those
-    that are likely to miss their goal go behind; the others are in time, and
-    the late ones are still served where there is room.
+    Served in order of arrival, soon all of them are late. With ranks, those
+    that are predicted late are served after the others, which stay in time.
     """
     chooser = dispatch.Chooser('a', {})
-    ranked = simulation.play(chooser, rate=55.0, seed=seed)
-    in_order = simulation.play(chooser, rate=55.0, seed=seed, ranks=False)
+    ranked = simulation.simulate(chooser, rate=55.0, seed=seed)
+    in_order = simulation.simulate(chooser, rate=55.0, seed=seed, ranks=False)
     assert ranked >= in_order + 0.1
     assert ranked >= 0.75
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
 @pytest.mark.parametrize('entries', [5, 15])
-def test_several_entries_past_capacity_keep_some_in_time(entries, seed):
-    """A burst past capacity comes in through several entries.
+def test_correction_keeps_requests_in_time_across_entries(entries, seed):
+    """A burst past capacity arrives through several entries.
 
-    Each sees a part of what waits at an engine. All take their requests for
-    early ones, the engines put all of them first, and hardly a caller gets
-    its first token in time.
+    Each entry sees only part of an engine's queue. Without the correction all
+    rank their requests as on time, and hardly any first token is in time.
     """
-    corrected, _ = multi_entry.play(90.0, entries, seed=seed)
-    uncorrected, _ = multi_entry.play(
+    corrected, _ = multi_entry.simulate(90.0, entries, seed=seed)
+    uncorrected, _ = multi_entry.simulate(
         90.0, entries, seed=seed, with_correction=False
     )
     assert corrected >= uncorrected + 0.2
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
-def test_entries_that_learn_serve_no_fewer(seed):
-    """Those that are put behind others are still served before they leave."""
-    _, served = multi_entry.play(90.0, seed=seed)
-    _, served_uncorrected = multi_entry.play(
+def test_correction_serves_no_fewer_requests(seed):
+    """Requests of lower rank are still served before clients disconnect."""
+    _, served = multi_entry.simulate(90.0, seed=seed)
+    _, served_uncorrected = multi_entry.simulate(
         90.0, seed=seed, with_correction=False
     )
     assert served >= served_uncorrected - 0.02
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
-def test_learning_costs_nothing_below_capacity(seed):
-    in_time, served = multi_entry.play(50.0, seed=seed)
+def test_correction_is_harmless_below_capacity(seed):
+    in_time, served = multi_entry.simulate(50.0, seed=seed)
     assert in_time >= 0.98
     assert served == 1.0
 
 
-def test_a_correction_ends_when_nothing_new_is_learnt():
-    """An entry has put all requests behind, so none shows a delay.
+def test_correction_decays_without_observations():
+    """An entry that ranks all requests as late observes no delays.
 
-    It would go on so when the burst is over, and its requests would wait
-    behind those of other entries.
+    If the correction stayed after the burst, the requests of this entry would
+    be served after those of other entries.
     """
-    forecast = dispatch.DelayCorrector()
+    corrector = dispatch.DelayCorrector()
     for _ in range(50):
-        forecast.observe(0.2, 0.6, now=10.0)
-    assert forecast.correct(0.2, now=10.0) > 0.5
-    assert forecast.correct(0.2, now=30.0) < 0.21
+        corrector.observe(0.2, 0.6, now=10.0)
+    assert corrector.correct(0.2, now=10.0) > 0.5
+    assert corrector.correct(0.2, now=30.0) < 0.21
--- a/catkinshunt/dispatch/tests/test_choice.py
+++ b/catkinshunt/dispatch/tests/test_choice.py
@@ -35,11 +35,11 @@
     return state
 
 
-def test_prompts_that_wait_count_and_not_requests():
-    """One engine reads a long prompt, another has three short ones.
+def test_waiting_prompt_tokens_count_not_requests():
+    """One engine prefills a long prompt, another has three short ones.
 
-    By number of requests the first looks emptier; its caller would wait
-    five times as long for the first token.
+    By the number of requests the first has less load, but the wait for the
+    first token would be five times as long.
     """
     first, second = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
@@ -48,7 +48,7 @@
     assert choose([first, second], tracker).upstream is second
 
 
-def test_a_full_engine_is_left_for_one_with_a_slot():
+def test_engine_with_a_free_slot_is_preferred():
     first, second = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
     fill(tracker, first, 17, answering=True)
@@ -56,8 +56,8 @@
     assert choose([first, second], tracker).upstream is second
 
 
-def test_processes_that_know_nothing_do_not_choose_the_same_upstream():
-    """Each sees few requests; all would crowd at the first that is listed."""
+def test_processes_without_load_data_choose_different_upstreams():
+    """Without a tie-break per process, all would choose the first upstream."""
     listed = [upstream(f'u{number}') for number in range(30)]
     job = dispatch.Job(1000, 90)
     chosen = collections.Counter(
@@ -70,7 +70,7 @@
     assert max(chosen.values()) <= 8
 
 
-def test_work_stays_in_the_data_centre_until_that_costs_time():
+def test_remote_upstream_is_chosen_only_when_faster():
     near, far = upstream('u1', 'a'), upstream('u2', 'b')
     tracker = dispatch.UpstreamTracker()
     fill(tracker, near, 1)
@@ -79,20 +79,21 @@
     assert choose([near, far], tracker).upstream is far
 
 
-def test_work_that_others_sent_counts_while_it_is_news():
+def test_reported_load_of_others_counts_until_it_expires():
     first, second = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
     tracker.state(first).report(dispatch.Load(14, 6, 16), now=0.0)
     assert choose([first, second], tracker, now=0.1).upstream is second
-    # After a second the report says nothing any more.
+    # The report has expired.
     fill(tracker, second, 1, now=2.0)
     assert choose([first, second], tracker, now=2.0).upstream is first
 
 
-def test_an_upstream_that_fails_often_gets_little_work():
-    """An upstream fails every other request while its health check is good.
+def test_failing_upstream_gets_few_requests():
+    """An upstream fails every other request but passes its health check.
 
-    Failing at once it is always the emptiest, and would draw most requests.
+    Since it fails at once, its load is always the least, and it would get most
+    of the requests.
     """
     bad, good = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
@@ -109,7 +110,7 @@
     assert sent.count('u1') < 30
 
 
-def test_an_upstream_that_recovered_gets_work_again():
+def test_failure_rate_decays():
     state = dispatch.UpstreamState()
     for _ in range(20):
         state.record_failure(now=0.0)
@@ -117,8 +118,8 @@
     assert state.failure_rate(now=20.0) < 0.05
 
 
-def test_a_silent_upstream_gets_work_only_as_the_last():
-    """An upstream loses its power; its connections stay open and silent."""
+def test_unresponsive_upstream_is_the_last_choice():
+    """An upstream loses power; its connections stay open without data."""
     unresponsive, other = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
     fill(tracker, unresponsive, 1, now=0.0)
@@ -127,7 +128,7 @@
     assert choose([unresponsive], tracker, now=1.0).upstream is unresponsive
 
 
-def test_an_upstream_that_cannot_be_reached_rests_longer_each_time():
+def test_unreachable_upstream_backs_off_exponentially():
     state = dispatch.UpstreamState()
     pauses = []
     for _ in range(5):
@@ -136,17 +137,17 @@
     assert pauses == [0.4, 0.8, 1.6, 3.2, 4.0]
 
 
-def test_what_was_tried_is_not_tried_again():
+def test_avoided_upstream_is_not_chosen():
     first = upstream('u1')
     tracker = dispatch.UpstreamTracker()
     assert choose([first], tracker, avoid={first.key}) is None
 
 
-def test_an_engine_that_loads_gets_work_as_soon_as_it_serves_again():
-    """An engine refuses while it ends its answers before it loads.
+def test_pause_for_loading_ends_when_versions_change():
+    """An engine rejects requests while it drains before loading a version.
 
-    Asked again soon, it refuses again and spends the retry budget; left
-    alone for a fixed time, it stands idle after it has loaded.
+    Retrying it soon spends the retry budget on further rejections; a pause of
+    fixed length leaves it idle after it has loaded.
     """
     state = dispatch.UpstreamState()
     state.rest(now=0.0, pause_s=2.5, versions={'drafts': 1})
--- a/catkinshunt/dispatch/tests/test_returns.py
+++ b/catkinshunt/dispatch/tests/test_returning.py
@@ -5,63 +5,65 @@
 from catkinshunt import dispatch
 
 
-def test_a_caller_that_comes_back_is_told_by_its_deadline():
+def test_shorter_timeout_marks_a_returning_request():
     detector = dispatch.ReturningRequestDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     assert detector.waited_s('chat', 5.2, 1.0) == pytest.approx(0.8)
 
 
-def test_callers_that_grant_various_times_are_not_taken_for_returned():
-    """Callers grant between 4.8 and 6 s, each its own time.
+def test_varying_timeouts_are_not_taken_for_returning_requests():
+    """Clients use timeouts between 4.8 and 6 s.
 
-    Taken for ones that came back, half of all requests are ranked late on a
-    calm day, and wait behind the others as soon as there is a queue.
+    Taken for returning requests, half of all requests would be ranked late
+    without a burst and wait behind the others in every queue.
     """
     rng = random.Random(3)
     detector = dispatch.ReturningRequestDetector()
-    told = [
+    detected = [
         detector.waited_s('chat', rng.uniform(4.8, 6.0), 1.0)
         for _ in range(500)
     ]
-    assert not any(told[20:])
+    assert not any(detected[20:])
 
 
-def test_many_that_come_back_are_still_told():
-    """In a burst two in five requests are of callers that come back."""
+def test_many_returning_requests_are_detected():
+    """Two in five requests of a burst are returning ones."""
     rng = random.Random(4)
     detector = dispatch.ReturningRequestDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
-    told = []
+    detected = []
     for _ in range(300):
         if rng.random() < 0.4:
-            told.append(detector.waited_s('chat', rng.uniform(2.0, 5.5), 1.0))
+            detected.append(
+                detector.waited_s('chat', rng.uniform(2.0, 5.5), 1.0)
+            )
         else:
             assert detector.waited_s('chat', 6.0, 1.0) == 0.0
-    assert sum(map(bool, told)) >= 0.9 * len(told)
+    assert sum(map(bool, detected)) >= 0.9 * len(detected)
 
 
-def test_rules_are_told_apart():
+def test_services_are_tracked_separately():
     detector = dispatch.ReturningRequestDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     assert detector.waited_s('desk', 1.5, 1.0) == 0.0
 
 
-def test_the_first_request_may_be_one_that_came_back():
-    """An entry starts in the middle of a burst."""
+def test_first_request_may_be_a_returning_one():
+    """An entry starts during a burst."""
     detector = dispatch.ReturningRequestDetector()
     detector.waited_s('chat', 4.0, 1.0)
     assert detector.waited_s('chat', 6.0, 1.0) == 0.0
     assert detector.waited_s('chat', 4.0, 1.0) == pytest.approx(2.0)
 
 
-def test_calm_seconds_tell_how_short_a_first_time_is():
-    """Callers grant between 5.1 and 6 s, and come back a second later.
+def test_samples_outside_bursts_bound_first_timeouts():
+    """Clients use timeouts between 5.1 and 6 s and retry a second later.
 
-    In a burst past capacity, one that came back cannot be in time. Taken for
-    a new one it gets a place that another would have been in time with.
+    Past capacity a returning request cannot be in time. Taken for a new one,
+    it gets a permit with which another request would have been in time.
     """
     rng = random.Random(5)
     detector = dispatch.ReturningRequestDetector()
@@ -80,8 +82,8 @@
     assert sum(map(bool, back)) >= 0.95 * len(back)
 
 
-def test_times_granted_in_a_burst_teach_nothing():
-    """Many of them are of callers that came back."""
+def test_timeouts_during_a_burst_are_not_sampled():
+    """Many of them belong to returning requests."""
     rng = random.Random(6)
     detector = dispatch.ReturningRequestDetector()
     for _ in range(60):
