--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -372,7 +372,7 @@
     # No request begins on a version too old.
     Mutation(
         'sidecar-ends-a-version',
-        'catkinshunt/places/_ledger.py',
+        'catkinshunt/places/_allocator.py',
         'if now + request.prefill_s >= self._expires_at:',
         'if False:',
     ),
--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -1,15 +1,15 @@
 """Places at an engine, given out by the sidecar beside it."""
 
+from catkinshunt.places._allocator import LATE_MAX_WAIT_S
+from catkinshunt.places._allocator import NO_ROOM
+from catkinshunt.places._allocator import PermitAllocator
+from catkinshunt.places._allocator import RELOADING
 from catkinshunt.places._client import MAX_SENDS
 from catkinshunt.places._client import NoPermitError
 from catkinshunt.places._client import PermitClient
 from catkinshunt.places._client import PermitHandle
 from catkinshunt.places._client import ReloadingError
 from catkinshunt.places._client import REPLY_TIMEOUT_S
-from catkinshunt.places._ledger import LATE_MAX_WAIT_S
-from catkinshunt.places._ledger import NO_ROOM
-from catkinshunt.places._ledger import PermitAllocator
-from catkinshunt.places._ledger import RELOADING
 from catkinshunt.places._messages import dump
 from catkinshunt.places._messages import load
 from catkinshunt.places._messages import PermitGranted
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -7,7 +7,7 @@
 
 from catkinshunt import errors
 from catkinshunt import logs
-from catkinshunt.places import _ledger
+from catkinshunt.places import _allocator
 from catkinshunt.places import _messages
 
 #: Seconds after which an ask without any reply is sent again, and then taken
@@ -18,11 +18,11 @@
 MAX_SENDS = 2
 #: Seconds beyond its own wait after which a queued ask is given up; its
 #: reply must have been lost.
-LOST_S = 0.15
+LOST_REPLY_S = 0.15
 #: Seconds for which a sidecar that gave no answer is not asked, at first and
 #: at most. Its engine gets requests without asking meanwhile.
-FIRST_SILENCE_S = 1.0
-MOST_SILENCE_S = 8.0
+INITIAL_BACK_OFF_S = 1.0
+MAX_BACK_OFF_S = 8.0
 
 _log = logs.get_logger('places')
 
@@ -55,21 +55,25 @@
 
     async def first_reply(self):
         """Send the ask; return the first reply, or None where none comes."""
-        self._client.begin(self)
+        self._client.register(self)
         for _ in range(MAX_SENDS):
             self._client.send(self._host, self.request)
             if await self._next_reply(REPLY_TIMEOUT_S) is not None:
                 break
-        self._client.note_answer(self._host, self.reply is not None)
+        self._client.record_reply(self._host, self.reply is not None)
         return self.reply
 
     async def final_reply(self):
         """Return the final reply to a request that was queued."""
-        longest_s = max(self.request.wait_s, _ledger.LATE_MAX_WAIT_S) + LOST_S
+        timeout_s = (
+            max(self.request.wait_s, _allocator.LATE_MAX_WAIT_S) + LOST_REPLY_S
+        )
         while isinstance(self.reply, _messages.PermitQueued):
-            if await self._next_reply(longest_s) is None:
+            if await self._next_reply(timeout_s) is None:
                 return _messages.PermitRejected(
-                    self.request.number, _ledger.NO_ROOM, _ledger.LEAST_RETRY_S
+                    self.request.number,
+                    _allocator.NO_ROOM,
+                    _allocator.MIN_RETRY_AFTER_S,
                 )
         return self.reply
 
@@ -96,7 +100,7 @@
 
 
 @attrs.define
-class _Silence:
+class _BackOff:
     """How long a sidecar that gave no answer is left alone."""
 
     until: float
@@ -118,8 +122,8 @@
         # After a restart numbers must not meet those of before.
         self._numbers = itertools.count(random.randrange(2**40))
         self._transport = None
-        self._asking = {}
-        self._silent = {}
+        self._handles = {}
+        self._back_offs = {}
 
     async def start(self, host):
         """Send from the address `host`; returns self."""
@@ -142,8 +146,8 @@
 
     def is_responsive(self, host):
         """Return whether the sidecar on `host` is likely to answer."""
-        silence = self._silent.get(host)
-        return silence is None or self.clock() >= silence.until
+        back_off = self._back_offs.get(host)
+        return back_off is None or self.clock() >= back_off.until
 
     def request(self, host, make_request):
         """Return a new `PermitHandle`.
@@ -167,31 +171,31 @@
         except _messages.UnreadableError as exc:
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
-        asking = self._asking.get(message.number)
-        if asking is not None:
-            asking.receive(message)
+        handle = self._handles.get(message.number)
+        if handle is not None:
+            handle.receive(message)
         elif isinstance(message, _messages.PermitGranted):
             # The request has ended or gone elsewhere.
             self.send(addr[0], _messages.PermitRelease(message.number))
 
-    def begin(self, asking):
+    def register(self, handle):
         """Hear replies to an ask from now on."""
-        self._asking[asking.request.number] = asking
+        self._handles[handle.request.number] = handle
 
-    def end(self, asking):
+    def end(self, handle):
         """Hear no more replies to an ask."""
-        self._asking.pop(asking.request.number, None)
+        self._handles.pop(handle.request.number, None)
 
-    def note_answer(self, host, came):
+    def record_reply(self, host, is_answered):
         """Note whether the sidecar on `host` answered."""
-        before = self._silent.pop(host, None)
-        if came:
-            if before is not None:
+        previous = self._back_offs.pop(host, None)
+        if is_answered:
+            if previous is not None:
                 _log.info('The sidecar on {} answers again.', host)
             return
-        if before is None:
-            pause_s = FIRST_SILENCE_S
+        if previous is None:
+            pause_s = INITIAL_BACK_OFF_S
             _log.warning('The sidecar on {} gives no answer.', host)
         else:
-            pause_s = min(2 * before.pause_s, MOST_SILENCE_S)
-        self._silent[host] = _Silence(self.clock() + pause_s, pause_s)
+            pause_s = min(2 * previous.pause_s, MAX_BACK_OFF_S)
+        self._back_offs[host] = _BackOff(self.clock() + pause_s, pause_s)
--- a/catkinshunt/places/_messages.py
+++ b/catkinshunt/places/_messages.py
@@ -9,7 +9,7 @@
 from catkinshunt import datagrams
 
 #: Longest datagram that is read; ours are below 200 bytes.
-MOST_BYTES = 1000
+MAX_DATAGRAM_BYTES = 1000
 
 UnreadableError = datagrams.UnreadableError
 
@@ -101,7 +101,7 @@
         PermitQueued,
         PermitRejected,
     ),
-    most_bytes=MOST_BYTES,
+    most_bytes=MAX_DATAGRAM_BYTES,
 )
 dump = _CODEC.dump
 load = _CODEC.load
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -17,8 +17,8 @@
         clock: gives seconds on the steady clock.
     """
 
-    def __init__(self, ledger, clock):
-        self.ledger = ledger
+    def __init__(self, allocator, clock):
+        self.allocator = allocator
         self.clock = clock
         self._transport = None
         self._timer = None
@@ -47,26 +47,26 @@
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.PermitRequest):
-            self._send(self.ledger.request(addr, message, now))
+            self._send(self.allocator.request(addr, message, now))
         elif isinstance(message, _messages.PermitRelease):
-            self._send(self.ledger.release(addr, message.number, now))
+            self._send(self.allocator.release(addr, message.number, now))
 
     def reconcile(self, present):
         """See `base.BaseAdmission.reconcile`."""
-        self._send(self.ledger.reconcile(present, self.clock()))
+        self._send(self.allocator.reconcile(present, self.clock()))
 
     def close(self, closes_in_s, opens_in_s):
         """See `base.BaseAdmission.close`."""
         now = self.clock()
-        self.ledger.close(now + closes_in_s, now + opens_in_s)
+        self.allocator.close(now + closes_in_s, now + opens_in_s)
 
     def open(self):
         """See `base.BaseAdmission.open`."""
-        self._send(self.ledger.open(self.clock()))
+        self._send(self.allocator.open(self.clock()))
 
     def set_expiry(self, expires_in_s):
         """See `base.BaseAdmission.set_expiry`."""
-        self.ledger.set_expiry(self.clock() + expires_in_s)
+        self.allocator.set_expiry(self.clock() + expires_in_s)
 
     def _send(self, replies):
         for peer, message in replies:
@@ -74,15 +74,15 @@
         self._set_timer()
 
     def _set_timer(self):
-        at = self.ledger.next_due_at()
+        at = self.allocator.next_due_at()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if at is not None:
             loop = asyncio.get_running_loop()
             delay_s = max(0.0, at - self.clock())
-            self._timer = loop.call_later(delay_s, self._step)
+            self._timer = loop.call_later(delay_s, self._run_due)
 
-    def _step(self):
+    def _run_due(self):
         self._timer = None
-        self._send(self.ledger.run_due(self.clock()))
+        self._send(self.allocator.run_due(self.clock()))
--- a/catkinshunt/places/tests/test_datagrams.py
+++ b/catkinshunt/places/tests/test_datagrams.py
@@ -12,8 +12,8 @@
 
     def __init__(self, port):
         clock = asyncio.get_running_loop().time
-        self.ledger = places.PermitAllocator(spare=0)
-        self.server = places.PermitServer(self.ledger, clock)
+        self.allocator = places.PermitAllocator(spare=0)
+        self.server = places.PermitServer(self.allocator, clock)
         self.client = places.PermitClient(port, clock, random.Random(1))
         self.port = port
 
@@ -31,9 +31,9 @@
 
     async def take(self):
         """Take a place; return its `places.PermitHandle`."""
-        asking = self.request()
-        await asking.first_reply()
-        return asking
+        handle = self.request()
+        await handle.first_reply()
+        return handle
 
     def stop(self):
         self.client.stop()
@@ -67,11 +67,11 @@
 
 def test_a_place_is_taken_and_given_back():
     async def main(pair):
-        asking = await pair.take()
-        held = pair.ledger.in_use
-        asking.end()
-        await until(lambda: pair.ledger.in_use == 0)
-        return asking.reply.in_use, held
+        handle = await pair.take()
+        held = pair.allocator.in_use
+        handle.end()
+        await until(lambda: pair.allocator.in_use == 0)
+        return handle.reply.in_use, held
 
     assert run(main) == (1, 1)
 
@@ -92,9 +92,9 @@
 def test_a_request_that_cannot_be_in_time_is_refused():
     async def main(pair):
         await pair.take()
-        asking = pair.request(wait_s=0.05)
-        await asking.first_reply()
-        return await asking.final_reply()
+        handle = pair.request(wait_s=0.05)
+        await handle.first_reply()
+        return await handle.final_reply()
 
     refusal = run(main)
     assert refusal.reason == places.NO_ROOM
@@ -105,9 +105,9 @@
     async def main(pair):
         await pair.take()
         second = await pair.take()
-        assert pair.ledger.waiting == 1
+        assert pair.allocator.waiting == 1
         second.end()
-        await until(lambda: pair.ledger.waiting == 0)
+        await until(lambda: pair.allocator.waiting == 0)
 
     run(main)
 
@@ -121,9 +121,9 @@
 
     async def main(pair):
         assert pair.client.is_responsive(SIDECAR)
-        asking = pair.request()
-        assert await asking.first_reply() is None
-        asking.end()
+        handle = pair.request()
+        assert await handle.first_reply() is None
+        handle.end()
         return pair.client.is_responsive(SIDECAR)
 
     assert not run(main, sidecar=False)
@@ -152,17 +152,17 @@
     async def main(pair):
         granted = places.dump(places.PermitGranted(7, in_use=1))
         request = places.PermitRequest(7, 0.0, 0.5, 0.0, 1)
-        pair.ledger.request((ENTRY, pair.port), request, 0.0)
+        pair.allocator.request((ENTRY, pair.port), request, 0.0)
         pair.client.datagram_received(granted, (SIDECAR, pair.port))
-        await until(lambda: pair.ledger.in_use == 0)
+        await until(lambda: pair.allocator.in_use == 0)
 
     run(main)
 
 
 def test_a_grant_that_comes_twice_leaves_the_place_held():
     async def main(pair):
-        asking = await pair.take()
-        granted = places.PermitGranted(asking.request.number, in_use=1)
+        handle = await pair.take()
+        granted = places.PermitGranted(handle.request.number, in_use=1)
         pair.client.datagram_received(
             places.dump(granted), (SIDECAR, pair.port)
         )
