--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -1,4 +1,9 @@
-"""Places at an engine, given out by the sidecar beside it."""
+"""Permits to send requests to an engine, granted by its sidecar.
+
+A permit allows one request to be sent. The sidecar grants about as many as
+the engine has slots, so that requests wait at their entries rather than in
+the queue of the engine.
+"""
 
 from catkinshunt.places._allocator import LATE_MAX_WAIT_S
 from catkinshunt.places._allocator import NO_ROOM
--- a/catkinshunt/places/_allocator.py
+++ b/catkinshunt/places/_allocator.py
@@ -1,4 +1,4 @@
-"""Decides who gets a place at one engine."""
+"""Allocation of the permits of one engine."""
 
 import math
 
@@ -8,60 +8,59 @@
 from catkinshunt import checks
 from catkinshunt.places import _messages
 
-#: Places beyond the slots of the engine. One request waits in the engine, so
+#: Permits beyond the slots of the engine. One request waits at the engine, so
 #: that a slot that becomes free between two passes is filled at once; more
 #: would wait there for longer than that gains.
 SPARE_PERMITS = 1
-#: Shortest and longest time after which a caller is told to come back, in
-#: seconds. It is late by then in any case, and where the engines are full a
-#: shorter one brings it back before anything has changed. Where callers grant
-#: times that differ by a second, it is told from new ones only so.
+#: Shortest and longest retry time of a rejected request, in seconds. It is
+#: late by then in any case; with a shorter one it would return to engines that
+#: are still full. Where client timeouts differ by up to a second, a returning
+#: request could not be distinguished from a new one either.
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 5.0
-#: Seconds for which late requests may wait for a place that nobody else
-#: wants. As many may wait as got one in that time lately.
+#: Seconds for which late requests wait for permits that no other request
+#: needs. As many may wait as recently got one within that time.
 LATE_MAX_WAIT_S = 0.5
-#: Seconds in which the count of late requests that got a place falls to
-#: 1/e, and the least rate that is assumed, per second.
+#: Seconds in which the count of permits for late requests decays to 1/e, and
+#: the least rate of these that is assumed, per second.
 LATE_RATE_DECAY_S = 1.0
 MIN_LATE_RATE_PER_S = 0.5
-#: Seconds after an ask in time found no room for which late ones get none
-#: either. The next one in time comes soon, and the place is worth more to it.
+#: Seconds after a request that is not late found no free permit during which
+#: late ones get none, so that the next one in time finds a permit.
 SCARCITY_S = 0.5
-#: Seconds of reading that an engine may have ahead and still get a request
-#: that is to be in time: prompts are read one after the other, and the answer
-#: of each begins when all that came before are read.
+#: Longest prefill backlog of an engine that gets another request, in seconds.
+#: Prompts are prefilled one after the other, so the first token of each waits
+#: for all prompts before it.
 MAX_PREFILL_BACKLOG_S = 0.05
-#: Seconds after a grant in which its request may still be on the way.
+#: Seconds after a grant in which its request may not have arrived yet.
 ARRIVAL_GRACE_S = 0.3
-#: Seconds after which a closed engine that should serve again gets requests
-#: all the same; its own word was lost or it gave up loading.
+#: Seconds after the expected end of loading at which requests are admitted
+#: anyway, in case the engine gave up loading or `open` was never called.
 REOPEN_TIMEOUT_S = 3.0
-#: Words for why an ask is refused.
+#: Reasons of a rejection, as sent in messages.
 NO_ROOM = 'no-room'
 RELOADING = 'reloading'
 
 
 @attrs.define
 class _QueuedRequest:
-    """An ask that waits for a place until `until`."""
+    """A permit request that is queued until time `until`."""
 
     request: _messages.PermitRequest
     until: float
 
 
 class PermitAllocator(base.ParamsMixin):
-    """Gives out the places at one engine, and knows who holds them.
+    """Grants the permits of one engine and tracks which are in use.
 
-    Entries each see a part of what an engine has to do. In a burst past what
-    the engines can do all of them sent more than there was room for; requests
-    waited for seconds in the engine's queue, were late when they began, and
-    kept those out that could have been in time. Here each request waits at
-    its entry until the engine has room, the newest first: the ones that have
-    waited longest are those that will miss their goal.
+    Each entry sees only part of the load of an engine. Without permits, in a
+    burst past capacity requests wait for seconds in the engine's queue, are
+    late when they start, and block others that could have been in time. With
+    permits each request waits at its entry, and the newest goes first: those
+    that have waited longest are the ones that will miss their goal.
 
     Args:
-        spare: places beyond the slots of the engine.
+        spare: permits beyond the slots of the engine.
 
     Examples:
         >>> allocator = PermitAllocator(spare=0)
@@ -93,20 +92,20 @@
 
     @property
     def in_use(self):
-        """Number of places that are taken."""
+        """Number of permits in use, including requests without a permit."""
         return len(self._granted) + self._without_permit
 
     @property
     def waiting(self):
-        """Number of asks that wait."""
+        """Number of queued permit requests."""
         return len(self._queue) + len(self._late_queue)
 
     def request(self, peer, request, now):
-        """Decide on an ask; return replies as pairs of peer and message.
+        """Grant, queue or reject; return replies as (peer, message) pairs.
 
         Args:
-            peer: names the entry; any value that can be hashed.
-            ask: `PermitRequest`. Asked again, it gets the same reply again.
+            peer: identifier of the entry; any hashable value.
+            request: `PermitRequest`. A repeated one gets the same reply.
             now: seconds on the steady clock.
         """
         checks.check_count(self.spare, 'spare')
@@ -127,7 +126,7 @@
         return [self._enqueue(key, request, now)]
 
     def release(self, peer, number, now):
-        """Take a place back; return replies to those who get it."""
+        """Release a permit or withdraw a request; return the new replies."""
         key = (peer, number)
         self._granted.pop(key, None)
         self._queue.pop(key, None)
@@ -135,7 +134,7 @@
         return self._grant_free(now)
 
     def _reject_expired(self, now):
-        """Refuse asks that have waited for too long; return the replies."""
+        """Reject queued requests whose wait has ended; return the replies."""
         replies = []
         for queue in (self._queue, self._late_queue):
             for key, waiting in list(queue.items()):
@@ -145,7 +144,7 @@
         return replies
 
     def next_due_at(self):
-        """Return when `run_due` has something to do next, or None."""
+        """Return when `run_due` has to be called next, or None."""
         queued = (*self._queue.values(), *self._late_queue.values())
         times = [waiting.until for waiting in queued]
         key = self._next_key()
@@ -157,18 +156,19 @@
         return min(times, default=None)
 
     def run_due(self, now):
-        """Do what is due by now; return replies."""
+        """Reject and grant what is due by now; return the replies."""
         return [*self._reject_expired(now), *self._grant_free(now)]
 
     def reconcile(self, present, now):
-        """Put the count right by what the engine has; return replies.
+        """Correct the permits in use by the engine's count; return replies.
 
-        An entry that dies gives nothing back, one that cannot reach this
-        process sends without asking, and datagrams are lost. Places whose
-        request the engine does not have at two looks in a row are free.
+        An entry that dies releases no permits, one that cannot reach this
+        process sends requests without permits, and datagrams are lost.
+        Permits without a request at the engine in two consecutive calls are
+        released.
 
         Args:
-            present: requests that the engine has, running and waiting.
+            present: requests at the engine, running and waiting.
             now: seconds on the steady clock.
         """
         arrived = [
@@ -187,46 +187,47 @@
     # Loading another version.
 
     def close(self, closes_at, opens_at):
-        """Give no place to a request that would hold it past `closes_at`.
+        """Grant no permit that would be in use past `closes_at`.
 
-        The engine loads another version then. It ends its answers first and
-        takes nothing new meanwhile, so an answer that has hardly begun by
-        then keeps it from work for seconds.
+        The engine loads another version then. It finishes its answers first
+        and takes no requests meanwhile, so one answer that has just started
+        would keep it idle for seconds.
 
         Args:
             closes_at: when the engine is to be empty, in seconds.
-            opens_at: when it is likely to serve again.
+            opens_at: when it is expected to serve again, in seconds.
         """
         self._closes_at = closes_at
         self._opens_at = opens_at
 
     def open(self, now):
-        """Give places again; return replies."""
+        """Grant permits again; return replies."""
         self._closes_at = math.inf
         self._opens_at = math.inf
         return self._grant_free(now)
 
     def set_expiry(self, expires_at):
-        """Give no place to a request that would begin after `expires_at`.
+        """Grant no permit to a request that would start after `expires_at`.
 
-        What the engine serves is too old from then on. Its sidecar hears of
-        a new version at once, an entry that reads a large configuration over
-        a busy link much later.
+        The version that the engine serves expires then. Its sidecar is
+        notified of a new version at once; an entry that reads a large
+        configuration over a saturated link learns of it much later.
 
         Args:
-            expires_at: in seconds on the steady clock; infinite for never.
+            expires_at: seconds on the steady clock; infinite for never.
         """
         self._expires_at = expires_at
 
-    # Parts of a decision.
+    # Decisions.
 
     def _free(self):
         return self._slots + self.spare - self.in_use
 
     def _is_past_cutoff(self, request, now):
-        """Return whether an answer would last into the loading.
+        """Return whether a request would start or end too late.
 
-        Or begin after what the engine serves has expired.
+        That is, start after the served version expires, or end after the
+        engine has to be empty.
         """
         if now + request.prefill_s >= self._expires_at:
             return True
@@ -235,11 +236,11 @@
         return now + request.occupancy_s > self._closes_at
 
     def _prefill_ready_at(self):
-        """Return when the engine has read most of what it was given."""
+        """Return when the prefill backlog is short enough for a request."""
         return self._prefill_done_at - MAX_PREFILL_BACKLOG_S
 
     def _can_grant(self, request, now):
-        """Return whether the engine has room, and time to read it."""
+        """Return whether a permit is free and the request may have it now."""
         if self._free() <= 0:
             return False
         if request.late and now < self._scarce_until:
@@ -247,13 +248,13 @@
         return request.resumed or now >= self._prefill_ready_at()
 
     def _must_queue(self, request):
-        """Return whether others that wait go before this ask."""
+        """Return whether queued requests go before this one."""
         if request.resumed:
             return False
         return bool(self._queue) or (request.late and bool(self._late_queue))
 
     def _enqueue(self, key, request, now):
-        """Let an ask wait where that makes sense; return the reply."""
+        """Queue a request if it may wait, else reject it; return the reply."""
         if request.no_wait:
             rejected = _messages.PermitRejected(
                 request.number, NO_ROOM, MIN_RETRY_AFTER_S
@@ -275,7 +276,7 @@
         return key[0], _messages.PermitQueued(request.number)
 
     def _grant_free(self, now):
-        """Grant free places to those who wait; return the replies."""
+        """Grant free permits to queued requests; return the replies."""
         replies = []
         while (key := self._next_key()) is not None:
             queue = self._queue if key in self._queue else self._late_queue
@@ -290,7 +291,7 @@
         return replies
 
     def _next_key(self):
-        """Return the key of the ask that goes next, or None."""
+        """Return the key of the next queued request, or None."""
         for key, waiting in reversed(self._queue.items()):
             if waiting.request.resumed:
                 return key
@@ -317,10 +318,10 @@
         )
 
     def _compute_retry_after_s(self, reason, now):
-        """Return after how long a caller that is refused may come back.
+        """Return the retry time of a rejected request.
 
-        Callers come back one after the other, as fast as late ones got a
-        place lately. All told the same would come back together into
+        Retry times are spread at the rate at which late requests recently got
+        permits. With the same one for all, they would return together to
         engines that are still full.
         """
         if reason == RELOADING:
@@ -335,7 +336,7 @@
         return self._last_retry_at - now
 
     def _late_rate(self, now):
-        """Return how many late requests a second got a place lately."""
+        """Return the recent rate of permits for late requests, per second."""
         age_s = max(0.0, now - self._late_at)
         count = self._late_count * math.exp(-age_s / LATE_RATE_DECAY_S)
         return max(MIN_LATE_RATE_PER_S, count / LATE_RATE_DECAY_S)
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -1,4 +1,4 @@
-"""The entry's side of places: asks sidecars, one datagram each."""
+"""Client of an entry that requests permits from sidecars by datagram."""
 
 import asyncio
 import itertools
@@ -10,17 +10,17 @@
 from catkinshunt.places import _allocator
 from catkinshunt.places import _messages
 
-#: Seconds after which an ask without any reply is sent again, and then taken
-#: as unanswered. On a link that is full of chunks a datagram takes up to
-#: 0.05 s each way.
+#: Seconds without a reply after which a permit request is sent again or, the
+#: last time, the sidecar counts as unresponsive. On a link saturated by chunks
+#: a datagram takes up to 0.05 s each way.
 REPLY_TIMEOUT_S = 0.08
-#: Times that an ask is sent.
+#: Times that a permit request is sent.
 MAX_SENDS = 2
-#: Seconds beyond its own wait after which a queued ask is given up; its
-#: reply must have been lost.
+#: Seconds after the end of its wait at which a queued permit request counts as
+#: rejected, since the reply must have been lost.
 LOST_REPLY_S = 0.15
-#: Seconds for which a sidecar that gave no answer is not asked, at first and
-#: at most. Its engine gets requests without asking meanwhile.
+#: First and longest back-off for an unresponsive sidecar, in seconds. Requests
+#: are sent to its engine without permits meanwhile.
 INITIAL_BACK_OFF_S = 1.0
 MAX_BACK_OFF_S = 8.0
 
@@ -28,7 +28,7 @@
 
 
 class NoPermitError(errors.OverloadedError):
-    """Not run: no engine has a place for it in time."""
+    """Not run: no engine has a permit for it in time."""
 
 
 class ReloadingError(errors.OverloadedError):
@@ -37,14 +37,14 @@
 
 @attrs.define(eq=False)
 class PermitHandle:
-    """One ask on its way, and the place that it may get.
+    """One permit request and the replies to it.
 
-    It is on its way from `first_reply` on, and must be ended by `end`, which
-    gives back what it got.
+    It is sent by `first_reply` and must be ended by `end`, which releases the
+    permit.
 
     Attributes:
-        ask: the `PermitRequest`.
-        reply: the newest reply; None while there is none.
+        request: the `PermitRequest`.
+        reply: the latest reply; None before the first one.
     """
 
     _client: object
@@ -54,7 +54,7 @@
     _replies: asyncio.Queue = attrs.field(factory=asyncio.Queue)
 
     async def first_reply(self):
-        """Send the ask; return the first reply, or None where none comes."""
+        """Send the request; return the first reply, or None without one."""
         self._client.register(self)
         for _ in range(MAX_SENDS):
             self._client.send(self._host, self.request)
@@ -64,7 +64,7 @@
         return self.reply
 
     async def final_reply(self):
-        """Return the final reply to a request that was queued."""
+        """Return `PermitGranted` or `PermitRejected` for a queued request."""
         timeout_s = (
             max(self.request.wait_s, _allocator.LATE_MAX_WAIT_S) + LOST_REPLY_S
         )
@@ -86,13 +86,13 @@
         return self.reply
 
     def receive(self, reply):
-        """Take a reply of the sidecar."""
+        """Record a reply of the sidecar."""
         self._replies.put_nowait(reply)
 
     def end(self):
-        """Give the place back, or no longer want one."""
-        self._client.end(self)
-        # What was refused is not known there any more.
+        """Release the permit, or withdraw the request for it."""
+        self._client.unregister(self)
+        # The sidecar keeps no state of rejected requests.
         if not isinstance(self.reply, _messages.PermitRejected):
             self._client.send(
                 self._host, _messages.PermitRelease(self.request.number)
@@ -101,32 +101,32 @@
 
 @attrs.define
 class _BackOff:
-    """How long a sidecar that gave no answer is left alone."""
+    """Back-off for an unresponsive sidecar."""
 
     until: float
     pause_s: float
 
 
 class PermitClient(asyncio.DatagramProtocol):
-    """Asks the sidecars of engines for places.
+    """Requests permits from the sidecars of engines.
 
     Args:
         port: port of all sidecars.
-        clock: gives seconds on the steady clock.
-        random: source of random numbers, for the first number.
+        clock: function that returns seconds on the steady clock.
+        random: source of the first request number.
     """
 
     def __init__(self, port, clock, random):
         self.port = port
         self.clock = clock
-        # After a restart numbers must not meet those of before.
+        # Numbers from before a restart must not be reused.
         self._numbers = itertools.count(random.randrange(2**40))
         self._transport = None
         self._handles = {}
         self._back_offs = {}
 
     async def start(self, host):
-        """Send from the address `host`; returns self."""
+        """Open the socket on address `host`; return self."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, self.port)
@@ -134,23 +134,23 @@
         return self
 
     def stop(self):
-        """Ask nobody any more."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     @property
     def is_started(self):
-        """Whether there are sidecars to be asked."""
+        """Whether the socket is open."""
         return self._transport is not None
 
     def is_responsive(self, host):
-        """Return whether the sidecar on `host` is likely to answer."""
+        """Return whether the sidecar on `host` is not in back-off."""
         back_off = self._back_offs.get(host)
         return back_off is None or self.clock() >= back_off.until
 
     def request(self, host, make_request):
-        """Return a new `PermitHandle`.
+        """Return a `PermitHandle` for a new request, which is not sent yet.
 
         Args:
             host: address of the engine and its sidecar.
@@ -159,43 +159,43 @@
         return PermitHandle(self, host, make_request(next(self._numbers)))
 
     def send(self, host, message):
-        """Send one message to the sidecar on `host`."""
+        """Send a message to the sidecar on `host`."""
         if self._transport is not None:
             data = _messages.dump(message)
             self._transport.sendto(data, (host, self.port))
 
     def datagram_received(self, data, addr):
-        """Take one message of a sidecar."""
+        """Handle one message of a sidecar."""
         try:
             message = _messages.load(data)
         except _messages.UnreadableError as exc:
-            _log.warning('Left aside a datagram of {}: {}.', addr, exc)
+            _log.warning('Ignored a datagram from {}: {}.', addr, exc)
             return
         handle = self._handles.get(message.number)
         if handle is not None:
             handle.receive(message)
         elif isinstance(message, _messages.PermitGranted):
-            # The request has ended or gone elsewhere.
+            # The request has ended or was sent to another engine.
             self.send(addr[0], _messages.PermitRelease(message.number))
 
     def register(self, handle):
-        """Hear replies to an ask from now on."""
+        """Pass replies to `handle` from now on."""
         self._handles[handle.request.number] = handle
 
-    def end(self, handle):
-        """Hear no more replies to an ask."""
+    def unregister(self, handle):
+        """Pass no more replies to `handle`."""
         self._handles.pop(handle.request.number, None)
 
     def record_reply(self, host, is_answered):
-        """Note whether the sidecar on `host` answered."""
+        """Record whether the sidecar on `host` replied to a request."""
         previous = self._back_offs.pop(host, None)
         if is_answered:
             if previous is not None:
-                _log.info('The sidecar on {} answers again.', host)
+                _log.info('Sidecar on {} responds again.', host)
             return
         if previous is None:
             pause_s = INITIAL_BACK_OFF_S
-            _log.warning('The sidecar on {} gives no answer.', host)
+            _log.warning('Sidecar on {} does not respond.', host)
         else:
             pause_s = min(2 * previous.pause_s, MAX_BACK_OFF_S)
         self._back_offs[host] = _BackOff(self.clock() + pause_s, pause_s)
--- a/catkinshunt/places/_messages.py
+++ b/catkinshunt/places/_messages.py
@@ -1,14 +1,14 @@
-"""What entries and sidecars tell each other about places, as datagrams.
+"""Messages between entries and sidecars about permits, one per datagram.
 
-All can be lost, doubled or late: an entry asks again, and a sidecar puts its
-count right by what its engine reports.
+A datagram can be lost, duplicated or delayed: entries repeat requests, and
+sidecars reconcile the permits in use with the requests at their engine.
 """
 
 import attrs
 
 from catkinshunt import datagrams
 
-#: Longest datagram that is read; ours are below 200 bytes.
+#: Longest datagram that is decoded; valid ones are below 200 bytes.
 MAX_DATAGRAM_BYTES = 1000
 
 UnreadableError = datagrams.UnreadableError
@@ -16,19 +16,20 @@
 
 @attrs.frozen
 class PermitRequest:
-    """An entry asks for a place for one request.
+    """Requests a permit for one request to the engine.
 
     Attributes:
-        number: names the ask among those of its entry.
-        wait_s: seconds for which the request may wait for the place and
-            still get its first token in time; 0 for one that is late.
-        occupancy_s: seconds that it is likely to hold the place.
-        prefill_s: seconds that its prompt takes the engine to read.
-        slots: requests that the engine works on at once.
-        probe: it wants a place now or an answer at once, and does not wait.
-        late: it cannot be in time; it takes a place that nobody else wants.
-        moving: its answer has begun elsewhere and broken off, so it goes
-            before all others.
+        number: identifier, unique per entry.
+        wait_s: seconds for which the request can wait for the permit and
+            still get its first token in time; 0 if it is late.
+        occupancy_s: predicted seconds for which it holds the permit.
+        prefill_s: predicted seconds for the prefill of its prompt.
+        slots: requests that the engine processes concurrently.
+        no_wait: it is granted or rejected at once and never queued.
+        late: it cannot be in time and gets only permits that no other
+            request needs.
+        resumed: its answer broke off at another engine after it had started;
+            it goes before all others.
     """
 
     kind = 'ask'
@@ -45,7 +46,7 @@
 
 @attrs.frozen
 class PermitRelease:
-    """An entry gives a place back, or no longer wants one."""
+    """Releases a permit, or withdraws the request for one."""
 
     kind = 'done'
 
@@ -54,11 +55,11 @@
 
 @attrs.frozen
 class PermitGranted:
-    """A sidecar gives a place.
+    """Grants a permit.
 
     Attributes:
-        number: of the ask.
-        held: places that are taken now, this one too.
+        number: identifier of the permit request.
+        in_use: permits in use, including this one.
     """
 
     kind = 'granted'
@@ -69,7 +70,7 @@
 
 @attrs.frozen
 class PermitQueued:
-    """A sidecar keeps the ask until a place is free, or its time is over."""
+    """Confirms that a permit request is queued until it is decided."""
 
     kind = 'queued'
 
@@ -78,12 +79,12 @@
 
 @attrs.frozen
 class PermitRejected:
-    """A sidecar has no place.
+    """Rejects a permit request.
 
     Attributes:
-        number: of the ask.
-        reason: why, a word.
-        retry_after_s: seconds after which there is likely to be one.
+        number: identifier of the permit request.
+        reason: `NO_ROOM` or `RELOADING`.
+        retry_after_s: seconds after which the client may retry.
     """
 
     kind = 'refused'
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -1,4 +1,4 @@
-"""The sidecar's side of places: datagrams in, replies out."""
+"""Datagram server that answers permit requests at a sidecar."""
 
 import asyncio
 
@@ -10,11 +10,11 @@
 
 
 class PermitServer(asyncio.DatagramProtocol, base.BaseAdmission):
-    """Answers the asks of entries by what a ledger decides.
+    """Passes permit requests of entries to an allocator and sends its replies.
 
     Args:
-        ledger: `PermitAllocator`.
-        clock: gives seconds on the steady clock.
+        allocator: `PermitAllocator`.
+        clock: function that returns seconds on the steady clock.
     """
 
     def __init__(self, allocator, clock):
@@ -24,7 +24,7 @@
         self._timer = None
 
     async def start(self, host, port):
-        """Listen on an address; returns self."""
+        """Listen on an address; return self."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
@@ -32,19 +32,19 @@
         return self
 
     def stop(self):
-        """Answer no more."""
+        """Close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data, addr):
-        """Take one message of an entry."""
+        """Handle one message of an entry."""
         now = self.clock()
         try:
             message = _messages.load(data)
         except _messages.UnreadableError as exc:
-            _log.warning('Left aside a datagram of {}: {}.', addr, exc)
+            _log.warning('Ignored a datagram from {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.PermitRequest):
             self._send(self.allocator.request(addr, message, now))
--- a/catkinshunt/places/base.py
+++ b/catkinshunt/places/base.py
@@ -1,33 +1,37 @@
-"""What decides which requests an engine gets."""
+"""Base class of the admission control of an engine."""
 
 import abc
 
 
 class BaseAdmission(abc.ABC):
-    """What lets requests in to the engine."""
+    """Admits requests to an engine."""
 
     @abc.abstractmethod
     def reconcile(self, present):
-        """Learn how many requests the engine has."""
+        """Correct the permits in use by the requests that the engine has.
+
+        Args:
+            present: requests at the engine, running and waiting.
+        """
 
     @abc.abstractmethod
     def close(self, closes_in_s, opens_in_s):
-        """Let no request in that would last past `closes_in_s`.
+        """Admit no request that would last longer than `closes_in_s`.
 
         Args:
             closes_in_s: seconds until the engine is to be empty.
-            opens_in_s: seconds until it is likely to serve again.
+            opens_in_s: expected seconds until it serves again.
         """
 
     @abc.abstractmethod
     def open(self):
-        """Let requests in again."""
+        """Admit requests again."""
 
     @abc.abstractmethod
     def set_expiry(self, expires_in_s):
-        """Let no request in that would begin after `expires_in_s`.
+        """Admit no request that would start after `expires_in_s`.
 
         Args:
-            expires_in_s: seconds until what the engine serves is too old;
-                infinite where that is not known.
+            expires_in_s: seconds until the version that the engine serves
+                expires; infinite if that is not known.
         """
