--- a/catkinshunt/places/tests/test_allocator.py
+++ b/catkinshunt/places/tests/test_allocator.py
@@ -12,7 +12,7 @@
 
 
 def full_allocator():
-    """Return a ledger whose two places are held by entry 'a'."""
+    """Return an allocator whose two permits are in use by entry 'a'."""
     allocator = places.PermitAllocator(spare=0)
     for number in (1, 2):
         allocator.request('a', request(number), now=0.0)
@@ -23,11 +23,11 @@
     return [(peer, reply.kind, reply.number) for peer, reply in replies]
 
 
-def test_no_more_places_are_given_than_the_engine_has():
-    """Several entries send at once, each without knowing of the others.
+def test_grants_are_limited_to_slots_and_spare_permits():
+    """Several entries send requests to one engine at the same time.
 
-    Requests past the engine's slots wait in its queue for seconds, and by
-    the time they begin all of them are late.
+    Requests beyond its slots would wait in its queue for seconds and be late
+    when they start.
     """
     allocator = places.PermitAllocator(spare=1)
     replies = [
@@ -37,11 +37,11 @@
     assert got == ['granted'] * 3 + ['queued'] * 2
 
 
-def test_the_newest_ask_gets_the_place_that_becomes_free():
-    """Past capacity those that waited longest are about to be late.
+def test_newest_request_gets_a_released_permit():
+    """Past capacity the requests that waited longest are nearly late.
 
-    Served first, each of them begins just too late, and so does the next;
-    engines are busy, and nobody is in time.
+    Served first, each of them starts too late, and so does the next; no
+    request is in time.
     """
     allocator = full_allocator()
     allocator.request('b', request(10), now=0.1)
@@ -49,7 +49,7 @@
     assert kinds(allocator.release('a', 1, now=0.3)) == [('c', 'granted', 11)]
 
 
-def test_an_ask_is_refused_when_its_time_is_over():
+def test_queued_request_is_rejected_when_its_wait_ends():
     allocator = full_allocator()
     allocator.request('b', request(10, wait_s=0.2), now=0.1)
     assert allocator.next_due_at() == pytest.approx(0.3)
@@ -59,7 +59,7 @@
     assert refused.retry_after_s >= 1.0
 
 
-def test_a_late_request_does_not_take_the_place_of_one_in_time():
+def test_late_request_does_not_overtake_one_in_time():
     allocator = full_allocator()
     allocator.request('b', request(10), now=0.1)
     ((_, reply),) = allocator.request(
@@ -69,7 +69,7 @@
     assert kinds(allocator.release('a', 1, now=0.2)) == [('b', 'granted', 10)]
 
 
-def test_a_late_request_gets_a_place_that_nobody_wants():
+def test_late_request_gets_an_unneeded_permit():
     allocator = places.PermitAllocator(spare=0)
     replies = allocator.request(
         'c', request(11, wait_s=0.0, late=True), now=0.1
@@ -77,8 +77,8 @@
     assert kinds(replies) == [('c', 'granted', 11)]
 
 
-def test_late_requests_wait_where_late_ones_get_places():
-    """After a short gap there is room for some that are late by now."""
+def test_late_requests_queue_while_late_ones_are_granted():
+    """A short gap in the load leaves permits for requests that are late."""
     allocator = places.PermitAllocator(spare=0)
     for number in range(8):
         allocator.request('c', request(number, wait_s=0.0, late=True), now=0.1)
@@ -92,16 +92,16 @@
     assert kinds(allocator.release('a', 10, now=0.3)) == [('c', 'granted', 20)]
 
 
-def test_a_stream_that_broke_off_goes_first():
-    """Its caller is reading and leaves after a short pause."""
+def test_resumed_stream_goes_first():
+    """Its client is reading and disconnects after a short pause."""
     allocator = full_allocator()
     allocator.request('b', request(10, resumed=True), now=0.1)
     allocator.request('c', request(11), now=0.2)
     assert kinds(allocator.release('a', 1, now=0.3)) == [('b', 'granted', 10)]
 
 
-def test_callers_that_are_refused_come_back_one_after_the_other():
-    """Told the same, hundreds of callers come back in the same moment."""
+def test_retry_times_of_rejected_requests_are_spread():
+    """With one retry time for all, hundreds of clients return at once."""
     allocator = places.PermitAllocator(spare=0)
     late = request(1, wait_s=0.0, late=True)
     for peer in 'abcde':
@@ -109,18 +109,18 @@
         allocator.release(peer, 1, now=0.0)
     for number in (2, 3):
         allocator.request('a', request(number), now=0.1)
-    told = [
+    retry_times = [
         reply.retry_after_s
         for peer in 'bcdefgh'
         for _, reply in allocator.request(peer, late, now=0.1)
         if reply.kind == 'refused'
     ]
-    assert len(told) >= 3
-    assert told == sorted(set(told))
+    assert len(retry_times) >= 3
+    assert retry_times == sorted(set(retry_times))
 
 
-def test_an_ask_that_is_sent_again_gets_the_same_reply():
-    """The reply to the first one was lost on its way."""
+def test_repeated_request_gets_the_same_reply():
+    """The reply to the first request was lost."""
     allocator = full_allocator()
     assert kinds(allocator.request('a', request(1), now=0.1)) == [
         ('a', 'granted', 1)
@@ -133,11 +133,12 @@
     assert allocator.waiting == 1
 
 
-def test_places_of_an_entry_that_died_are_free_again():
-    """Nobody gives them back, and the engine would stand idle for ever.
+def test_permits_of_a_dead_entry_are_released():
+    """A dead entry releases no permits, and the engine would stay idle.
 
-    The engine drops the requests when their connections close; its report
-    shows them gone. One look may be early, so the second one counts.
+    The engine drops requests whose connection closes, which shows in its
+    count. A request may not have arrived at the first count, so permits are
+    released at the second one.
     """
     allocator = full_allocator()
     allocator.request('b', request(10, wait_s=5.0), now=0.1)
@@ -146,26 +147,26 @@
     assert kinds(replies) == [('b', 'granted', 10)]
 
 
-def test_a_request_on_its_way_keeps_its_place():
-    """The engine does not have it yet when it is asked."""
+def test_request_in_transit_keeps_its_permit():
+    """The engine does not count a request before it arrives."""
     allocator = full_allocator()
     for now in (0.1, 0.2):
         allocator.reconcile(present=0, now=now)
     assert allocator.in_use == SLOTS
 
 
-def test_requests_that_came_without_a_place_take_one():
-    """A sidecar that started again knows of none that run already."""
+def test_requests_without_a_permit_are_counted():
+    """A restarted sidecar has no state of running requests."""
     allocator = places.PermitAllocator(spare=0)
     allocator.reconcile(present=2, now=0.0)
     replies = allocator.request('a', request(1), now=0.1)
     assert kinds(replies) == [('a', 'queued', 1)]
 
 
-def test_nothing_long_begins_before_the_engine_loads_another_version():
-    """An engine that loads ends its answers first, and takes nothing new.
+def test_long_requests_are_rejected_before_a_reload():
+    """Before it loads, an engine finishes its answers and takes no requests.
 
-    One long answer that has just begun keeps it from work for seconds.
+    One long answer that has just started keeps it idle for seconds.
     """
     allocator = places.PermitAllocator(spare=0)
     allocator.close(closes_at=2.0, opens_at=2.4)
@@ -181,7 +182,7 @@
     ) == [('a', 'granted', 3)]
 
 
-def test_one_that_waits_is_told_when_the_engine_is_about_to_load():
+def test_queued_request_is_rejected_before_a_reload():
     allocator = full_allocator()
     allocator.request('b', request(10, wait_s=0.9), now=0.1)
     allocator.close(closes_at=0.5, opens_at=1.0)
@@ -189,34 +190,34 @@
     assert (reply.kind, reply.reason) == ('refused', places.RELOADING)
 
 
-def test_a_request_does_not_begin_behind_much_reading():
-    """Several long prompts came to an engine that has places left.
+def test_request_waits_for_a_long_prefill_backlog():
+    """An engine with a free permit has several long prompts to prefill.
 
-    They are read one after the other; one that comes now gets its first
-    token when all of them are read, while other engines have nothing to read.
+    They are prefilled one after the other; a new request would get its first
+    token after all of them, while other engines have no prefill backlog.
     """
     allocator = places.PermitAllocator(spare=1)
     allocator.request('a', request(1, prefill_s=0.2), now=0.0)
     assert kinds(allocator.request('b', request(2), now=0.05)) == [
         ('b', 'queued', 2)
     ]
-    when = allocator.next_due_at()
-    assert 0.05 < when < 0.2
-    assert kinds(allocator.run_due(when)) == [('b', 'granted', 2)]
+    due_at = allocator.next_due_at()
+    assert 0.05 < due_at < 0.2
+    assert kinds(allocator.run_due(due_at)) == [('b', 'granted', 2)]
 
 
-def test_a_probe_is_answered_at_once():
+def test_request_without_waiting_is_rejected_at_once():
     allocator = full_allocator()
     ((_, reply),) = allocator.request('b', request(10, no_wait=True), now=0.1)
     assert (reply.kind, reply.reason) == ('refused', places.NO_ROOM)
     assert allocator.waiting == 0
 
 
-def test_late_requests_leave_room_for_those_in_time():
-    """A place becomes free in the moment in which nobody in time waits.
+def test_late_requests_leave_permits_for_those_in_time():
+    """A permit is released while no request in time is queued.
 
-    Given to a late request it is taken for seconds, and the next one that
-    could be in time, a few hundredths of a second later, finds none.
+    Granted to a late request it is in use for seconds, and the next request
+    that could be in time arrives shortly after and finds none.
     """
     allocator = full_allocator()
     late = request(20, wait_s=0.0, late=True, no_wait=True)
@@ -229,8 +230,8 @@
     assert allocator.request('c', late, now=0.7)[0][1].kind == 'granted'
 
 
-def test_a_closed_engine_is_not_left_alone_for_ever():
-    """The order to load failed, or the word that it serves was lost."""
+def test_closed_engine_is_reopened_after_a_timeout():
+    """Loading failed, or the call of `open` was missed."""
     allocator = places.PermitAllocator(spare=0)
     allocator.close(closes_at=1.0, opens_at=1.5)
     assert kinds(allocator.request('a', request(1), now=2.0)) == [
@@ -241,11 +242,11 @@
     ]
 
 
-def test_nothing_begins_on_a_version_that_has_expired():
-    """An entry hears late of a new version, behind a large configuration.
+def test_no_request_starts_on_an_expired_version():
+    """An entry learns late of a new version, behind a large configuration.
 
-    It goes on to ask for places at engines with the old one after that is
-    too old; a caller gets an answer from weights that were withdrawn.
+    It still requests permits of engines with the expired version, and a
+    client would get an answer from withdrawn weights.
     """
     allocator = places.PermitAllocator(spare=0)
     allocator.set_expiry(1.0)
@@ -258,14 +259,14 @@
     assert reply.reason == places.RELOADING
 
 
-def test_a_request_is_not_read_past_the_end_of_a_version():
+def test_prefill_does_not_outlast_the_version():
     allocator = places.PermitAllocator(spare=0)
     allocator.set_expiry(1.0)
     ((_, reply),) = allocator.request('b', request(2, prefill_s=0.2), now=0.9)
     assert reply.reason == places.RELOADING
 
 
-def test_those_that_wait_are_refused_when_a_version_expires():
+def test_queued_requests_are_rejected_when_the_version_expires():
     allocator = full_allocator()
     allocator.set_expiry(0.2)
     allocator.request('b', request(10), now=0.1)
@@ -273,7 +274,7 @@
     assert (peer, refused.reason) == ('b', places.RELOADING)
 
 
-def test_a_version_that_was_loaded_lets_requests_begin_again():
+def test_requests_start_again_after_a_version_is_loaded():
     allocator = places.PermitAllocator(spare=0)
     allocator.set_expiry(1.0)
     allocator.set_expiry(float('inf'))
--- a/catkinshunt/places/tests/test_datagrams.py
+++ b/catkinshunt/places/tests/test_datagrams.py
@@ -29,8 +29,8 @@
 
         return self.client.request(SIDECAR, make_request)
 
-    async def take(self):
-        """Take a place; return its `places.PermitHandle`."""
+    async def acquire(self):
+        """Request a permit; return its handle after the first reply."""
         handle = self.request()
         await handle.first_reply()
         return handle
@@ -42,13 +42,13 @@
 
 def run(main, sidecar=True):
     async def inside():
-        # A port that was free a moment ago on one of the two addresses.
+        # A port that was just free on one of the two addresses.
         loop = asyncio.get_running_loop()
-        no_wait, _ = await loop.create_datagram_endpoint(
+        transport, _ = await loop.create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=(ENTRY, 0)
         )
-        port = no_wait.get_extra_info('sockname')[1]
-        no_wait.close()
+        port = transport.get_extra_info('sockname')[1]
+        transport.close()
         await asyncio.sleep(0)
         pair = await Pair(port).start(sidecar)
         try:
@@ -65,21 +65,21 @@
             await asyncio.sleep(0.005)
 
 
-def test_a_place_is_taken_and_given_back():
+def test_permit_is_granted_and_released():
     async def main(pair):
-        handle = await pair.take()
-        held = pair.allocator.in_use
+        handle = await pair.acquire()
+        in_use = pair.allocator.in_use
         handle.end()
         await until(lambda: pair.allocator.in_use == 0)
-        return handle.reply.in_use, held
+        return handle.reply.in_use, in_use
 
     assert run(main) == (1, 1)
 
 
-def test_a_second_request_waits_for_the_place():
+def test_second_request_waits_for_the_permit():
     async def main(pair):
-        first = await pair.take()
-        second = await pair.take()
+        first = await pair.acquire()
+        second = await pair.acquire()
         kind = second.reply.kind
         first.end()
         return kind, await second.final_reply()
@@ -89,9 +89,9 @@
     assert reply.kind == 'granted'
 
 
-def test_a_request_that_cannot_be_in_time_is_refused():
+def test_request_that_cannot_be_in_time_is_rejected():
     async def main(pair):
-        await pair.take()
+        await pair.acquire()
         handle = pair.request(wait_s=0.05)
         await handle.first_reply()
         return await handle.final_reply()
@@ -101,10 +101,10 @@
     assert refusal.retry_after_s >= 1.0
 
 
-def test_a_caller_that_leaves_gives_up_its_wait():
+def test_ended_request_leaves_the_queue():
     async def main(pair):
-        await pair.take()
-        second = await pair.take()
+        await pair.acquire()
+        second = await pair.acquire()
         assert pair.allocator.waiting == 1
         second.end()
         await until(lambda: pair.allocator.waiting == 0)
@@ -112,11 +112,11 @@
     run(main)
 
 
-def test_a_sidecar_that_gives_no_answer_is_left_alone_for_a_while():
-    """The process beside an engine is dead, and the engine works on.
+def test_unresponsive_sidecar_is_backed_off():
+    """The sidecar of an engine is dead, but the engine still serves.
 
-    Requests go there without a place; only the first one in a while waits
-    for the sidecar.
+    Requests are sent there without a permit; only the first one in each
+    back-off waits for the sidecar.
     """
 
     async def main(pair):
@@ -129,11 +129,11 @@
     assert not run(main, sidecar=False)
 
 
-def test_a_lost_reply_to_a_queued_ask_does_not_hold_the_caller():
-    """The grant is lost on its way, and the caller would wait for ever."""
+def test_lost_final_reply_counts_as_a_rejection():
+    """The grant is lost, and the request would wait forever."""
 
     async def main(pair):
-        await pair.take()
+        await pair.acquire()
         second = pair.request(wait_s=0.05)
         await second.first_reply()
         pair.server.stop()
@@ -142,11 +142,11 @@
     assert run(main).kind == 'refused'
 
 
-def test_a_place_granted_too_late_is_given_back():
-    """The grant comes when the request has been sent without it.
+def test_permit_granted_too_late_is_released():
+    """The grant arrives after the request was sent without a permit.
 
-    Kept, the place would be missing until the sidecar compares its count
-    with what the engine reports.
+    If not released, the permit would be unavailable until the sidecar
+    reconciles its count with the engine.
     """
 
     async def main(pair):
@@ -159,24 +159,24 @@
     run(main)
 
 
-def test_a_grant_that_comes_twice_leaves_the_place_held():
+def test_duplicate_grant_keeps_the_permit():
     async def main(pair):
-        handle = await pair.take()
+        handle = await pair.acquire()
         granted = places.PermitGranted(handle.request.number, in_use=1)
         pair.client.datagram_received(
             places.dump(granted), (SIDECAR, pair.port)
         )
-        # The next ask comes behind whatever was sent.
-        second = await pair.take()
+        # Any release would arrive before this request.
+        second = await pair.acquire()
         return second.reply.kind
 
     assert run(main) == 'queued'
 
 
-def test_a_damaged_datagram_is_left_aside():
+def test_malformed_datagram_is_ignored():
     async def main(pair):
         pair.client.datagram_received(b'{', (SIDECAR, pair.port))
         pair.server.datagram_received(b'[1', (ENTRY, pair.port))
-        return (await pair.take()).reply
+        return (await pair.acquire()).reply
 
     assert run(main).in_use == 1
--- a/catkinshunt/places/tests/test_messages.py
+++ b/catkinshunt/places/tests/test_messages.py
@@ -16,7 +16,7 @@
         places.PermitRejected(3, places.NO_ROOM, 1.5),
     ],
 )
-def test_a_message_is_read_as_it_was_written(message):
+def test_message_round_trip(message):
     assert places.load(places.dump(message)) == message
 
 
@@ -37,13 +37,13 @@
         b'["done",' + b'1' * 2000 + b']',
     ],
 )
-def test_what_is_no_message_is_told_so(data):
+def test_malformed_messages_are_rejected(data):
     with pytest.raises(places.UnreadableError):
         places.load(data)
 
 
 @hypothesis.given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_unreadable(data):
+def test_random_bytes_decode_or_are_rejected(data):
     try:
         message = places.load(data)
     except places.UnreadableError:
