--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -164,7 +164,7 @@
     Mutation(
         'retry-budget',
         'catkinshunt/retries/_budget.py',
-        'enough = held >= 1 + reserve',
+        'enough = available >= 1 + reserve',
         'enough = True',
     ),
     Mutation(
@@ -176,7 +176,7 @@
     Mutation(
         'retries-shared-by-number',
         'catkinshunt/retries/_shares.py',
-        'return max(1.0, self.burst / sharers)',
+        'return max(1.0, self.burst / processes)',
         'return self.burst',
     ),
     Mutation(
@@ -637,8 +637,8 @@
     Mutation(
         'refused-at-once-if-late',
         'catkinshunt/limits/_fair.py',
-        '        if late_s > 0:\n            raise self._refusal(',
-        '        if False:\n            raise self._refusal(',
+        '        if late_s > 0:\n            raise self._rejection(',
+        '        if False:\n            raise self._rejection(',
     ),
     # Bad input, and who gives orders.
     Mutation(
--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -9,7 +9,7 @@
 from catkinshunt import errors
 
 #: Weight of the newest service time in the mean.
-_NEWEST = 0.05
+_NEWEST_WEIGHT = 0.05
 
 
 class Admission(shared.ParamsMixin):
@@ -61,10 +61,12 @@
                 raise errors.LeavingError('instance is leaving', step='queue')
             ticket.offered_at = now
             if self._running < self.concurrency:
-                self._check_time(ticket, now)
-                self._begin(ticket, now)
+                self._check_deadline(ticket, now)
+                self._start(ticket, now)
             else:
-                self.queue.offer(ticket, self._rate(), self._needed_s, now)
+                self.queue.offer(
+                    ticket, self._rate(), self._upper_service_s, now
+                )
         return ticket
 
     def wait(self, ticket, now):
@@ -73,7 +75,7 @@
         Raises:
             OverloadedError: it was refused later, or time ran out.
         """
-        left_s = max(0.0, ticket.deadline - self._needed_s - now)
+        left_s = max(0.0, ticket.deadline - self._upper_service_s - now)
         try:
             ticket.fut.result(left_s)
             return
@@ -96,9 +98,9 @@
         took_s = max(0.0, now - ticket.began_at)
         with self._lock:
             self._running -= 1
-            self._learn(took_s)
+            self._update_service_time(took_s)
             self.queue.observe(ticket, took_s)
-            self._fill(now)
+            self._start_queued(now)
             if not self._running:
                 self._idle.notify_all()
 
@@ -122,24 +124,26 @@
             }
 
     @property
-    def _needed_s(self):
+    def _upper_service_s(self):
         """Time that nearly every request needs: mean and two deviations."""
         return self._service_s + 2 * self._deviation_s
 
-    def _learn(self, took_s):
+    def _update_service_time(self, took_s):
         if not self._service_s:
             self._service_s = took_s
-        off_s = took_s - self._service_s
-        self._service_s += _NEWEST * off_s
-        self._deviation_s += _NEWEST * (abs(off_s) - self._deviation_s)
+        error_s = took_s - self._service_s
+        self._service_s += _NEWEST_WEIGHT * error_s
+        self._deviation_s += _NEWEST_WEIGHT * (
+            abs(error_s) - self._deviation_s
+        )
 
     def _rate(self):
         if not self._service_s:
             return math.inf
         return self.concurrency / self._service_s
 
-    def _check_time(self, ticket, now):
-        late_s = now + self._needed_s - ticket.deadline
+    def _check_deadline(self, ticket, now):
+        late_s = now + self._upper_service_s - ticket.deadline
         if late_s > 0:
             raise errors.OverloadedError(
                 'no time before the deadline',
@@ -147,21 +151,21 @@
                 retry_after_s=late_s,
             )
 
-    def _begin(self, ticket, now):
+    def _start(self, ticket, now):
         self._running += 1
         ticket.began_at = now
         self.queue.begin(ticket, self._service_s)
         ticket.fut.set_result(None)
 
-    def _fill(self, now):
+    def _start_queued(self, now):
         while self._running < self.concurrency:
             ticket = self.queue.choose(now)
             if ticket is None:
                 return
             try:
-                self._check_time(ticket, now)
+                self._check_deadline(ticket, now)
             except errors.OverloadedError as exc:
                 # Running it would end after its deadline and hold up others.
                 ticket.fut.set_exception(exc)
                 continue
-            self._begin(ticket, now)
+            self._start(ticket, now)
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -9,11 +9,11 @@
 from catkinshunt.limits import base
 
 #: Weight of the newest service time in an account's mean.
-_NEWEST = 0.2
+_NEWEST_WEIGHT = 0.2
 #: Accounts without waiting requests that are remembered.
 _MAX_IDLE_ACCOUNTS = 1024
 #: Shortest hint when to come back, in seconds.
-_MIN_RETRY_S = 0.05
+_MIN_RETRY_AFTER_S = 0.05
 
 
 @attrs.define
@@ -21,10 +21,10 @@
     name: str
     weight: float = 1.0
     #: Service time used, over the weight: the smallest is next.
-    used: float = 0.0
+    virtual_s: float = 0.0
     mean_s: float = 0.0
     #: Mean time between starts since the account has had waiting requests.
-    gap_s: float = 0.0
+    interval_s: float = 0.0
     started_at: float | None = None
     tickets: collections.deque = attrs.field(factory=collections.deque)
 
@@ -63,7 +63,7 @@
         self._accounts = {}
         self._length = 0
         #: Service time that the last account to start had used.
-        self._level = 0.0
+        self._virtual_now_s = 0.0
 
     def __len__(self):
         return self._length
@@ -79,17 +79,17 @@
         # Accounts whose requests come later may still go before it; how fast
         # its account got through of late tells how many.
         wait_s = max(
-            self._ahead(account) / rate_per_s,
-            (len(account.tickets) + 1) * account.gap_s,
+            self._count_preceding(account) / rate_per_s,
+            (len(account.tickets) + 1) * account.interval_s,
         )
         late_s = now + wait_s + service_s - ticket.deadline
         if late_s > 0:
-            raise self._refusal('no time before the deadline', late_s)
+            raise self._rejection('no time before the deadline', late_s)
         if self._length >= self.limit:
-            self._make_room(account, rate_per_s)
+            self._evict_newest(account, rate_per_s)
         if not account.tickets:
-            account.used = max(account.used, self._level)
-            account.gap_s, account.started_at = 0.0, None
+            account.virtual_s = max(account.virtual_s, self._virtual_now_s)
+            account.interval_s, account.started_at = 0.0, None
         account.tickets.append(ticket)
         self._length += 1
 
@@ -98,12 +98,14 @@
         waiting = [each for each in self._accounts.values() if each.tickets]
         if not waiting:
             return None
-        account = min(waiting, key=lambda each: each.used)
-        self._level = max(self._level, account.used)
+        account = min(waiting, key=lambda each: each.virtual_s)
+        self._virtual_now_s = max(self._virtual_now_s, account.virtual_s)
         if account.started_at is not None:
-            gap_s = now - account.started_at
-            mean_s = account.gap_s or gap_s
-            account.gap_s = mean_s + _NEWEST * (gap_s - mean_s)
+            interval_s = now - account.started_at
+            mean_s = account.interval_s or interval_s
+            account.interval_s = mean_s + _NEWEST_WEIGHT * (
+                interval_s - mean_s
+            )
         account.started_at = now
         self._length -= 1
         return account.tickets.popleft()
@@ -125,27 +127,27 @@
         """
         account = self._account(ticket)
         if not self._length:
-            account.used = max(account.used, self._level)
+            account.virtual_s = max(account.virtual_s, self._virtual_now_s)
         ticket.cost_s = account.mean_s or service_s
-        account.used += ticket.cost_s / account.weight
+        account.virtual_s += ticket.cost_s / account.weight
 
     def observe(self, ticket, took_s):
         """Correct the charge by how long the request took."""
         account = self._account(ticket)
-        account.used += (took_s - ticket.cost_s) / account.weight
+        account.virtual_s += (took_s - ticket.cost_s) / account.weight
         mean_s = account.mean_s or took_s
-        account.mean_s = mean_s + _NEWEST * (took_s - mean_s)
+        account.mean_s = mean_s + _NEWEST_WEIGHT * (took_s - mean_s)
 
     def _account(self, ticket):
         account = self._accounts.get(ticket.account)
         if account is None:
-            self._forget_idle()
-            account = _Account(ticket.account, used=self._level)
+            self._evict_idle_accounts()
+            account = _Account(ticket.account, virtual_s=self._virtual_now_s)
             self._accounts[ticket.account] = account
         account.weight = ticket.weight
         return account
 
-    def _forget_idle(self):
+    def _evict_idle_accounts(self):
         """Drop idle accounts when there are many.
 
         Callers choose account names; each name would stay for ever, and the
@@ -158,7 +160,7 @@
         ]:
             del self._accounts[name]
 
-    def _ahead(self, account):
+    def _count_preceding(self, account):
         """Return how many waiting requests a new one would wait for."""
         place = (len(account.tickets) + 1) / account.weight
         return sum(
@@ -166,26 +168,26 @@
             for each in self._accounts.values()
         )
 
-    def _make_room(self, account, rate_per_s):
+    def _evict_newest(self, account, rate_per_s):
         """Refuse the newest request of the account with the most waiting."""
         heaviest = max(
             self._accounts.values(),
             key=lambda each: len(each.tickets) / each.weight,
         )
         share = len(heaviest.tickets) / heaviest.weight
-        refusal = self._refusal('queue is full', self._length / rate_per_s)
+        rejection = self._rejection('queue is full', self._length / rate_per_s)
         if (len(account.tickets) + 1) / account.weight >= share:
-            raise refusal
+            raise rejection
         evicted = heaviest.tickets.pop()
         self._length -= 1
-        evicted.fut.set_exception(refusal)
+        evicted.fut.set_exception(rejection)
 
-    def _refusal(self, message, after_s):
+    def _rejection(self, message, retry_after_s):
         if not hasattr(self, 'random_state_'):
             self.random_state_ = checks.check_random_state(self.random_state)
         # All who are refused now would come back at the same moment.
-        after_s = max(_MIN_RETRY_S, after_s)
-        after_s *= self.random_state_.uniform(1.0, 1.5)
+        retry_after_s = max(_MIN_RETRY_AFTER_S, retry_after_s)
+        retry_after_s *= self.random_state_.uniform(1.0, 1.5)
         return errors.OverloadedError(
-            message, step='queue', retry_after_s=after_s
+            message, step='queue', retry_after_s=retry_after_s
         )
--- a/catkinshunt/limits/tests/test_admission.py
+++ b/catkinshunt/limits/tests/test_admission.py
@@ -29,7 +29,7 @@
     assert admission.report()['running'] == 2
 
 
-def test_waits_in_a_thread():
+def test_wait_blocks_until_the_request_may_run():
     admission = make_admission()
     first = offer(admission)
     second = offer(admission)
@@ -47,7 +47,7 @@
     thread.join(10)
 
 
-def test_slow_upstream_refuses_what_cannot_end_in_time():
+def test_request_that_cannot_finish_in_time_is_rejected():
     """The upstream has become slow, and requests take a second each.
 
     A request with less time left is refused at once, as not run, rather
@@ -61,7 +61,7 @@
     assert admission.load == 0
 
 
-def test_waiting_request_gives_up_while_it_is_not_run():
+def test_queued_request_is_rejected_before_its_deadline():
     """A request that waits is overtaken until its time is nearly over.
 
     It is refused before its deadline and is never run afterwards.
@@ -75,7 +75,7 @@
     assert admission.load == 0
 
 
-def test_next_that_is_too_late_is_skipped():
+def test_queued_request_that_became_late_is_skipped():
     admission = make_admission()
     first = offer(admission)
     late = offer(admission, deadline=1.5)
@@ -85,7 +85,7 @@
     assert good.fut.done()
 
 
-def test_leaving_refuses_new_and_finishes_old():
+def test_leaving_rejects_new_and_finishes_accepted_requests():
     """The instance is stopped as planned while requests run and wait.
 
     Those are finished; a new one is refused as not run and goes elsewhere.
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -27,7 +27,7 @@
     return ticket.account
 
 
-def test_small_account_is_not_held_up_by_a_flood():
+def test_flood_of_one_account_does_not_delay_another():
     """A large account sends far more than its share at once.
 
     Without fair queues a member's one request would wait behind all of them.
@@ -48,7 +48,7 @@
     assert taken['a'] == pytest.approx(30, abs=2)
 
 
-def test_idle_account_saves_nothing_up():
+def test_idle_account_accumulates_no_credit():
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(50):
         offer(queue, 'a')
@@ -60,7 +60,7 @@
     assert taken['b'] <= 12
 
 
-def test_refused_at_once_when_too_late():
+def test_request_that_would_be_late_is_rejected_at_once():
     """More requests wait than can be done before the deadline.
 
     Taking the request in would let the caller wait for a certain refusal.
@@ -76,7 +76,7 @@
     offer(queue, 'b', deadline=1.05)
 
 
-def test_full_queue_refuses_the_heaviest_newest():
+def test_full_queue_evicts_the_newest_of_the_heaviest_account():
     """The queue is full of one account's requests and another asks.
 
     The newest of the large account gets its refusal at once, as not run, and
@@ -85,15 +85,15 @@
     queue = limits.FairQueue(4, random_state=0)
     tickets = [offer(queue, 'large') for _ in range(4)]
     offer(queue, 'small')
-    refusal = tickets[-1].fut.exception(0)
-    assert isinstance(refusal, errors.OverloadedError)
-    assert refusal.ran == 'no'
+    rejection = tickets[-1].fut.exception(0)
+    assert isinstance(rejection, errors.OverloadedError)
+    assert rejection.ran == 'no'
     assert not any(ticket.fut.done() for ticket in tickets[:-1])
     with pytest.raises(errors.OverloadedError):
         offer(queue, 'large')
 
 
-def test_many_account_names_do_not_stay():
+def test_idle_accounts_are_evicted():
     """A caller makes up an account name for each request.
 
     Each name kept for ever would make the process grow until it is killed.
@@ -107,7 +107,7 @@
 
 @settings(derandomize=True, database=None, max_examples=60)
 @given(st.lists(st.sampled_from(['a', 'b', 'c', 'take', 'drop'])))
-def test_nothing_is_lost(steps):
+def test_no_request_is_lost(steps):
     queue = limits.FairQueue(5, random_state=0)
     waiting, taken = [], []
     for step in steps:
--- a/catkinshunt/retries/_budget.py
+++ b/catkinshunt/retries/_budget.py
@@ -36,7 +36,7 @@
     def offer(self):
         """Count one request, not its retries."""
         with self._lock:
-            self._tokens = self._held() + self.ratio
+            self._tokens = self._available() + self.ratio
 
     def choose(self, reserve=0.0):
         """Take a token for one retry; return whether there was one.
@@ -45,22 +45,22 @@
             reserve: tokens that must be left, for retries that matter more.
         """
         with self._lock:
-            held = self._held()
-            enough = held >= 1 + reserve
-            self._tokens = held - 1 if enough else held
+            available = self._available()
+            enough = available >= 1 + reserve
+            self._tokens = available - 1 if enough else available
             return enough
 
     def has_token(self):
         """Return whether `choose` would give a token now."""
         with self._lock:
-            return self._held() >= 1
+            return self._available() >= 1
 
     def report(self):
         """Return the tokens held."""
         with self._lock:
-            return {'tokens': self._held()}
+            return {'tokens': self._available()}
 
-    def _held(self):
+    def _available(self):
         if self._tokens is None:
             checks.check_fraction(self.ratio, 'ratio')
             checks.check_positive(self.burst, 'burst')
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -71,12 +71,12 @@
             return RetryDecision(False, f'{tries} tries made')
         if deadline - now < self.least_left_s:
             return RetryDecision(False, 'deadline too near')
-        if self.budget is not None and not self._choose(exc):
+        if self.budget is not None and not self._take_token(exc):
             return RetryDecision(False, 'retry budget spent')
         return RetryDecision(
             True, 'not run' if exc.ran == 'no' else 'idempotent'
         )
 
-    def _choose(self, exc):
+    def _take_token(self, exc):
         is_full = isinstance(exc, errors.OverloadedError)
         return self.budget.choose(self.reserve if is_full else 0.0)
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -8,7 +8,7 @@
 #: Processes that are assumed at least. One that has just started knows only
 #: of itself, and would take all retries in the moment before it hears of the
 #: others.
-FEWEST_SHARERS = 4
+MIN_PROCESSES = 4
 #: Seconds for which a larger number counts on. One that lost the store is no
 #: longer listed, but still uses its share.
 HOLD_S = 60.0
@@ -33,17 +33,17 @@
         20.0
     """
 
-    def __init__(self, burst=100.0, fewest=FEWEST_SHARERS, hold_s=HOLD_S):
+    def __init__(self, burst=100.0, fewest=MIN_PROCESSES, hold_s=HOLD_S):
         self.burst = burst
         self.fewest = fewest
         self.hold_s = hold_s
-        self._seen = collections.deque()
+        self._counts = collections.deque()
 
     def observe(self, count, now):
         """Note that `count` processes are alive at `now` seconds."""
-        while self._seen and self._seen[-1][1] <= count:
-            self._seen.pop()
-        self._seen.append((now, count))
+        while self._counts and self._counts[-1][1] <= count:
+            self._counts.pop()
+        self._counts.append((now, count))
 
     def choose(self, now):
         """Return the retries that this process may keep at `now` seconds."""
@@ -51,7 +51,9 @@
         checks.check_positive(self.fewest, 'fewest')
         # The largest number is first, and the last one holds until another
         # is seen.
-        while len(self._seen) > 1 and self._seen[1][0] <= now - self.hold_s:
-            self._seen.popleft()
-        sharers = max([self.fewest, *(count for _, count in self._seen)])
-        return max(1.0, self.burst / sharers)
+        while (
+            len(self._counts) > 1 and self._counts[1][0] <= now - self.hold_s
+        ):
+            self._counts.popleft()
+        processes = max([self.fewest, *(count for _, count in self._counts)])
+        return max(1.0, self.burst / processes)
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    'exc, idempotent, again',
+    'exc, idempotent, expected',
     [
         (REFUSED, True, True),
         (REFUSED, False, True),
@@ -26,26 +26,26 @@
         (WRONG, True, False),
     ],
 )
-def test_what_may_be_tried_again(exc, idempotent, again):
+def test_only_harmless_retries_are_allowed(exc, idempotent, expected):
     """An upstream dies, and the entry can't always tell what it had done.
 
     Sending a booking again that may have run books twice.
     """
     policy = retries.RetryPolicy(retries.Budget())
     verdict = policy.check(exc, idempotent, tries=1, deadline=9.0, now=0.0)
-    assert verdict.should_retry is again
+    assert verdict.should_retry is expected
     assert verdict.grounds
 
 
 @pytest.mark.parametrize('tries, left_s', [(3, 9.0), (1, 0.01), (1, -1.0)])
-def test_no_try_in_vain(tries, left_s):
+def test_no_retry_after_last_attempt_or_near_deadline(tries, left_s):
     policy = retries.RetryPolicy(retries.Budget())
     assert not policy.check(
         REFUSED, True, tries, 5.0 + left_s, 5.0
     ).should_retry
 
 
-def test_spent_budget_is_said():
+def test_spent_budget_is_reported():
     policy = retries.RetryPolicy(retries.Budget(ratio=0.1, burst=1.0))
     assert policy.check(REFUSED, True, 1, 9.0, 0.0).should_retry
     verdict = policy.check(REFUSED, True, 1, 9.0, 0.0)
@@ -67,12 +67,12 @@
     assert used <= 5 + 0.1 * len(wanted) + 1e-6
 
 
-def test_wrong_ratio_is_named():
+def test_invalid_ratio_is_named():
     with pytest.raises(ValueError, match='ratio'):
         retries.Budget(ratio=2).offer()
 
 
-def test_refusals_of_full_upstreams_leave_tokens_for_others():
+def test_rejections_by_full_upstreams_leave_reserved_tokens():
     """In a burst all engines are full, and then one stands still.
 
     With the budget spent on engines that had no room, the requests at the
--- a/catkinshunt/retries/tests/test_shares.py
+++ b/catkinshunt/retries/tests/test_shares.py
@@ -7,13 +7,13 @@
     )
 
 
-def test_few_processes_have_a_large_share_each():
+def test_burst_is_divided_by_the_number_of_processes():
     share = make_share()
     share.observe(4, now=0.0)
     assert share.choose(now=1.0) == 25.0
 
 
-def test_a_process_that_just_started_does_not_take_all():
+def test_started_process_does_not_take_the_whole_burst():
     """It knows only of itself until it hears of the others.
 
     In a restart of all processes each would keep the whole burst, and the
@@ -25,7 +25,7 @@
     assert share.choose(now=0.2) == 25.0
 
 
-def test_a_process_that_lost_the_store_still_counts():
+def test_process_that_lost_its_lease_still_counts():
     """Its lease ends while it still serves, with its share of retries."""
     share = make_share()
     share.observe(5, now=0.0)
@@ -34,20 +34,20 @@
     assert share.choose(now=161.0) == 25.0
 
 
-def test_one_that_comes_counts_at_once():
+def test_new_process_counts_at_once():
     share = make_share()
     share.observe(4, now=0.0)
     share.observe(5, now=1.0)
     assert share.choose(now=1.0) == 20.0
 
 
-def test_the_last_number_holds():
+def test_last_count_does_not_expire():
     share = make_share()
     share.observe(10, now=0.0)
     assert share.choose(now=1e6) == 10.0
 
 
-def test_a_smaller_burst_binds_a_budget_in_use():
+def test_smaller_burst_limits_a_budget_in_use():
     """An entry that hears of others must not spend what it had alone."""
     budget = retries.Budget(ratio=0.1, burst=10.0)
     assert budget.choose()
