--- a/catkinshunt/limits/__init__.py
+++ b/catkinshunt/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of requests beside one upstream: limits and fair queues."""
+"""Admission control of one upstream: concurrency limit and fair queues."""
 
 from catkinshunt.limits._admission import Admission
 from catkinshunt.limits._fair import FairQueue
--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -1,4 +1,4 @@
-"""Lets requests through to one upstream, a bounded number at a time."""
+"""Concurrency limit for requests to one upstream."""
 
 from concurrent import futures
 import math
@@ -8,16 +8,16 @@
 from catkinshunt import checks
 from catkinshunt import errors
 
-#: Weight of the newest service time in the mean.
+#: Weight of the newest service time in the running mean.
 _NEWEST_WEIGHT = 0.05
 
 
 class Admission(shared.ParamsMixin):
-    """Holds requests back until the upstream has a place for them.
+    """Queues requests beyond the concurrency limit of an upstream.
 
     Args:
         queue: a `BaseQueue`.
-        concurrency: requests that the upstream gets at a time.
+        concurrency: maximum number of requests that run at a time.
 
     Examples:
         >>> from catkinshunt import limits
@@ -45,15 +45,15 @@
 
     @property
     def load(self):
-        """Requests that run or wait."""
+        """Number of running and waiting requests."""
         return self._running + len(self.queue)
 
     def offer(self, ticket, now):
-        """Take a request in; its future is done when it may run.
+        """Start or queue a request; its future is done when it may run.
 
         Raises:
-            LeavingError: this process takes no new work.
-            OverloadedError: there is no place for it in time.
+            LeavingError: this process accepts no new requests.
+            OverloadedError: the request was rejected.
         """
         checks.check_positive(self.concurrency, 'concurrency')
         with self._lock:
@@ -73,7 +73,7 @@
         """Wait until an offered request may run.
 
         Raises:
-            OverloadedError: it was refused later, or time ran out.
+            OverloadedError: it was rejected while queued, or too late.
         """
         left_s = max(0.0, ticket.deadline - self._upper_service_s - now)
         try:
@@ -86,15 +86,15 @@
             backlog_s = len(self.queue) / self._rate()
         if removed:
             raise errors.OverloadedError(
-                'no time left before the deadline',
+                'too late to finish before the deadline',
                 step='queue',
                 retry_after_s=max(self._service_s, backlog_s),
             )
-        # It was let through or refused in the same moment.
+        # It was started or rejected just now.
         ticket.fut.result()
 
     def observe(self, ticket, now):
-        """Take note that a request has ended, and let the next through."""
+        """Record that a request has ended, and start queued ones."""
         took_s = max(0.0, now - ticket.began_at)
         with self._lock:
             self._running -= 1
@@ -105,17 +105,17 @@
                 self._idle.notify_all()
 
     def leave(self):
-        """Refuse new requests from now on; those that wait are still done."""
+        """Reject new requests from now on; queued ones still run."""
         with self._lock:
             self._leaving = True
 
     def join(self, timeout_s):
-        """Wait until nothing runs or waits; return whether that is so."""
+        """Wait until no request runs or waits; return whether that is so."""
         with self._lock:
             return self._idle.wait_for(lambda: not self._running, timeout_s)
 
     def report(self):
-        """Return running and waiting requests and the mean service time."""
+        """Return the running and waiting requests and the mean service time."""
         with self._lock:
             return {
                 'running': self._running,
@@ -125,7 +125,7 @@
 
     @property
     def _upper_service_s(self):
-        """Time that nearly every request needs: mean and two deviations."""
+        """Upper bound of most service times: mean plus two deviations."""
         return self._service_s + 2 * self._deviation_s
 
     def _update_service_time(self, took_s):
@@ -146,7 +146,7 @@
         late_s = now + self._upper_service_s - ticket.deadline
         if late_s > 0:
             raise errors.OverloadedError(
-                'no time before the deadline',
+                'cannot finish before the deadline',
                 step='queue',
                 retry_after_s=late_s,
             )
@@ -165,7 +165,7 @@
             try:
                 self._check_deadline(ticket, now)
             except errors.OverloadedError as exc:
-                # Running it would end after its deadline and hold up others.
+                # It would end after its deadline and delay others.
                 ticket.fut.set_exception(exc)
                 continue
             self._start(ticket, now)
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -1,4 +1,4 @@
-"""Fair queues for accounts, bounded by deadlines."""
+"""Weighted fair queue over accounts, limited by deadlines."""
 
 import collections
 
@@ -8,11 +8,11 @@
 from catkinshunt import errors
 from catkinshunt.limits import base
 
-#: Weight of the newest service time in an account's mean.
+#: Weight of the newest service time in the running mean of an account.
 _NEWEST_WEIGHT = 0.2
-#: Accounts without waiting requests that are remembered.
+#: Accounts from which on those without waiting requests are evicted.
 _MAX_IDLE_ACCOUNTS = 1024
-#: Shortest hint when to come back, in seconds.
+#: Shortest retry time of a rejected request, in seconds.
 _MIN_RETRY_AFTER_S = 0.05
 
 
@@ -20,28 +20,28 @@
 class _Account:
     name: str
     weight: float = 1.0
-    #: Service time used, over the weight: the smallest is next.
+    #: Virtual time: service time divided by the weight. The least is next.
     virtual_s: float = 0.0
     mean_s: float = 0.0
-    #: Mean time between starts since the account has had waiting requests.
+    #: Mean time between starts while the account has waiting requests.
     interval_s: float = 0.0
     started_at: float | None = None
     tickets: collections.deque = attrs.field(factory=collections.deque)
 
 
 class FairQueue(base.BaseQueue):
-    """Gives each account its share of the service time.
+    """Shares the service time among accounts by their weights.
 
     Of the accounts with waiting requests, the one that has used the least
-    service time for its weight is next; one that was idle starts level with
-    the others and saves nothing up. A request joins only if those that go
-    before it leave time to do it before its deadline, so the length is
-    bounded by deadlines, and refusals come at once.
+    service time relative to its weight is next. An account that was idle
+    starts at the virtual time of the others and accumulates no credit. A
+    request is queued only if it can finish before its deadline after those
+    that go before it; otherwise it is rejected at once.
 
     Args:
-        limit: most requests that wait, whatever their deadlines.
-        random_state: seed or `random.Random`; spreads the times at which
-            refused callers come back.
+        limit: maximum number of waiting requests.
+        random_state: seed or `random.Random` that spreads the retry times of
+            rejected requests.
 
     Examples:
         >>> queue = FairQueue(random_state=0)
@@ -62,29 +62,32 @@
         self.random_state = random_state
         self._accounts = {}
         self._length = 0
-        #: Service time that the last account to start had used.
+        #: Virtual time of the account that started last.
         self._virtual_now_s = 0.0
 
     def __len__(self):
         return self._length
 
     def offer(self, ticket, rate_per_s, service_s, now):
-        """Take a request in, or refuse it or the heaviest account's newest.
+        """Enqueue a request.
+
+        If the queue is full, it or the newest request of the heaviest account
+        is rejected.
 
         Raises:
-            OverloadedError: no time before the deadline, or no room.
+            OverloadedError: it cannot finish in time, or the queue is full.
         """
         checks.check_positive(ticket.weight, 'weight')
         account = self._account(ticket)
-        # Accounts whose requests come later may still go before it; how fast
-        # its account got through of late tells how many.
+        # Later requests of other accounts may still go before it; the recent
+        # interval between starts of its account accounts for these.
         wait_s = max(
             self._count_preceding(account) / rate_per_s,
             (len(account.tickets) + 1) * account.interval_s,
         )
         late_s = now + wait_s + service_s - ticket.deadline
         if late_s > 0:
-            raise self._rejection('no time before the deadline', late_s)
+            raise self._rejection('cannot finish before the deadline', late_s)
         if self._length >= self.limit:
             self._evict_newest(account, rate_per_s)
         if not account.tickets:
@@ -94,7 +97,7 @@
         self._length += 1
 
     def choose(self, now):
-        """Return the first request of the account that used the least."""
+        """Remove and return the oldest request of the next account, or None."""
         waiting = [each for each in self._accounts.values() if each.tickets]
         if not waiting:
             return None
@@ -111,7 +114,7 @@
         return account.tickets.popleft()
 
     def remove(self, ticket):
-        """Drop a waiting request."""
+        """Remove a waiting request."""
         account = self._accounts.get(ticket.account)
         if account is None or ticket not in account.tickets:
             return False
@@ -120,10 +123,10 @@
         return True
 
     def begin(self, ticket, service_s):
-        """Charge an account for a request that starts.
+        """Charge the account of a request that starts.
 
-        Charging only at the end would let an account start many long ones
-        at once before any of them counts.
+        Charged only at the end, an account could start many long requests
+        before any of them counts.
         """
         account = self._account(ticket)
         if not self._length:
@@ -132,7 +135,7 @@
         account.virtual_s += ticket.cost_s / account.weight
 
     def observe(self, ticket, took_s):
-        """Correct the charge by how long the request took."""
+        """Correct the charge by the service time of the request."""
         account = self._account(ticket)
         account.virtual_s += (took_s - ticket.cost_s) / account.weight
         mean_s = account.mean_s or took_s
@@ -148,10 +151,9 @@
         return account
 
     def _evict_idle_accounts(self):
-        """Drop idle accounts when there are many.
+        """Remove idle accounts when there are many.
 
-        Callers choose account names; each name would stay for ever, and the
-        operators would see the memory grow.
+        Clients choose account names, so memory would grow without limit.
         """
         if len(self._accounts) < _MAX_IDLE_ACCOUNTS:
             return
@@ -161,7 +163,7 @@
             del self._accounts[name]
 
     def _count_preceding(self, account):
-        """Return how many waiting requests a new one would wait for."""
+        """Return the number of waiting requests that go before a new one."""
         place = (len(account.tickets) + 1) / account.weight
         return sum(
             min(len(each.tickets), place * each.weight)
@@ -169,7 +171,7 @@
         )
 
     def _evict_newest(self, account, rate_per_s):
-        """Refuse the newest request of the account with the most waiting."""
+        """Reject the newest request of the account with the most waiting."""
         heaviest = max(
             self._accounts.values(),
             key=lambda each: len(each.tickets) / each.weight,
@@ -185,7 +187,7 @@
     def _rejection(self, message, retry_after_s):
         if not hasattr(self, 'random_state_'):
             self.random_state_ = checks.check_random_state(self.random_state)
-        # All who are refused now would come back at the same moment.
+        # Without the spread, clients rejected now would retry all at once.
         retry_after_s = max(_MIN_RETRY_AFTER_S, retry_after_s)
         retry_after_s *= self.random_state_.uniform(1.0, 1.5)
         return errors.OverloadedError(
--- a/catkinshunt/limits/_fifo.py
+++ b/catkinshunt/limits/_fifo.py
@@ -1,4 +1,4 @@
-"""First come, first served: the baseline of the benchmarks."""
+"""First-in, first-out queue: the baseline of the benchmarks."""
 
 import collections
 
@@ -7,10 +7,10 @@
 
 
 class FifoQueue(base.BaseQueue):
-    """One queue for all accounts, bounded in length only.
+    """One queue for all accounts, limited only in length.
 
     Args:
-        limit: most requests that wait.
+        limit: maximum number of waiting requests.
     """
 
     def __init__(self, limit=64):
@@ -21,10 +21,10 @@
         return len(self._tickets)
 
     def offer(self, ticket, rate_per_s, service_s, now):
-        """Take a request in while there is room."""
+        """Enqueue a request unless the queue is full."""
         if len(self._tickets) >= self.limit:
             raise errors.OverloadedError(
-                f'{self.limit} requests wait',
+                f'queue is full: {self.limit} requests',
                 step='queue',
                 retry_after_s=len(self._tickets) / rate_per_s,
             )
@@ -35,7 +35,7 @@
         return self._tickets.popleft() if self._tickets else None
 
     def remove(self, ticket):
-        """Drop a waiting request."""
+        """Remove a waiting request."""
         if ticket not in self._tickets:
             return False
         self._tickets.remove(ticket)
--- a/catkinshunt/limits/base.py
+++ b/catkinshunt/limits/base.py
@@ -1,4 +1,4 @@
-"""Requests that wait beside an upstream, and the base class of queues."""
+"""Queued requests and the base class of queues."""
 
 import abc
 from concurrent import futures
@@ -10,17 +10,17 @@
 
 @attrs.define(eq=False)
 class Ticket:
-    """One request that wants to run.
+    """One request that is to run.
 
     Attributes:
         request_id: identifier of the request.
-        account: who it is for.
-        deadline: when its answer must be whole, in seconds, monotonic.
-        weight: share of its account against others.
-        offered_at: when it came.
-        began_at: when it was let through.
-        cost_s: service time that its account was charged in advance.
-        fut: done when it may run; holds the error when it is refused.
+        account: client account of the request.
+        deadline: when its answer must be complete, in seconds, monotonic.
+        weight: weight of its account.
+        offered_at: when it was offered.
+        began_at: when it was started.
+        cost_s: service time that its account was charged at the start.
+        fut: done when it may run; holds the error if it is rejected.
     """
 
     request_id: str
@@ -34,27 +34,27 @@
 
 
 class BaseQueue(base.ParamsMixin, abc.ABC):
-    """Holds the requests that wait, and says which is next.
+    """Holds waiting requests and chooses the next one.
 
-    A queue is not safe for threads; `Admission` holds a lock around it.
+    A queue is not thread-safe; `Admission` holds a lock around it.
     """
 
     @abc.abstractmethod
     def __len__(self):
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
 
     @abc.abstractmethod
     def offer(self, ticket, rate_per_s, service_s, now):
-        """Take a request in, and refuse what there is no place for.
+        """Enqueue a request, or reject it or another one.
 
         Args:
             ticket: the `Ticket`.
-            rate_per_s: requests that end in a second; infinite if unknown.
-            service_s: time that one request takes, as far as known.
+            rate_per_s: requests that end per second; infinite if unknown.
+            service_s: estimated service time of one request, in seconds.
             now: seconds, monotonic.
 
         Raises:
-            OverloadedError: the request was not taken in.
+            OverloadedError: the request was rejected.
         """
 
     @abc.abstractmethod
@@ -63,10 +63,10 @@
 
     @abc.abstractmethod
     def remove(self, ticket):
-        """Drop a waiting request; return whether it was there."""
+        """Remove a waiting request; return whether it was there."""
 
     def begin(self, ticket, service_s):  # noqa: B027
-        """Take note that a request starts without having waited."""
+        """Record that a request starts, whether it waited or not."""
 
     def observe(self, ticket, took_s):  # noqa: B027
-        """Take note of how long a request took."""
+        """Record the service time of a request that ended."""
--- a/catkinshunt/limits/tests/test_admission.py
+++ b/catkinshunt/limits/tests/test_admission.py
@@ -50,8 +50,8 @@
 def test_request_that_cannot_finish_in_time_is_rejected():
     """The upstream has become slow, and requests take a second each.
 
-    A request with less time left is refused at once, as not run, rather
-    than started in vain; its caller may still find a place elsewhere.
+    A request with less time left is rejected at once as not run, so that it
+    can be retried elsewhere.
     """
     admission = make_admission()
     admission.observe(offer(admission), 1.0)
@@ -62,9 +62,9 @@
 
 
 def test_queued_request_is_rejected_before_its_deadline():
-    """A request that waits is overtaken until its time is nearly over.
+    """A queued request is overtaken until it can no longer finish in time.
 
-    It is refused before its deadline and is never run afterwards.
+    It is rejected before its deadline and never run afterwards.
     """
     admission = make_admission()
     first = offer(admission)
@@ -86,9 +86,9 @@
 
 
 def test_leaving_rejects_new_and_finishes_accepted_requests():
-    """The instance is stopped as planned while requests run and wait.
+    """The instance is stopped while requests run and wait.
 
-    Those are finished; a new one is refused as not run and goes elsewhere.
+    Those are finished; a new one is rejected as not run.
     """
     admission = make_admission()
     first, second = offer(admission), offer(admission)
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -28,9 +28,9 @@
 
 
 def test_flood_of_one_account_does_not_delay_another():
-    """A large account sends far more than its share at once.
+    """One account sends far more requests than its share at once.
 
-    Without fair queues a member's one request would wait behind all of them.
+    In one queue the request of another account would wait behind all of them.
     """
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(60):
@@ -61,9 +61,9 @@
 
 
 def test_request_that_would_be_late_is_rejected_at_once():
-    """More requests wait than can be done before the deadline.
+    """More requests wait than can be served before the deadline.
 
-    Taking the request in would let the caller wait for a certain refusal.
+    A queued request would be rejected in any case, but later.
     """
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(10):
@@ -77,10 +77,10 @@
 
 
 def test_full_queue_evicts_the_newest_of_the_heaviest_account():
-    """The queue is full of one account's requests and another asks.
+    """The queue is full of requests of one account when another sends one.
 
-    The newest of the large account gets its refusal at once, as not run, and
-    the small account's caller is served in turn.
+    The newest request of the large account is rejected as not run, and the
+    request of the small account is queued.
     """
     queue = limits.FairQueue(4, random_state=0)
     tickets = [offer(queue, 'large') for _ in range(4)]
@@ -94,9 +94,9 @@
 
 
 def test_idle_accounts_are_evicted():
-    """A caller makes up an account name for each request.
+    """A client uses a new account name for each request.
 
-    Each name kept for ever would make the process grow until it is killed.
+    If all were kept, memory would grow until the process is killed.
     """
     queue = limits.FairQueue(random_state=0)
     for i in range(5000):
