--- a/catkinshunt/rendezvous.py
+++ b/catkinshunt/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: an order of names that needs no agreement."""
+"""Rendezvous hashing: an order of names without coordination."""
 
 import hashlib
 
@@ -6,17 +6,17 @@
 
 
 def score(key, name):
-    """Return the weight of `name` for `key`, equal in every process."""
+    """Return the score of `name` for `key`; equal in all processes."""
     text = f'{key}\0{name}'.encode()
     digest = hashlib.blake2b(text, digest_size=_SCORE_BYTES).digest()
     return int.from_bytes(digest, 'big')
 
 
 def rank(key, names):
-    """Return `names` in the order of their weights for `key`.
+    """Return `names` in the order of their scores for `key`.
 
-    A name that joins or leaves moves no other pair of names, so processes
-    whose lists differ by a few names still agree on nearly all.
+    Adding or removing a name does not change the order of the others, so
+    processes whose lists differ by a few names still agree on nearly all.
 
     Examples:
         >>> order = rank('configuration', ['a', 'b', 'c'])
--- a/catkinshunt/retries/__init__.py
+++ b/catkinshunt/retries/__init__.py
@@ -1,4 +1,4 @@
-"""What may be tried again, and how much of it."""
+"""Retry policy and retry budgets."""
 
 from catkinshunt.retries._budget import Budget
 from catkinshunt.retries._policy import RetryDecision
--- a/catkinshunt/retries/_budget.py
+++ b/catkinshunt/retries/_budget.py
@@ -1,4 +1,4 @@
-"""Bounds retries to a share of the requests."""
+"""Limit of retries to a share of the requests."""
 
 import threading
 
@@ -7,16 +7,16 @@
 
 
 class Budget(base.ParamsMixin):
-    """Earns a part of a token by each request; a retry costs one.
+    """Token bucket: requests add fractions of a token, a retry takes one.
 
-    In an outage of many upstreams nearly every request would be sent again,
-    and again, and the load would keep the rest from recovering. With the
-    budget the load stays below the requests times one plus `ratio`.
+    In an outage of many upstreams nearly every request would be retried, and
+    the load would keep the other upstreams from recovering. The budget limits
+    the load to the number of requests times `1 + ratio`, plus the burst.
 
     Args:
-        ratio: tokens that one request earns.
-        burst: most tokens kept, so that a long quiet time does not allow a
-            flood of retries.
+        ratio: tokens added by one request.
+        burst: maximum number of tokens, so that a long time without retries
+            does not allow a flood of them.
 
     Examples:
         >>> budget = Budget(ratio=0.5, burst=1)
@@ -34,7 +34,7 @@
         self._tokens = None
 
     def offer(self):
-        """Count one request, not its retries."""
+        """Add the tokens of one request; not called for its retries."""
         with self._lock:
             self._tokens = self._available() + self.ratio
 
@@ -42,7 +42,7 @@
         """Take a token for one retry; return whether there was one.
 
         Args:
-            reserve: tokens that must be left, for retries that matter more.
+            reserve: tokens that must remain, for retries of higher priority.
         """
         with self._lock:
             available = self._available()
@@ -51,12 +51,12 @@
             return enough
 
     def has_token(self):
-        """Return whether `choose` would give a token now."""
+        """Return whether `choose` would take a token now."""
         with self._lock:
             return self._available() >= 1
 
     def report(self):
-        """Return the tokens held."""
+        """Return the available tokens."""
         with self._lock:
             return {'tokens': self._available()}
 
@@ -64,8 +64,8 @@
         if self._tokens is None:
             checks.check_fraction(self.ratio, 'ratio')
             checks.check_positive(self.burst, 'burst')
-            # A new process may retry at once: an upstream that leaves in its
-            # first seconds would otherwise cost its callers a refusal.
+            # Starts full, so that requests can be retried if an upstream
+            # stops in the first seconds of this process.
             self._tokens = float(self.burst)
-        # The burst may be set anew while the budget is in use.
+        # The burst can be lowered while the budget is in use.
         return min(self.burst, self._tokens)
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -1,4 +1,4 @@
-"""Decides whether a failed try of a request is made again elsewhere."""
+"""Decision whether a failed attempt of a request is retried."""
 
 import attrs
 
@@ -9,23 +9,23 @@
 
 @attrs.frozen
 class RetryDecision:
-    """Whether to try again, and the grounds for the log."""
+    """Whether to retry, and the grounds for the log."""
 
     should_retry: bool
     grounds: str
 
 
 class RetryPolicy(base.ParamsMixin):
-    """Allows a retry only where it can do no harm and may do good.
+    """Allows retries that are safe and can still succeed.
 
     Args:
-        budget: a `Budget`, or None for no bound, the benchmark's baseline.
-        max_tries: most tries of one request, the first one counted.
-        least_left_s: time to the deadline below which a try is in vain.
-        reserve: tokens of the budget that refusals for want of room leave
-            to other failures. In a burst most engines are full, and these
-            retries seldom help; when an engine then stands still, its
-            requests can only move with what is left.
+        budget: a `Budget`, or None for no limit, as in benchmarks.
+        max_tries: maximum number of attempts, including the first one.
+        least_left_s: time to the deadline below which no retry is made.
+        reserve: tokens of the budget that retries after rejections by full
+            upstreams leave to other failures. In a burst most engines are
+            full and such retries seldom help; if an engine then stops
+            responding, the remaining tokens let its requests be retried.
 
     Examples:
         >>> from catkinshunt import errors
@@ -52,19 +52,19 @@
             self.budget.offer()
 
     def check(self, exc, idempotent, tries, deadline, now):
-        """Return the `RetryDecision` on a request whose last try failed.
+        """Return the `RetryDecision` on a request whose last attempt failed.
 
         Args:
-            exc: the `errors.RequestError` of the last try; its `ran` says
-                whether the request ran.
-            idempotent: whether running it twice does no harm.
-            tries: tries made so far.
-            deadline: of the request, in seconds, monotonic.
+            exc: the `errors.RequestError` of the last attempt; its `ran`
+                tells whether the request ran.
+            idempotent: whether the request may safely run twice.
+            tries: attempts so far.
+            deadline: deadline of the request, in seconds, monotonic.
             now: seconds, monotonic.
         """
         checks.check_positive(self.max_tries, 'max_tries')
         if exc.status == 400:
-            return RetryDecision(False, 'wrong everywhere')
+            return RetryDecision(False, 'invalid request')
         if exc.ran != 'no' and not idempotent:
             return RetryDecision(False, 'may have run')
         if tries >= self.max_tries:
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -1,30 +1,29 @@
-"""Shares out the retries that processes may use together."""
+"""Division of a burst of retries among processes."""
 
 import collections
 
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Processes that are assumed at least. One that has just started knows only
-#: of itself, and would take all retries in the moment before it hears of the
-#: others.
+#: Least number of processes assumed. A process that has just started sees no
+#: others yet and would use the whole burst.
 MIN_PROCESSES = 4
-#: Seconds for which a larger number counts on. One that lost the store is no
-#: longer listed, but still uses its share.
+#: Seconds for which a larger count is kept. A process that lost its connection
+#: to the store is no longer listed but still uses its share.
 HOLD_S = 60.0
 
 
 class BurstShare(base.ParamsMixin):
-    """Tells one process how much of a common burst of retries is its own.
+    """Share of one process in a burst of retries allowed for all processes.
 
-    The number of processes changes while they run. A fixed share for the
-    largest number leaves small deployments with a part of what they may use,
-    and their callers without an answer when engines stand still.
+    The number of processes changes at run time. A fixed share for the largest
+    deployment would leave small ones with too few retries when engines stop
+    responding.
 
     Args:
         burst: retries that all processes together may use at once.
-        fewest: processes that are assumed at least.
-        hold_s: seconds for which a larger number counts on.
+        fewest: least number of processes assumed.
+        hold_s: seconds for which a larger count is kept.
 
     Examples:
         >>> share = BurstShare(burst=100.0)
@@ -40,17 +39,17 @@
         self._counts = collections.deque()
 
     def observe(self, count, now):
-        """Note that `count` processes are alive at `now` seconds."""
+        """Record that `count` processes are alive at `now` seconds."""
         while self._counts and self._counts[-1][1] <= count:
             self._counts.pop()
         self._counts.append((now, count))
 
     def choose(self, now):
-        """Return the retries that this process may keep at `now` seconds."""
+        """Return the burst of this process at `now` seconds, at least 1."""
         checks.check_positive(self.burst, 'burst')
         checks.check_positive(self.fewest, 'fewest')
-        # The largest number is first, and the last one holds until another
-        # is seen.
+        # Counts decrease from the first to the last, which does not expire
+        # before a newer one is recorded.
         while (
             len(self._counts) > 1 and self._counts[1][0] <= now - self.hold_s
         ):
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget and of what may be retried."""
+"""Tests of the retry budget and the retry policy."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -27,9 +27,9 @@
     ],
 )
 def test_only_harmless_retries_are_allowed(exc, idempotent, expected):
-    """An upstream dies, and the entry can't always tell what it had done.
+    """An upstream dies, and it is not known which requests ran.
 
-    Sending a booking again that may have run books twice.
+    A retried booking that had run would be made twice.
     """
     policy = retries.RetryPolicy(retries.Budget())
     verdict = policy.check(exc, idempotent, tries=1, deadline=9.0, now=0.0)
@@ -55,9 +55,9 @@
 @settings(derandomize=True, database=None, max_examples=50)
 @given(st.lists(st.integers(0, 5), max_size=200))
 def test_retries_stay_within_the_ratio(wanted):
-    """Half of the upstreams are out and all requests fail again and again.
+    """Half of the upstreams are down and many attempts fail.
 
-    The retries beyond the burst never exceed a tenth of the requests.
+    Retries beyond the burst never exceed a tenth of the requests.
     """
     budget = retries.Budget(ratio=0.1, burst=5.0)
     used = 0
@@ -73,10 +73,10 @@
 
 
 def test_rejections_by_full_upstreams_leave_reserved_tokens():
-    """In a burst all engines are full, and then one stands still.
+    """In a burst all engines are full, and then one stops responding.
 
-    With the budget spent on engines that had no room, the requests at the
-    one that stands still could not move, and their callers left.
+    With the budget spent on retries at full engines, the requests of the
+    unresponsive one could not be retried elsewhere.
     """
     budget = retries.Budget(ratio=0.1, burst=4.0)
     policy = retries.RetryPolicy(budget, reserve=2.0)
--- a/catkinshunt/retries/tests/test_shares.py
+++ b/catkinshunt/retries/tests/test_shares.py
@@ -14,10 +14,9 @@
 
 
 def test_started_process_does_not_take_the_whole_burst():
-    """It knows only of itself until it hears of the others.
+    """A process sees only itself until the others are listed.
 
-    In a restart of all processes each would keep the whole burst, and the
-    upstreams would get it many times over.
+    After a restart of all processes each would use the whole burst.
     """
     share = make_share(fewest=4)
     share.observe(0, now=0.0)
@@ -26,7 +25,7 @@
 
 
 def test_process_that_lost_its_lease_still_counts():
-    """Its lease ends while it still serves, with its share of retries."""
+    """Its lease expires while it still serves and retries."""
     share = make_share()
     share.observe(5, now=0.0)
     share.observe(4, now=100.0)
@@ -48,7 +47,7 @@
 
 
 def test_smaller_burst_limits_a_budget_in_use():
-    """An entry that hears of others must not spend what it had alone."""
+    """The tokens of an entry are cut when its share gets smaller."""
     budget = retries.Budget(ratio=0.1, burst=10.0)
     assert budget.choose()
     budget.burst = 2.0
