--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -115,7 +115,7 @@
             return self._idle.wait_for(lambda: not self._running, timeout_s)
 
     def report(self):
-        """Return the running and waiting requests and the mean service time."""
+        """Return the counts of requests and the mean service time."""
         with self._lock:
             return {
                 'running': self._running,
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -97,7 +97,7 @@
         self._length += 1
 
     def choose(self, now):
-        """Remove and return the oldest request of the next account, or None."""
+        """Dequeue the oldest request of the account that is next, or None."""
         waiting = [each for each in self._accounts.values() if each.tickets]
         if not waiting:
             return None
