--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -82,12 +82,12 @@
         other.tokens_in for other in preceding if not other.answering
     )
     waiting = state.load.waiting if state.load and others else 0
-    prefill_tokens += min(waiting, others) * engine.usual_prompt
-    prefill_s = (prefill_tokens + job.tokens_in) / engine.read_tokens_per_s
-    step_s = engine.step_s + engine.per_request_s * min(count, slots)
-    pass_s = engine.stride * step_s
+    prefill_tokens += min(waiting, others) * engine.mean_prompt_tokens
+    prefill_s = (prefill_tokens + job.tokens_in) / engine.prefill_tokens_per_s
+    step_s = engine.step_s + engine.step_s_per_request * min(count, slots)
+    pass_s = engine.steps_per_pass * step_s
     excess = max(0.0, count + 1 - slots)
-    answer_s = engine.usual_answer * step_s * 1.5
+    answer_s = engine.mean_output_tokens * step_s * 1.5
     return prefill_s + pass_s * (1 + count / slots) + excess * answer_s / slots
 
 
@@ -106,7 +106,7 @@
 
 def prefill_s(engine, job):
     """Return the seconds that an engine takes to prefill `job`."""
-    return job.tokens_in / engine.read_tokens_per_s
+    return job.tokens_in / engine.prefill_tokens_per_s
 
 
 def occupancy_s(engine, job):
@@ -118,17 +118,17 @@
         engine: `catalog.EngineProfile`.
         job: `Job` that is to be sent.
     """
-    tokens = job.tokens_out or engine.usual_answer
-    passes = tokens / engine.stride
+    tokens = job.tokens_out or engine.mean_output_tokens
+    passes = tokens / engine.steps_per_pass
     pass_s = _full_pass_s(engine) + PREFILLS_PER_PASS * (
-        engine.usual_prompt / engine.read_tokens_per_s
+        engine.mean_prompt_tokens / engine.prefill_tokens_per_s
     )
     return first_token_s(engine, job) + passes * pass_s
 
 
 def _full_pass_s(engine):
-    step_s = engine.step_s + engine.per_request_s * engine.slots
-    return engine.stride * step_s
+    step_s = engine.step_s + engine.step_s_per_request * engine.slots
+    return engine.steps_per_pass * step_s
 
 
 class Chooser(base.ParamsMixin):
--- a/catkinshunt/gateway/__init__.py
+++ b/catkinshunt/gateway/__init__.py
@@ -9,8 +9,8 @@
 from catkinshunt.gateway._gateway import Gateway
 from catkinshunt.gateway._metrics import GatewayMetrics
 from catkinshunt.gateway.base import BaseDialect
-from catkinshunt.gateway.base import Forward
-from catkinshunt.gateway.base import ReplyNote
+from catkinshunt.gateway.base import AttemptInfo
+from catkinshunt.gateway.base import ReplyInfo
 from catkinshunt.gateway.base import RequestInfo
 
 __all__ = [
@@ -19,10 +19,10 @@
     'Decision',
     'EventSplitter',
     'Exchange',
-    'Forward',
+    'AttemptInfo',
     'Gateway',
     'GatewayMetrics',
-    'ReplyNote',
+    'ReplyInfo',
     'RequestInfo',
     'StaleError',
     'decide',
--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -22,7 +22,7 @@
 from catkinshunt.places._messages import PermitRejected
 from catkinshunt.places._messages import PermitRelease
 from catkinshunt.places._messages import PermitRequest
-from catkinshunt.places._messages import UnreadableError
+from catkinshunt.places._messages import DecodeError
 from catkinshunt.places._server import PermitServer
 from catkinshunt.places.base import BaseAdmission
 
@@ -44,7 +44,7 @@
     'PermitRequest',
     'PermitServer',
     'ReloadingError',
-    'UnreadableError',
+    'DecodeError',
     'dump',
     'load',
 ]
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -168,7 +168,7 @@
         """Handle one message of a sidecar."""
         try:
             message = _messages.load(data)
-        except _messages.UnreadableError as exc:
+        except _messages.DecodeError as exc:
             _log.warning('Ignored a datagram from {}: {}.', addr, exc)
             return
         handle = self._handles.get(message.number)
--- a/catkinshunt/places/_messages.py
+++ b/catkinshunt/places/_messages.py
@@ -11,7 +11,7 @@
 #: Longest datagram that is decoded; valid ones are below 200 bytes.
 MAX_DATAGRAM_BYTES = 1000
 
-UnreadableError = datagrams.UnreadableError
+DecodeError = datagrams.DecodeError
 
 
 @attrs.frozen
@@ -102,7 +102,7 @@
         PermitQueued,
         PermitRejected,
     ),
-    most_bytes=MAX_DATAGRAM_BYTES,
+    max_bytes=MAX_DATAGRAM_BYTES,
 )
 dump = _CODEC.dump
 load = _CODEC.load
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -43,7 +43,7 @@
         now = self.clock()
         try:
             message = _messages.load(data)
-        except _messages.UnreadableError as exc:
+        except _messages.DecodeError as exc:
             _log.warning('Ignored a datagram from {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.PermitRequest):
--- a/catkinshunt/places/tests/test_messages.py
+++ b/catkinshunt/places/tests/test_messages.py
@@ -38,7 +38,7 @@
     ],
 )
 def test_malformed_messages_are_rejected(data):
-    with pytest.raises(places.UnreadableError):
+    with pytest.raises(places.DecodeError):
         places.load(data)
 
 
@@ -46,6 +46,6 @@
 def test_random_bytes_decode_or_are_rejected(data):
     try:
         message = places.load(data)
-    except places.UnreadableError:
+    except places.DecodeError:
         return
     assert places.load(places.dump(message)) == message
