--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -15,6 +15,7 @@
 from catkinshunt.places._client import PermitHandle
 from catkinshunt.places._client import ReloadingError
 from catkinshunt.places._client import REPLY_TIMEOUT_S
+from catkinshunt.places._messages import DecodeError
 from catkinshunt.places._messages import dump
 from catkinshunt.places._messages import load
 from catkinshunt.places._messages import PermitGranted
@@ -22,7 +23,6 @@
 from catkinshunt.places._messages import PermitRejected
 from catkinshunt.places._messages import PermitRelease
 from catkinshunt.places._messages import PermitRequest
-from catkinshunt.places._messages import DecodeError
 from catkinshunt.places._server import PermitServer
 from catkinshunt.places.base import BaseAdmission
 
@@ -33,6 +33,7 @@
     'RELOADING',
     'REPLY_TIMEOUT_S',
     'BaseAdmission',
+    'DecodeError',
     'NoPermitError',
     'PermitAllocator',
     'PermitClient',
@@ -44,7 +45,6 @@
     'PermitRequest',
     'PermitServer',
     'ReloadingError',
-    'DecodeError',
     'dump',
     'load',
 ]
