--- a/catkinshunt/dispatch/_returning.py
+++ b/catkinshunt/dispatch/_returning.py
@@ -105,9 +105,9 @@
         timeouts = self._timeouts.get(service)
         if timeouts is None:
             timeouts = self._timeouts[service] = _Timeouts(deadline_s)
-        short_s = timeouts.max_s - deadline_s
+        shorter_by_s = timeouts.max_s - deadline_s
         timeouts.max_s = max(timeouts.max_s, deadline_s)
-        is_longest = short_s <= TOLERANCE_S
+        is_longest = shorter_by_s <= TOLERANCE_S
         timeouts.max_share += NEWEST_WEIGHT * (is_longest - timeouts.max_share)
         # In a burst, requests that other entries rejected return here too.
         if now - self._rejected_at > timeouts.max_s:
@@ -115,7 +115,7 @@
         if is_longest:
             return 0.0
         if timeouts.max_share >= self.constant_share:
-            return short_s
+            return shorter_by_s
         return self._estimate_waited_s(timeouts, deadline_s)
 
     def _estimate_waited_s(self, timeouts, deadline_s):
--- a/catkinshunt/dispatch/tests/multi_entry.py
+++ b/catkinshunt/dispatch/tests/multi_entry.py
@@ -59,11 +59,11 @@
         super().__init__(upstream, dispatch.UpstreamState())
         self.callers = {}
 
-    def work(self, now):
-        """See `simulation.SimulatedEngine.work`."""
+    def run_pass(self, now):
+        """See `simulation.SimulatedEngine.run_pass`."""
         before = [*self.running, *self.waiting]
         unanswered = [r for r in before if r.first_s is None]
-        end = super().work(now)
+        end = super().run_pass(now)
         for request in unanswered:
             if request.first_s is not None:
                 self._report_load(self.callers[request], end)
@@ -122,29 +122,31 @@
     order = itertools.count()
     events, callers = [], []
     for now, tokens, answer in simulation.make_requests(rate, seconds, rng):
-        heapq.heappush(events, (now, next(order), 'come', (tokens, answer)))
+        heapq.heappush(events, (now, next(order), 'arrival', (tokens, answer)))
     while events:
-        now, _, kind, what = heapq.heappop(events)
-        if kind == 'come':
-            job = dispatch.Job(*what)
+        now, _, kind, payload = heapq.heappop(events)
+        if kind == 'arrival':
+            job = dispatch.Job(*payload)
             entry = rng.choice(all_entries)
             found = entry.send(upstreams, job, now)
             engine = engines_by_id[found.upstream.id]
-            request = simulation.Request(now, job, *what)
+            request = simulation.Request(now, job, *payload)
             caller = Caller(request, entry, engine, found.delay_s)
             engine.callers[request] = caller
             callers.append(caller)
             if not engine.running and not engine.waiting:
-                heapq.heappush(events, (now, next(order), 'work', engine))
-            engine.take(request, now)
+                heapq.heappush(events, (now, next(order), 'pass', engine))
+            engine.enqueue(request, now)
             leaves_at = now + PATIENCE_S
-            heapq.heappush(events, (leaves_at, next(order), 'leave', caller))
-        elif kind == 'work':
-            if what.running or what.waiting:
-                end = what.work(now)
-                heapq.heappush(events, (end, next(order), 'work', what))
+            heapq.heappush(
+                events, (leaves_at, next(order), 'disconnect', caller)
+            )
+        elif kind == 'pass':
+            if payload.running or payload.waiting:
+                end = payload.run_pass(now)
+                heapq.heappush(events, (end, next(order), 'pass', payload))
         else:
-            what.engine.leave(what, now)
+            payload.engine.leave(payload, now)
     in_time = [c for c in callers if (c.request.first_s or 9) <= GOAL_S]
     served = [c for c in callers if c.is_served]
     return len(in_time) / len(callers), len(served) / len(callers)
--- a/catkinshunt/dispatch/tests/simulation.py
+++ b/catkinshunt/dispatch/tests/simulation.py
@@ -46,7 +46,7 @@
         self.running, self.waiting = [], []
         self.free_at = 0.0
 
-    def take(self, request, now):
+    def enqueue(self, request, now):
         """Enqueue a request by its rank; an idle engine starts at once."""
         at = len(self.waiting)
         while at and self.waiting[at - 1].job.rank > request.job.rank:
@@ -54,7 +54,7 @@
         self.waiting.insert(at, request)
         self.free_at = max(self.free_at, now)
 
-    def work(self, now):
+    def run_pass(self, now):
         """Run one pass that starts at `now`; return when it ends."""
         while self.waiting and len(self.running) < ENGINE.slots:
             self.running.append(self.waiting.pop(0))
@@ -126,7 +126,7 @@
     done, passes = [], []
     arrivals = make_requests(rate, seconds, random.Random(seed))
     for now, tokens, answer in arrivals:
-        _work_until(passes, engines_by_id, now)
+        _run_until(passes, engines_by_id, now)
         job = dispatch.Job(tokens, answer)
         found = chooser.choose(upstreams, tracker, ENGINE, job, now)
         if ranks and found.delay_s > GOAL_S:
@@ -136,16 +136,16 @@
         engine = engines_by_id[found.upstream.id]
         if not engine.running and not engine.waiting:
             heapq.heappush(passes, (now, engine.upstream.id))
-        engine.take(request, now)
+        engine.enqueue(request, now)
         done.append(request)
-    _work_until(passes, engines_by_id, seconds + 60.0)
+    _run_until(passes, engines_by_id, seconds + 60.0)
     in_time = [r for r in done if r.first_s and r.first_s <= GOAL_S]
     return len(in_time) / len(done)
 
 
-def _work_until(passes, engines_by_id, until):
+def _run_until(passes, engines_by_id, until):
     while passes and passes[0][0] <= until:
         now, name = heapq.heappop(passes)
         engine = engines_by_id[name]
         if engine.running or engine.waiting:
-            heapq.heappush(passes, (engine.work(now), name))
+            heapq.heappush(passes, (engine.run_pass(now), name))
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -164,9 +164,9 @@
 
     def _count_preceding(self, account):
         """Return the number of waiting requests that go before a new one."""
-        place = (len(account.tickets) + 1) / account.weight
+        position = (len(account.tickets) + 1) / account.weight
         return sum(
-            min(len(each.tickets), place * each.weight)
+            min(len(each.tickets), position * each.weight)
             for each in self._accounts.values()
         )
 
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -20,7 +20,7 @@
     return ticket
 
 
-def take(queue):
+def run_next(queue):
     ticket = queue.choose(0.0)
     queue.begin(ticket, SERVICE_S)
     queue.observe(ticket, SERVICE_S)
@@ -36,7 +36,7 @@
     for _ in range(60):
         offer(queue, 'large')
     offer(queue, 'small')
-    assert 'small' in [take(queue) for _ in range(2)]
+    assert 'small' in [run_next(queue) for _ in range(2)]
 
 
 def test_weights_share_the_time():
@@ -44,7 +44,7 @@
     for _ in range(40):
         offer(queue, 'a', weight=3.0)
         offer(queue, 'b', weight=1.0)
-    taken = collections.Counter(take(queue) for _ in range(40))
+    taken = collections.Counter(run_next(queue) for _ in range(40))
     assert taken['a'] == pytest.approx(30, abs=2)
 
 
@@ -52,11 +52,11 @@
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(50):
         offer(queue, 'a')
-        take(queue)
+        run_next(queue)
     for _ in range(20):
         offer(queue, 'a')
         offer(queue, 'b')
-    taken = collections.Counter(take(queue) for _ in range(20))
+    taken = collections.Counter(run_next(queue) for _ in range(20))
     assert taken['b'] <= 12
 
 
@@ -101,7 +101,7 @@
     queue = limits.FairQueue(random_state=0)
     for i in range(5000):
         offer(queue, f'a{i}')
-        take(queue)
+        run_next(queue)
     assert len(queue._accounts) <= 1025
 
 
--- a/catkinshunt/places/tests/test_allocator.py
+++ b/catkinshunt/places/tests/test_allocator.py
@@ -54,9 +54,9 @@
     allocator.request('b', request(10, wait_s=0.2), now=0.1)
     assert allocator.next_due_at() == pytest.approx(0.3)
     assert allocator.run_due(now=0.25) == []
-    ((peer, refused),) = allocator.run_due(now=0.31)
-    assert (peer, refused.reason) == ('b', places.NO_ROOM)
-    assert refused.retry_after_s >= 1.0
+    ((peer, rejected),) = allocator.run_due(now=0.31)
+    assert (peer, rejected.reason) == ('b', places.NO_ROOM)
+    assert rejected.retry_after_s >= 1.0
 
 
 def test_late_request_does_not_overtake_one_in_time():
@@ -270,8 +270,8 @@
     allocator = full_allocator()
     allocator.set_expiry(0.2)
     allocator.request('b', request(10), now=0.1)
-    ((peer, refused),) = allocator.release('a', 1, now=0.25)
-    assert (peer, refused.reason) == ('b', places.RELOADING)
+    ((peer, rejected),) = allocator.release('a', 1, now=0.25)
+    assert (peer, rejected.reason) == ('b', places.RELOADING)
 
 
 def test_requests_start_again_after_a_version_is_loaded():
--- a/catkinshunt/places/tests/test_datagrams.py
+++ b/catkinshunt/places/tests/test_datagrams.py
@@ -96,9 +96,9 @@
         await handle.first_reply()
         return await handle.final_reply()
 
-    refusal = run(main)
-    assert refusal.reason == places.NO_ROOM
-    assert refusal.retry_after_s >= 1.0
+    rejection = run(main)
+    assert rejection.reason == places.NO_ROOM
+    assert rejection.retry_after_s >= 1.0
 
 
 def test_ended_request_leaves_the_queue():
