--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -164,7 +164,7 @@
     Mutation(
         'retry-budget',
         'catkinshunt/retries/_budget.py',
-        'enough = held >= 1 + reserve',
+        'enough = available >= 1 + reserve',
         'enough = True',
     ),
     Mutation(
@@ -176,7 +176,7 @@
     Mutation(
         'retries-shared-by-number',
         'catkinshunt/retries/_shares.py',
-        'return max(1.0, self.burst / sharers)',
+        'return max(1.0, self.burst / processes)',
         'return self.burst',
     ),
     Mutation(
@@ -188,13 +188,13 @@
     # Queues past capacity.
     Mutation(
         'various-deadlines-are-no-return',
-        'catkinshunt/dispatch/_returns.py',
-        'granted.longest_share >= self.constant_share',
+        'catkinshunt/dispatch/_returning.py',
+        'timeouts.max_share >= self.constant_share',
         'True',
     ),
     Mutation(
         'learnt-delay-corrects',
-        'catkinshunt/dispatch/_forecast.py',
+        'catkinshunt/dispatch/_correction.py',
         'return predicted_s * self.scale(now)',
         'return predicted_s',
     ),
@@ -372,8 +372,8 @@
     # No request begins on a version too old.
     Mutation(
         'sidecar-ends-a-version',
-        'catkinshunt/places/_ledger.py',
-        'if now + ask.prefill_s >= self._expires_at:',
+        'catkinshunt/places/_allocator.py',
+        'if now + request.prefill_s >= self._expires_at:',
         'if False:',
     ),
     Mutation(
@@ -637,8 +637,8 @@
     Mutation(
         'refused-at-once-if-late',
         'catkinshunt/limits/_fair.py',
-        '        if late_s > 0:\n            raise self._refusal(',
-        '        if False:\n            raise self._refusal(',
+        '        if late_s > 0:\n            raise self._rejection(',
+        '        if False:\n            raise self._rejection(',
     ),
     # Bad input, and who gives orders.
     Mutation(
--- a/catkinshunt/dispatch/__init__.py
+++ b/catkinshunt/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request, from what is known of their work."""
+"""Load balancing: choice of the upstream with the least predicted delay."""
 
 from catkinshunt.dispatch._choice import Candidate
 from catkinshunt.dispatch._choice import Chooser
@@ -6,13 +6,13 @@
 from catkinshunt.dispatch._choice import occupancy_s
 from catkinshunt.dispatch._choice import predict_delay_s
 from catkinshunt.dispatch._choice import prefill_s
-from catkinshunt.dispatch._forecast import DelayCorrector
-from catkinshunt.dispatch._returns import ReturningRequestDetector
+from catkinshunt.dispatch._correction import DelayCorrector
+from catkinshunt.dispatch._returning import ReturningRequestDetector
 from catkinshunt.dispatch._state import Job
 from catkinshunt.dispatch._state import Load
 from catkinshunt.dispatch._state import Rank
-from catkinshunt.dispatch._state import UpstreamTracker
 from catkinshunt.dispatch._state import UpstreamState
+from catkinshunt.dispatch._state import UpstreamTracker
 
 __all__ = [
     'Candidate',
@@ -22,8 +22,8 @@
     'Load',
     'Rank',
     'ReturningRequestDetector',
-    'UpstreamTracker',
     'UpstreamState',
+    'UpstreamTracker',
     'first_token_s',
     'occupancy_s',
     'predict_delay_s',
--- a/catkinshunt/dispatch/tests/burst.py
+++ b/catkinshunt/dispatch/tests/simulation.py
@@ -1,4 +1,4 @@
-"""Engines in virtual time, and a burst of requests before them."""
+"""Simulation of engines under a burst of requests, in virtual time."""
 
 import heapq
 import random
@@ -22,22 +22,23 @@
 
 @attrs.define(eq=False)
 class Request:
-    """A request in an engine.
+    """A request at an engine.
 
     Attributes:
-        unread: prompt tokens that are not read yet.
-        unwritten: tokens of the answer that are not made yet.
+        remaining_prompt: prompt tokens without prefill.
+        remaining_output: tokens of the answer that are not decoded.
+        first_s: seconds until the first token; None before it.
     """
 
     arrived_at: float
     job: dispatch.Job
-    unread: int
-    unwritten: int
+    remaining_prompt: int
+    remaining_output: int
     first_s: float | None = None
 
 
 class SimulatedEngine:
-    """Works in passes: reads prompts in order, then steps for all writers."""
+    """Prefills prompts in order and decodes all other requests, in passes."""
 
     def __init__(self, upstream, state):
         self.upstream = upstream
@@ -45,44 +46,44 @@
         self.running, self.waiting = [], []
         self.free_at = 0.0
 
-    def take(self, request, now):
-        """Take a request, before late ones; idle engines begin at once."""
+    def enqueue(self, request, now):
+        """Enqueue a request by its rank; an idle engine starts at once."""
         at = len(self.waiting)
         while at and self.waiting[at - 1].job.rank > request.job.rank:
             at -= 1
         self.waiting.insert(at, request)
         self.free_at = max(self.free_at, now)
 
-    def work(self, now):
-        """Make one pass that begins at `now`; return when it ends."""
+    def run_pass(self, now):
+        """Run one pass that starts at `now`; return when it ends."""
         while self.waiting and len(self.running) < ENGINE.slots:
             self.running.append(self.waiting.pop(0))
         left = CHUNK_TOKENS * ENGINE.steps_per_pass
         for request in self.running:
-            read = min(left, request.unread)
-            request.unread -= read
+            read = min(left, request.remaining_prompt)
+            request.remaining_prompt -= read
             left -= read
         read_tokens = CHUNK_TOKENS * ENGINE.steps_per_pass - left
-        writers = [r for r in self.running if not r.unread]
+        decoding = [r for r in self.running if not r.remaining_prompt]
         end = now + read_tokens / ENGINE.prefill_tokens_per_s
-        end += ENGINE.steps_per_pass * ENGINE.step_s if writers else 0.0
-        for request in writers:
-            self._write(request, end)
+        end += ENGINE.steps_per_pass * ENGINE.step_s if decoding else 0.0
+        for request in decoding:
+            self._decode(request, end)
         self.state.receive(end)
         return end
 
-    def _write(self, request, end):
+    def _decode(self, request, end):
         if request.first_s is None:
             request.first_s = end - request.arrived_at
             request.job.answering = True
-        request.unwritten -= ENGINE.steps_per_pass
-        if request.unwritten <= 0:
+        request.remaining_output -= ENGINE.steps_per_pass
+        if request.remaining_output <= 0:
             self.running.remove(request)
             self.state.end(request.job)
 
 
-class LeastJobs:
-    """The baseline: the upstream with the fewest own jobs."""
+class FewestJobsChooser:
+    """Baseline: chooses the upstream with the fewest jobs of its own."""
 
     def choose(self, upstreams, tracker, engine, job, now):
         """See `dispatch.Chooser.choose`."""
@@ -91,7 +92,7 @@
 
 
 def make_requests(rate, seconds, rng):
-    """Return requests of a burst: many short prompts and some long ones."""
+    """Return the requests of a burst: many short prompts, some long ones."""
     now, found = 0.0, []
     while now < seconds:
         now += rng.expovariate(rate)
@@ -101,16 +102,16 @@
     return found
 
 
-def play(chooser, rate, engines=5, seconds=20.0, seed=3, ranks=True):
-    """Play a burst; return the share of first tokens within the goal.
+def simulate(chooser, rate, engines=5, seconds=20.0, seed=3, ranks=True):
+    """Simulate a burst; return the share of first tokens within the goal.
 
     Args:
-        chooser: what chooses an engine for each request.
-        rate: requests a second.
+        chooser: a `dispatch.Chooser` or a baseline.
+        rate: requests per second.
         engines: number of engines.
         seconds: length of the burst.
-        seed: decides the requests.
-        ranks: whether requests that are likely to be late go behind.
+        seed: seed of the random requests.
+        ranks: whether requests that are predicted late get a lower rank.
     """
     upstreams = [
         catalogs.Upstream(
@@ -119,30 +120,32 @@
         for n in range(engines)
     ]
     tracker = dispatch.UpstreamTracker()
-    machines = {u.id: SimulatedEngine(u, tracker.state(u)) for u in upstreams}
+    engines_by_id = {
+        u.id: SimulatedEngine(u, tracker.state(u)) for u in upstreams
+    }
     done, passes = [], []
     arrivals = make_requests(rate, seconds, random.Random(seed))
     for now, tokens, answer in arrivals:
-        _work_until(passes, machines, now)
+        _run_until(passes, engines_by_id, now)
         job = dispatch.Job(tokens, answer)
         found = chooser.choose(upstreams, tracker, ENGINE, job, now)
         if ranks and found.delay_s > GOAL_S:
             job.rank = dispatch.Rank.LATE
         found.state.begin(job, now)
         request = Request(now, job, tokens, answer)
-        machine = machines[found.upstream.id]
-        if not machine.running and not machine.waiting:
-            heapq.heappush(passes, (now, machine.upstream.id))
-        machine.take(request, now)
+        engine = engines_by_id[found.upstream.id]
+        if not engine.running and not engine.waiting:
+            heapq.heappush(passes, (now, engine.upstream.id))
+        engine.enqueue(request, now)
         done.append(request)
-    _work_until(passes, machines, seconds + 60.0)
+    _run_until(passes, engines_by_id, seconds + 60.0)
     in_time = [r for r in done if r.first_s and r.first_s <= GOAL_S]
     return len(in_time) / len(done)
 
 
-def _work_until(passes, machines, until):
+def _run_until(passes, engines_by_id, until):
     while passes and passes[0][0] <= until:
         now, name = heapq.heappop(passes)
-        machine = machines[name]
-        if machine.running or machine.waiting:
-            heapq.heappush(passes, (machine.work(now), name))
+        engine = engines_by_id[name]
+        if engine.running or engine.waiting:
+            heapq.heappush(passes, (engine.run_pass(now), name))
--- a/catkinshunt/gateway/__init__.py
+++ b/catkinshunt/gateway/__init__.py
@@ -8,13 +8,12 @@
 from catkinshunt.gateway._exchange import Exchange
 from catkinshunt.gateway._gateway import Gateway
 from catkinshunt.gateway._metrics import GatewayMetrics
-from catkinshunt.gateway.base import RequestInfo
 from catkinshunt.gateway.base import BaseDialect
 from catkinshunt.gateway.base import AttemptInfo
 from catkinshunt.gateway.base import ReplyInfo
+from catkinshunt.gateway.base import RequestInfo
 
 __all__ = [
-    'RequestInfo',
     'BaseDialect',
     'Context',
     'Decision',
@@ -24,6 +23,7 @@
     'Gateway',
     'GatewayMetrics',
     'ReplyInfo',
+    'RequestInfo',
     'StaleError',
     'decide',
 ]
--- a/catkinshunt/limits/tests/test_admission.py
+++ b/catkinshunt/limits/tests/test_admission.py
@@ -29,7 +29,7 @@
     assert admission.report()['running'] == 2
 
 
-def test_waits_in_a_thread():
+def test_wait_blocks_until_the_request_may_run():
     admission = make_admission()
     first = offer(admission)
     second = offer(admission)
@@ -47,11 +47,11 @@
     thread.join(10)
 
 
-def test_slow_upstream_refuses_what_cannot_end_in_time():
+def test_request_that_cannot_finish_in_time_is_rejected():
     """The upstream has become slow, and requests take a second each.
 
-    A request with less time left is refused at once, as not run, rather
-    than started in vain; its caller may still find a place elsewhere.
+    A request with less time left is rejected at once as not run, so that it
+    can be retried elsewhere.
     """
     admission = make_admission()
     admission.observe(offer(admission), 1.0)
@@ -61,10 +61,10 @@
     assert admission.load == 0
 
 
-def test_waiting_request_gives_up_while_it_is_not_run():
-    """A request that waits is overtaken until its time is nearly over.
+def test_queued_request_is_rejected_before_its_deadline():
+    """A queued request is overtaken until it can no longer finish in time.
 
-    It is refused before its deadline and is never run afterwards.
+    It is rejected before its deadline and never run afterwards.
     """
     admission = make_admission()
     first = offer(admission)
@@ -75,7 +75,7 @@
     assert admission.load == 0
 
 
-def test_next_that_is_too_late_is_skipped():
+def test_queued_request_that_became_late_is_skipped():
     admission = make_admission()
     first = offer(admission)
     late = offer(admission, deadline=1.5)
@@ -85,10 +85,10 @@
     assert good.fut.done()
 
 
-def test_leaving_refuses_new_and_finishes_old():
-    """The instance is stopped as planned while requests run and wait.
+def test_leaving_rejects_new_and_finishes_accepted_requests():
+    """The instance is stopped while requests run and wait.
 
-    Those are finished; a new one is refused as not run and goes elsewhere.
+    Those are finished; a new one is rejected as not run.
     """
     admission = make_admission()
     first, second = offer(admission), offer(admission)
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -20,23 +20,23 @@
     return ticket
 
 
-def take(queue):
+def run_next(queue):
     ticket = queue.choose(0.0)
     queue.begin(ticket, SERVICE_S)
     queue.observe(ticket, SERVICE_S)
     return ticket.account
 
 
-def test_small_account_is_not_held_up_by_a_flood():
-    """A large account sends far more than its share at once.
+def test_flood_of_one_account_does_not_delay_another():
+    """One account sends far more requests than its share at once.
 
-    Without fair queues a member's one request would wait behind all of them.
+    In one queue the request of another account would wait behind all of them.
     """
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(60):
         offer(queue, 'large')
     offer(queue, 'small')
-    assert 'small' in [take(queue) for _ in range(2)]
+    assert 'small' in [run_next(queue) for _ in range(2)]
 
 
 def test_weights_share_the_time():
@@ -44,26 +44,26 @@
     for _ in range(40):
         offer(queue, 'a', weight=3.0)
         offer(queue, 'b', weight=1.0)
-    taken = collections.Counter(take(queue) for _ in range(40))
+    taken = collections.Counter(run_next(queue) for _ in range(40))
     assert taken['a'] == pytest.approx(30, abs=2)
 
 
-def test_idle_account_saves_nothing_up():
+def test_idle_account_accumulates_no_credit():
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(50):
         offer(queue, 'a')
-        take(queue)
+        run_next(queue)
     for _ in range(20):
         offer(queue, 'a')
         offer(queue, 'b')
-    taken = collections.Counter(take(queue) for _ in range(20))
+    taken = collections.Counter(run_next(queue) for _ in range(20))
     assert taken['b'] <= 12
 
 
-def test_refused_at_once_when_too_late():
-    """More requests wait than can be done before the deadline.
+def test_request_that_would_be_late_is_rejected_at_once():
+    """More requests wait than can be served before the deadline.
 
-    Taking the request in would let the caller wait for a certain refusal.
+    A queued request would be rejected in any case, but later.
     """
     queue = limits.FairQueue(100, random_state=0)
     for _ in range(10):
@@ -76,38 +76,38 @@
     offer(queue, 'b', deadline=1.05)
 
 
-def test_full_queue_refuses_the_heaviest_newest():
-    """The queue is full of one account's requests and another asks.
+def test_full_queue_evicts_the_newest_of_the_heaviest_account():
+    """The queue is full of requests of one account when another sends one.
 
-    The newest of the large account gets its refusal at once, as not run, and
-    the small account's caller is served in turn.
+    The newest request of the large account is rejected as not run, and the
+    request of the small account is queued.
     """
     queue = limits.FairQueue(4, random_state=0)
     tickets = [offer(queue, 'large') for _ in range(4)]
     offer(queue, 'small')
-    refusal = tickets[-1].fut.exception(0)
-    assert isinstance(refusal, errors.OverloadedError)
-    assert refusal.ran == 'no'
+    rejection = tickets[-1].fut.exception(0)
+    assert isinstance(rejection, errors.OverloadedError)
+    assert rejection.ran == 'no'
     assert not any(ticket.fut.done() for ticket in tickets[:-1])
     with pytest.raises(errors.OverloadedError):
         offer(queue, 'large')
 
 
-def test_many_account_names_do_not_stay():
-    """A caller makes up an account name for each request.
+def test_idle_accounts_are_evicted():
+    """A client uses a new account name for each request.
 
-    Each name kept for ever would make the process grow until it is killed.
+    If all were kept, memory would grow until the process is killed.
     """
     queue = limits.FairQueue(random_state=0)
     for i in range(5000):
         offer(queue, f'a{i}')
-        take(queue)
+        run_next(queue)
     assert len(queue._accounts) <= 1025
 
 
 @settings(derandomize=True, database=None, max_examples=60)
 @given(st.lists(st.sampled_from(['a', 'b', 'c', 'take', 'drop'])))
-def test_nothing_is_lost(steps):
+def test_no_request_is_lost(steps):
     queue = limits.FairQueue(5, random_state=0)
     waiting, taken = [], []
     for step in steps:
--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -1,45 +1,50 @@
-"""Places at an engine, given out by the sidecar beside it."""
+"""Permits to send requests to an engine, granted by its sidecar.
 
-from catkinshunt.places._client import REPLY_TIMEOUT_S
-from catkinshunt.places._client import PermitHandle
+A permit allows one request to be sent. The sidecar grants about as many as
+the engine has slots, so that requests wait at their entries rather than in
+the queue of the engine.
+"""
+
+from catkinshunt.places._allocator import LATE_MAX_WAIT_S
+from catkinshunt.places._allocator import NO_ROOM
+from catkinshunt.places._allocator import PermitAllocator
+from catkinshunt.places._allocator import RELOADING
+from catkinshunt.places._client import MAX_SENDS
 from catkinshunt.places._client import NoPermitError
 from catkinshunt.places._client import PermitClient
+from catkinshunt.places._client import PermitHandle
 from catkinshunt.places._client import ReloadingError
-from catkinshunt.places._client import MAX_SENDS
-from catkinshunt.places._ledger import LATE_MAX_WAIT_S
-from catkinshunt.places._ledger import PermitAllocator
-from catkinshunt.places._ledger import NO_ROOM
-from catkinshunt.places._ledger import RELOADING
-from catkinshunt.places._messages import PermitRequest
+from catkinshunt.places._client import REPLY_TIMEOUT_S
 from catkinshunt.places._messages import DecodeError
-from catkinshunt.places._messages import PermitRelease
 from catkinshunt.places._messages import dump
-from catkinshunt.places._messages import PermitGranted
 from catkinshunt.places._messages import load
+from catkinshunt.places._messages import PermitGranted
 from catkinshunt.places._messages import PermitQueued
 from catkinshunt.places._messages import PermitRejected
+from catkinshunt.places._messages import PermitRelease
+from catkinshunt.places._messages import PermitRequest
 from catkinshunt.places._server import PermitServer
 from catkinshunt.places.base import BaseAdmission
 
 __all__ = [
-    'REPLY_TIMEOUT_S',
+    'LATE_MAX_WAIT_S',
+    'MAX_SENDS',
     'NO_ROOM',
     'RELOADING',
-    'MAX_SENDS',
-    'PermitRequest',
-    'PermitHandle',
+    'REPLY_TIMEOUT_S',
     'BaseAdmission',
-    'PermitRelease',
-    'PermitGranted',
-    'LATE_MAX_WAIT_S',
-    'PermitAllocator',
+    'DecodeError',
     'NoPermitError',
+    'PermitAllocator',
     'PermitClient',
-    'PermitServer',
+    'PermitGranted',
+    'PermitHandle',
     'PermitQueued',
     'PermitRejected',
+    'PermitRelease',
+    'PermitRequest',
+    'PermitServer',
     'ReloadingError',
-    'DecodeError',
     'dump',
     'load',
 ]
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -1,4 +1,4 @@
-"""The sidecar's side of places: datagrams in, replies out."""
+"""Datagram server that answers permit requests at a sidecar."""
 
 import asyncio
 
@@ -10,21 +10,21 @@
 
 
 class PermitServer(asyncio.DatagramProtocol, base.BaseAdmission):
-    """Answers the asks of entries by what a ledger decides.
+    """Passes permit requests of entries to an allocator and sends its replies.
 
     Args:
-        ledger: `PermitAllocator`.
-        clock: gives seconds on the steady clock.
+        allocator: `PermitAllocator`.
+        clock: function that returns seconds on the steady clock.
     """
 
-    def __init__(self, ledger, clock):
-        self.ledger = ledger
+    def __init__(self, allocator, clock):
+        self.allocator = allocator
         self.clock = clock
         self._transport = None
         self._timer = None
 
     async def start(self, host, port):
-        """Listen on an address; returns self."""
+        """Listen on an address; return self."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
@@ -32,41 +32,41 @@
         return self
 
     def stop(self):
-        """Answer no more."""
+        """Close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data, addr):
-        """Take one message of an entry."""
+        """Handle one message of an entry."""
         now = self.clock()
         try:
             message = _messages.load(data)
         except _messages.DecodeError as exc:
-            _log.warning('Left aside a datagram of {}: {}.', addr, exc)
+            _log.warning('Ignored a datagram from {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.PermitRequest):
-            self._send(self.ledger.request(addr, message, now))
+            self._send(self.allocator.request(addr, message, now))
         elif isinstance(message, _messages.PermitRelease):
-            self._send(self.ledger.release(addr, message.number, now))
+            self._send(self.allocator.release(addr, message.number, now))
 
     def reconcile(self, present):
         """See `base.BaseAdmission.reconcile`."""
-        self._send(self.ledger.reconcile(present, self.clock()))
+        self._send(self.allocator.reconcile(present, self.clock()))
 
     def close(self, closes_in_s, opens_in_s):
         """See `base.BaseAdmission.close`."""
         now = self.clock()
-        self.ledger.close(now + closes_in_s, now + opens_in_s)
+        self.allocator.close(now + closes_in_s, now + opens_in_s)
 
     def open(self):
         """See `base.BaseAdmission.open`."""
-        self._send(self.ledger.open(self.clock()))
+        self._send(self.allocator.open(self.clock()))
 
     def set_expiry(self, expires_in_s):
         """See `base.BaseAdmission.set_expiry`."""
-        self.ledger.set_expiry(self.clock() + expires_in_s)
+        self.allocator.set_expiry(self.clock() + expires_in_s)
 
     def _send(self, replies):
         for peer, message in replies:
@@ -74,15 +74,15 @@
         self._set_timer()
 
     def _set_timer(self):
-        at = self.ledger.next_due_at()
+        at = self.allocator.next_due_at()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if at is not None:
             loop = asyncio.get_running_loop()
             delay_s = max(0.0, at - self.clock())
-            self._timer = loop.call_later(delay_s, self._step)
+            self._timer = loop.call_later(delay_s, self._run_due)
 
-    def _step(self):
+    def _run_due(self):
         self._timer = None
-        self._send(self.ledger.run_due(self.clock()))
+        self._send(self.allocator.run_due(self.clock()))
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget and of what may be retried."""
+"""Tests of the retry budget and the retry policy."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    'exc, idempotent, again',
+    'exc, idempotent, expected',
     [
         (REFUSED, True, True),
         (REFUSED, False, True),
@@ -26,26 +26,26 @@
         (WRONG, True, False),
     ],
 )
-def test_what_may_be_tried_again(exc, idempotent, again):
-    """An upstream dies, and the entry can't always tell what it had done.
+def test_only_harmless_retries_are_allowed(exc, idempotent, expected):
+    """An upstream dies, and it is not known which requests ran.
 
-    Sending a booking again that may have run books twice.
+    A retried booking that had run would be made twice.
     """
     policy = retries.RetryPolicy(retries.Budget())
     verdict = policy.check(exc, idempotent, tries=1, deadline=9.0, now=0.0)
-    assert verdict.should_retry is again
+    assert verdict.should_retry is expected
     assert verdict.grounds
 
 
 @pytest.mark.parametrize('tries, left_s', [(3, 9.0), (1, 0.01), (1, -1.0)])
-def test_no_try_in_vain(tries, left_s):
+def test_no_retry_after_last_attempt_or_near_deadline(tries, left_s):
     policy = retries.RetryPolicy(retries.Budget())
     assert not policy.check(
         REFUSED, True, tries, 5.0 + left_s, 5.0
     ).should_retry
 
 
-def test_spent_budget_is_said():
+def test_spent_budget_is_reported():
     policy = retries.RetryPolicy(retries.Budget(ratio=0.1, burst=1.0))
     assert policy.check(REFUSED, True, 1, 9.0, 0.0).should_retry
     verdict = policy.check(REFUSED, True, 1, 9.0, 0.0)
@@ -55,9 +55,9 @@
 @settings(derandomize=True, database=None, max_examples=50)
 @given(st.lists(st.integers(0, 5), max_size=200))
 def test_retries_stay_within_the_ratio(wanted):
-    """Half of the upstreams are out and all requests fail again and again.
+    """Half of the upstreams are down and many attempts fail.
 
-    The retries beyond the burst never exceed a tenth of the requests.
+    Retries beyond the burst never exceed a tenth of the requests.
     """
     budget = retries.Budget(ratio=0.1, burst=5.0)
     used = 0
@@ -67,16 +67,16 @@
     assert used <= 5 + 0.1 * len(wanted) + 1e-6
 
 
-def test_wrong_ratio_is_named():
+def test_invalid_ratio_is_named():
     with pytest.raises(ValueError, match='ratio'):
         retries.Budget(ratio=2).offer()
 
 
-def test_refusals_of_full_upstreams_leave_tokens_for_others():
-    """In a burst all engines are full, and then one stands still.
+def test_rejections_by_full_upstreams_leave_reserved_tokens():
+    """In a burst all engines are full, and then one stops responding.
 
-    With the budget spent on engines that had no room, the requests at the
-    one that stands still could not move, and their callers left.
+    With the budget spent on retries at full engines, the requests of the
+    unresponsive one could not be retried elsewhere.
     """
     budget = retries.Budget(ratio=0.1, burst=4.0)
     policy = retries.RetryPolicy(budget, reserve=2.0)
--- a/catkinshunt/retries/tests/test_shares.py
+++ b/catkinshunt/retries/tests/test_shares.py
@@ -7,17 +7,16 @@
     )
 
 
-def test_few_processes_have_a_large_share_each():
+def test_burst_is_divided_by_the_number_of_processes():
     share = make_share()
     share.observe(4, now=0.0)
     assert share.choose(now=1.0) == 25.0
 
 
-def test_a_process_that_just_started_does_not_take_all():
-    """It knows only of itself until it hears of the others.
+def test_started_process_does_not_take_the_whole_burst():
+    """A process sees only itself until the others are listed.
 
-    In a restart of all processes each would keep the whole burst, and the
-    upstreams would get it many times over.
+    After a restart of all processes each would use the whole burst.
     """
     share = make_share(fewest=4)
     share.observe(0, now=0.0)
@@ -25,8 +24,8 @@
     assert share.choose(now=0.2) == 25.0
 
 
-def test_a_process_that_lost_the_store_still_counts():
-    """Its lease ends while it still serves, with its share of retries."""
+def test_process_that_lost_its_lease_still_counts():
+    """Its lease expires while it still serves and retries."""
     share = make_share()
     share.observe(5, now=0.0)
     share.observe(4, now=100.0)
@@ -34,21 +33,21 @@
     assert share.choose(now=161.0) == 25.0
 
 
-def test_one_that_comes_counts_at_once():
+def test_new_process_counts_at_once():
     share = make_share()
     share.observe(4, now=0.0)
     share.observe(5, now=1.0)
     assert share.choose(now=1.0) == 20.0
 
 
-def test_the_last_number_holds():
+def test_last_count_does_not_expire():
     share = make_share()
     share.observe(10, now=0.0)
     assert share.choose(now=1e6) == 10.0
 
 
-def test_a_smaller_burst_binds_a_budget_in_use():
-    """An entry that hears of others must not spend what it had alone."""
+def test_smaller_burst_limits_a_budget_in_use():
+    """The tokens of an entry are cut when its share gets smaller."""
     budget = retries.Budget(ratio=0.1, burst=10.0)
     assert budget.choose()
     budget.burst = 2.0
