--- a/catkinshunt/gateway/__init__.py
+++ b/catkinshunt/gateway/__init__.py
@@ -8,22 +8,22 @@
 from catkinshunt.gateway._exchange import Exchange
 from catkinshunt.gateway._gateway import Gateway
 from catkinshunt.gateway._metrics import GatewayMetrics
-from catkinshunt.gateway.base import Ask
+from catkinshunt.gateway.base import AttemptInfo
 from catkinshunt.gateway.base import BaseDialect
-from catkinshunt.gateway.base import Forward
-from catkinshunt.gateway.base import ReplyNote
+from catkinshunt.gateway.base import ReplyInfo
+from catkinshunt.gateway.base import RequestInfo
 
 __all__ = [
-    'Ask',
+    'AttemptInfo',
     'BaseDialect',
     'Context',
     'Decision',
     'EventSplitter',
     'Exchange',
-    'Forward',
     'Gateway',
     'GatewayMetrics',
-    'ReplyNote',
+    'ReplyInfo',
+    'RequestInfo',
     'StaleError',
     'decide',
 ]
--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -67,7 +67,7 @@
 
     Args:
         catalog: `catalog.Catalog`.
-        ask: `base.Ask`.
+        ask: `base.RequestInfo`.
         fraction: number from 0 up to 1 that picks among shares.
         now: seconds on the clock of the catalog.
 
--- a/catkinshunt/gateway/tests/scene.py
+++ b/catkinshunt/gateway/tests/scene.py
@@ -221,7 +221,7 @@
         retry_burst=retry_burst,
         random=random.Random(3),
         metrics=gateway.GatewayMetrics(),
-        places=places.PlaceClient(0, loop.time, random.Random(3)),
+        permit_client=places.PlaceClient(0, loop.time, random.Random(3)),
         guard=guard,
     )
     context.catalog.declare(declare(**changes))
--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -71,7 +71,7 @@
         _log.warning('Left aside {}: {}.', item.key, exc)
         return
     request = item.key.removeprefix(_documents.QUARANTINE_PREFIX)
-    barred.bar(request, min(for_s, quarantine.BARRED_S), now)
+    barred.add(request, min(for_s, quarantine.QUARANTINE_S), now)
 
 
 def decode_home(item):
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -61,7 +61,7 @@
     stop = _signals.watch_signals()
     registry = metrics.Registry()
     context = make_context(cfg, registry)
-    await context.places.start(cfg.ip)
+    await context.permit_client.start(cfg.ip)
     roster = catalogs.Roster()
     gossip = make_gossip(cfg, roster, context.random)
     await gossip.start(cfg.ip)
@@ -144,7 +144,7 @@
         retry_burst=make_burst_share(cfg).choose(_clocks.steady()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
-        places=places.PlaceClient(
+        permit_client=places.PlaceClient(
             _process.place_port(cfg), _clocks.steady, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
@@ -162,7 +162,7 @@
     while True:
         now = _clocks.steady()
         share.see(len(roster.names()), now)
-        context.limit_retries(share.choose(now))
+        context.set_retry_burst(share.choose(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SHARE_S):
                 await roster.wait_for_change()
@@ -207,12 +207,12 @@
     registry.gauge(
         'quarantined_requests',
         'Requests that are not run, since upstreams crashed under them.',
-        lambda: context.guard.count_barred() if context.guard else 0,
+        lambda: context.guard.count_quarantined() if context.guard else 0,
     )
     registry.gauge(
         'retry_budget_tokens',
         'Further tries that are allowed now.',
-        context.budget_tokens,
+        context.retry_budget_tokens,
         ('service',),
     )
 
--- a/catkinshunt/platform/_quarantine_keys.py
+++ b/catkinshunt/platform/_quarantine_keys.py
@@ -56,7 +56,7 @@
 
     async def _write_new(self):
         now = self.wall()
-        for request, left_s in self.barred.all_barred(now):
+        for request, left_s in self.barred.all_quarantined(now):
             until = now + left_s
             if self._is_kept(request, until, now):
                 continue
@@ -71,7 +71,7 @@
 
     def _is_kept(self, request, until, now):
         """Return whether its key stays for nearly as long as it is barred."""
-        most_s = quarantine.BARRED_S * quarantine.RENEW_SHARE
+        most_s = quarantine.QUARANTINE_S * quarantine.RENEW_SHARE
         return until - self._written.get(request, now) < most_s
 
     def _is_writer(self, request):
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -18,7 +18,7 @@
     cfg = platform.read_node_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
-    context.budget('desk').offer()
+    context.retry_budget('desk').offer()
     server = gateway.Gateway(context)
     _entry.show_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -65,7 +65,7 @@
             await asyncio.sleep(REMIND_S)
             now = self.wall()
             self.quarantine.forget(now)
-            barred = self.quarantine.all_barred(now)
+            barred = self.quarantine.all_quarantined(now)
             hosts = self._others()
             if not barred or not hosts:
                 continue
@@ -90,9 +90,9 @@
             self._tell(_messages.Completion(request))
             self._judge_later()
 
-    def bar(self, request, for_s):
+    def report_quarantine(self, request, for_s):
         """Bar a request; tell others where that is news."""
-        if self.quarantine.bar(request, for_s, self.wall()):
+        if self.quarantine.add(request, for_s, self.wall()):
             self._tell(_messages.Quarantined(request, for_s))
 
     def datagram_received(self, data, addr):
@@ -107,8 +107,8 @@
         elif isinstance(message, _messages.Completion):
             self.report_completion(message.request)
         else:
-            left_s = min(message.left_s, _quarantine.BARRED_S)
-            self.bar(message.request, left_s)
+            left_s = min(message.left_s, _quarantine.QUARANTINE_S)
+            self.report_quarantine(message.request, left_s)
 
     def _judge_later(self):
         if self._timer is None:
@@ -118,7 +118,9 @@
     def _judge(self):
         self._timer = None
         for request in self.quarantine.judge(self.wall()):
-            self._tell(_messages.Quarantined(request, _quarantine.BARRED_S))
+            self._tell(
+                _messages.Quarantined(request, _quarantine.QUARANTINE_S)
+            )
         if self.quarantine.is_undecided(self.wall()):
             self._judge_later()
 
--- a/catkinshunt/quarantine/tests/entries.py
+++ b/catkinshunt/quarantine/tests/entries.py
@@ -77,7 +77,7 @@
         return [
             name
             for name, gossip in self.gossips.items()
-            if gossip.quarantine.barred_s(request, gossip.wall()) > 0
+            if gossip.quarantine.remaining_s(request, gossip.wall()) > 0
         ]
 
     async def until_all_know(self, request):
--- a/catkinshunt/quarantine/tests/test_guard.py
+++ b/catkinshunt/quarantine/tests/test_guard.py
@@ -84,12 +84,12 @@
 def test_a_barred_request_that_still_comes_stays_barred():
     barred = []
     gossip = FakeGossip()
-    gossip.bar = lambda *told: barred.append(told)
+    gossip.report_quarantine = lambda *told: barred.append(told)
     guard = quarantine.Guard(gossip)
-    gossip.quarantine.bar('bad', quarantine.BARRED_S * 0.9, 0.0)
+    gossip.quarantine.add('bad', quarantine.QUARANTINE_S * 0.9, 0.0)
     assert guard.check('bad') > 0
     assert barred == []
     gossip.quarantine = quarantine.Quarantine()
-    gossip.quarantine.bar('bad', quarantine.BARRED_S * 0.1, 0.0)
+    gossip.quarantine.add('bad', quarantine.QUARANTINE_S * 0.1, 0.0)
     assert guard.check('bad') > 0
-    assert barred == [('bad', quarantine.BARRED_S)]
+    assert barred == [('bad', quarantine.QUARANTINE_S)]
