--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -318,7 +318,7 @@
     Mutation(
         'first-configuration-is-waited-for',
         'catkinshunt/gateway/_exchange.py',
-        'await self._wait_for_state(now)',
+        'await self._wait_for_configuration(now)',
         'pass',
     ),
     Mutation(
@@ -378,8 +378,8 @@
     ),
     Mutation(
         'silent-sidecars-end-a-version-sooner',
-        'catkinshunt/gateway/_seat.py',
-        'if self.selection.is_outdated(upstream, UNHEARD_LEAD_S):',
+        'catkinshunt/gateway/_permit_search.py',
+        'if self.selection.is_outdated(upstream, NO_PERMIT_VERSION_LEAD_S):',
         'if False:',
     ),
     # Entries that are listed.
@@ -586,7 +586,7 @@
     # Requests that crash their upstreams.
     Mutation(
         'barred-request-refused',
-        'catkinshunt/gateway/_suspicion.py',
+        'catkinshunt/gateway/_quarantine_check.py',
         'if left_s > 0:',
         'if False:',
     ),
--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -62,8 +62,8 @@
     age_s: float
 
 
-def decide(catalog, ask, fraction, now):
-    """Return the `Decision` on `ask`.
+def decide(catalog, info, fraction, now):
+    """Return the `Decision` on `info`.
 
     Args:
         catalog: `catalog.Catalog`.
@@ -84,12 +84,12 @@
             step='match-rule',
             retry_after_s=STARTING_RETRY_S,
         )
-    subject = rules.Request(host=ask.host, path=ask.path, method=ask.method)
+    subject = rules.Request(host=info.host, path=info.path, method=info.method)
     rule = declaration.rule_set.match(subject)
     if rule is None:
         _check_current(catalog, 'match-rule', now)
         raise UnknownRouteError('no rule serves the path', step='match-rule')
-    account = _find_account(catalog, declaration, rule.then, ask, now)
+    account = _find_account(catalog, declaration, rule.then, info, now)
     priority = declaration.account_priorities.get(account, rule.then.priority)
     return Decision(
         rule.name,
@@ -102,14 +102,14 @@
     )
 
 
-def _find_account(catalog, declaration, serve, ask, now):
+def _find_account(catalog, declaration, serve, info, now):
     if serve.public or declaration.accounts is None:
         return ''
     # A key may have been taken away while the store was out of reach; one
     # that is unknown may have been added. So neither is decided then.
     if not catalog.is_fresh(now):
         raise StaleError('the keys of accounts are too old', step='check-key')
-    account = declaration.accounts.get(ask.api_key)
+    account = declaration.accounts.get(info.api_key)
     if account is None:
         _check_current(catalog, 'check-key', now)
         raise UnknownKeyError('no account has the key', step='check-key')
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -47,7 +47,7 @@
     stopping_since: float | None = None
     version_grace_s: float = 8.0
     _pools: dict = attrs.field(factory=dict)
-    _budgets: dict = attrs.field(factory=dict)
+    _retry_budgets: dict = attrs.field(factory=dict)
     _forecasts: dict = attrs.field(
         factory=lambda: collections.defaultdict(dispatch.Forecast)
     )
@@ -76,21 +76,21 @@
         """Return the tokens of each retry budget by label values."""
         return {
             (service,): budget.report()['tokens']
-            for service, budget in self._budgets.items()
+            for service, budget in self._retry_budgets.items()
         }
 
     def set_retry_burst(self, burst):
         """Allow `burst` retries beyond the share of the requests."""
         self.retry_burst = burst
-        for budget in self._budgets.values():
+        for budget in self._retry_budgets.values():
             budget.burst = burst
 
     def retry_budget(self, service):
         """Return the `retries.Budget` of a service."""
-        found = self._budgets.get(service)
+        found = self._retry_budgets.get(service)
         if found is None:
             found = retries.Budget(self.retry_ratio, self.retry_burst)
-            self._budgets[service] = found
+            self._retry_budgets[service] = found
         return found
 
     def forecast(self, service):
--- a/catkinshunt/gateway/_events.py
+++ b/catkinshunt/gateway/_events.py
@@ -4,7 +4,7 @@
 
 #: Longest event; a longer one is not held in memory.
 MAX_EVENT_BYTES = 1024 * 1024
-_ENDS = (b'\n\n', b'\r\n\r\n')
+_DELIMITERS = (b'\n\n', b'\r\n\r\n')
 
 
 class BadEventError(Exception):
@@ -34,12 +34,12 @@
         >>> splitter = EventSplitter()
         >>> splitter.feed(b'id: 1\\ndata: a\\n\\nid: 2\\nda')
         [Event(id=1, data=b'id: 1\\ndata: a\\n\\n')]
-        >>> splitter.rest
+        >>> splitter.remainder
         b'id: 2\\nda'
     """
 
     def __init__(self):
-        self.rest = b''
+        self.remainder = b''
 
     def feed(self, data):
         """Return the events that `data` makes whole.
@@ -47,25 +47,27 @@
         Raises:
             BadEventError: an event is too long or its id is no number.
         """
-        self.rest += data
+        self.remainder += data
         found = []
         while True:
-            end = _find_end(self.rest)
+            end = _find_end(self.remainder)
             if end < 0:
                 break
-            found.append(_read_event(self.rest[:end]))
-            self.rest = self.rest[end:]
-        if len(self.rest) > MAX_EVENT_BYTES:
+            found.append(_parse_event(self.remainder[:end]))
+            self.remainder = self.remainder[end:]
+        if len(self.remainder) > MAX_EVENT_BYTES:
             raise BadEventError('an event is too long')
         return found
 
 
 def _find_end(data):
-    ends = [at + len(mark) for mark in _ENDS if (at := data.find(mark)) >= 0]
+    ends = [
+        at + len(mark) for mark in _DELIMITERS if (at := data.find(mark)) >= 0
+    ]
     return min(ends, default=-1)
 
 
-def _read_event(data):
+def _parse_event(data):
     for line in data.splitlines():
         if line.startswith(b'id:'):
             text = line[3:].strip()
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -7,10 +7,10 @@
 from catkinshunt import dispatch
 from catkinshunt import errors
 from catkinshunt.gateway import _admission
+from catkinshunt.gateway import _permit_search
+from catkinshunt.gateway import _quarantine_check
 from catkinshunt.gateway import _relay
-from catkinshunt.gateway import _seat
 from catkinshunt.gateway import _selection
-from catkinshunt.gateway import _suspicion
 from catkinshunt.gateway import base
 from catkinshunt import http1
 from catkinshunt import logs
@@ -18,28 +18,28 @@
 from catkinshunt import retries
 
 #: Seconds for which a request waits for an upstream that may take it.
-HOLD_S = 1.0
+UPSTREAM_WAIT_S = 1.0
 #: Seconds after which a caller may come back when none was there by then.
 NO_UPSTREAM_RETRY_S = 0.8
 #: Priority at an engine by rank, from 0 (first) to 9; 5 is the usual one.
-PRIORITIES = {
+PRIORITY_BY_RANK = {
     dispatch.Rank.EARLY: 4,
     dispatch.Rank.DOUBTFUL: 6,
     dispatch.Rank.LATE: 7,
 }
 #: Share of the retry burst that is kept for requests at upstreams that break
 #: or stand still.
-MOVE_SHARE = 0.5
+FAILOVER_RESERVE_SHARE = 0.5
 #: Seconds after the signal to stop in which new requests are still served:
 #: the balancer needs two of its questions, a second apart, to notice.
-STOPPING_SERVES_S = 3.0
+STOP_ACCEPT_S = 3.0
 #: Smallest time left that is worth a try, in seconds.
-LEAST_LEFT_S = 0.02
+MIN_REMAINING_S = 0.02
 
 _log = logs.get_logger('exchange')
 
 
-class LateError(errors.OutcomeUnknownError):
+class DeadlineExceededError(errors.OutcomeUnknownError):
     """The time of the request is over; it may have run."""
 
     status = 504
@@ -52,12 +52,12 @@
 
     Attributes:
         head_sent: the head of the answer is with the caller.
-        last_id: id of the last event passed on, or None.
+        last_event_id: id of the last event passed on, or None.
         sends: tries whose request was sent.
         may_have_run: one of them may have run.
         tried: keys of the upstreams that were tried.
         reloading: those of them that are about to load another version.
-        hold_until: when it stops waiting for an upstream, or None.
+        wait_until: when it stops waiting for an upstream, or None.
         notes: one word on each try, for the log.
         first_s: seconds until the first byte of the answer, or None.
         waited_s: seconds for which it waited for an upstream.
@@ -65,12 +65,12 @@
     """
 
     head_sent: bool = False
-    last_id: int | None = None
+    last_event_id: int | None = None
     sends: int = 0
     may_have_run: bool = False
     tried: set = attrs.field(factory=set)
     reloading: set = attrs.field(factory=set)
-    hold_until: float | None = None
+    wait_until: float | None = None
     notes: list = attrs.field(factory=list)
     first_s: float | None = None
     waited_s: float = 0.0
@@ -90,12 +90,12 @@
         self.context = context
         self.conn = conn
         self.req = req
-        self.ask = None
+        self.info = None
         self.decision = None
         self.selection = None
-        self.suspicion = None
+        self.quarantine_check = None
         self.progress = Progress()
-        self.end_at = None
+        self.deadline = None
 
     async def run(self):
         """Answer the request; return whether the connection stays usable."""
@@ -105,54 +105,54 @@
             outcome, reason = 'answered', None
         except errors.RequestError as exc:
             outcome, reason = exc.code, str(exc)
-            return self._refuse(exc)
+            return self._reply_error(exc)
         finally:
-            self._record(outcome, reason)
-        return self._keeps()
+            self._record_outcome(outcome, reason)
+        return self._keeps_alive()
 
     async def _answer(self):
         now = self.context.clock()
-        self.ask = self.context.dialect.decode_request(self.req)
+        self.info = self.context.dialect.decode_request(self.req)
         stopping = self.context.stopping_since
-        if stopping is not None and now - stopping > STOPPING_SERVES_S:
+        if stopping is not None and now - stopping > STOP_ACCEPT_S:
             raise errors.LeavingError(
                 'this process stops',
                 step='admit',
                 retry_after_s=_admission.STOPPING_RETRY_S,
             )
-        await self._wait_for_state(now)
+        await self._wait_for_configuration(now)
         self.decision = _admission.decide(
             self.context.catalog,
-            self.ask,
+            self.info,
             self.context.random.random(),
             self.context.wall(),
         )
         self.selection = _selection.Selection(
-            self.context, self.ask, self.decision
+            self.context, self.info, self.decision
         )
-        self.suspicion = _suspicion.Suspicion(
+        self.quarantine_check = _quarantine_check.QuarantineCheck(
             self.context.guard,
             self.req,
-            self.ask.host,
+            self.info.host,
             self.decision.account,
         )
         limit_s = self.decision.serve.timeout_s
-        if self.ask.deadline_s is not None:
-            limit_s = min(limit_s, self.ask.deadline_s)
+        if self.info.deadline_s is not None:
+            limit_s = min(limit_s, self.info.deadline_s)
             self.progress.before_s = self.context.return_detector.waited_s(
-                self.decision.service, self.ask.deadline_s, now
+                self.decision.service, self.info.deadline_s, now
             )
-        self.end_at = self.req.received_at + limit_s
-        if self.ask.last_event_id:
-            self.progress.last_id = int(self.ask.last_event_id)
+        self.deadline = self.req.received_at + limit_s
+        if self.info.last_event_id:
+            self.progress.last_event_id = int(self.info.last_event_id)
         self.context.retry_budget(self.decision.service).offer()
         try:
-            async with asyncio.timeout(self.end_at - self.context.clock()):
-                await self._try_all()
+            async with asyncio.timeout(self.deadline - self.context.clock()):
+                await self._run_attempts()
         except TimeoutError as exc:
-            raise self._late() from exc
+            raise self._timeout_error() from exc
 
-    async def _wait_for_state(self, now):
+    async def _wait_for_configuration(self, now):
         """Wait for a moment where this process has just started.
 
         After a loss of power all callers come at once, to entries that will
@@ -162,8 +162,8 @@
         catalog = self.context.catalog
         if catalog.is_known:
             return
-        hold_s = min(HOLD_S, self.ask.deadline_s or HOLD_S)
-        self.progress.hold_until = now + hold_s
+        hold_s = min(UPSTREAM_WAIT_S, self.info.deadline_s or UPSTREAM_WAIT_S)
+        self.progress.wait_until = now + hold_s
         try:
             async with asyncio.timeout(hold_s):
                 while not catalog.is_known:
@@ -174,52 +174,56 @@
         finally:
             self.progress.waited_s += self.context.clock() - now
 
-    def _late(self):
+    def _timeout_error(self):
         if not self.progress.sends:
             return errors.OverloadedError(
                 'no upstream took it in time', step='dispatch'
             )
-        return LateError('the time of the request is over', step='answer')
+        return DeadlineExceededError(
+            'the time of the request is over', step='answer'
+        )
 
     # Tries.
 
-    async def _try_all(self):
+    async def _run_attempts(self):
         while True:
             self._check_quarantine()
-            candidate = await self._choose()
-            finder = _seat.SeatFinder(
+            candidate = await self._choose_upstream()
+            search = _permit_search.PermitSearch(
                 self.context,
                 self.selection,
                 self.progress,
-                self._waited_s(),
+                self._client_wait_s(),
                 self.decision.serve.goal_s,
             )
             try:
-                await self._send(await self._find_seat(finder, candidate))
+                await self._run_attempt(
+                    await self._acquire_permit(search, candidate)
+                )
                 return
             except places.ReloadingError as exc:
                 self.progress.notes.append(str(exc))
             except errors.RequestError as exc:
                 self.progress.notes.append(str(exc))
-                self._judge(exc)
+                self._check_retry(exc)
             finally:
-                finder.close()
+                search.close()
 
     def _check_quarantine(self):
         try:
-            self.suspicion.check()
-        except _suspicion.QuarantinedError as exc:
-            raise self._final(exc) from exc
+            self.quarantine_check.check()
+        except _quarantine_check.QuarantinedError as exc:
+            raise self._final_error(exc) from exc
 
-    async def _find_seat(self, finder, candidate):
+    async def _acquire_permit(self, search, candidate):
         """Return the candidate that has a place; any where none is needed."""
-        if self.selection.engine() is None:
+        if self.selection.engine_profile() is None:
             return candidate
         if not self.context.permit_client.is_started:
             return candidate
         began = self.context.clock()
         try:
-            found = await finder.find(candidate)
+            found = await search.find(candidate)
             self._check_version(found)
             return found
         except places.NoPlaceError:
@@ -244,56 +248,56 @@
             step='take-place',
         )
 
-    def _judge(self, exc):
+    def _check_retry(self, exc):
         """Raise what the request ends with unless it may be tried again."""
         progress = self.progress
         serve = self.decision.serve
         if isinstance(exc, places.NoPlaceError):
-            raise self._final(exc)
+            raise self._final_error(exc)
         progress.may_have_run |= exc.ran != 'no'
         policy = retries.RetryPolicy(
             self.context.retry_budget(self.decision.service)
             if progress.sends
             else None,
             max_tries=serve.max_tries,
-            least_left_s=LEAST_LEFT_S,
-            reserve=self.context.retry_burst * MOVE_SHARE,
+            least_left_s=MIN_REMAINING_S,
+            reserve=self.context.retry_burst * FAILOVER_RESERVE_SHARE,
         )
         verdict = policy.check(
             exc,
             serve.repeatable,
             progress.sends,
-            self.end_at,
+            self.deadline,
             self.context.clock(),
         )
         progress.notes.append(f'{verdict.grounds}, again {verdict.again}')
         if verdict.again:
             return
-        raise self._final(exc)
+        raise self._final_error(exc)
 
-    def _final(self, exc):
+    def _final_error(self, exc):
         if self.progress.may_have_run and exc.ran == 'no':
             return errors.OutcomeUnknownError(
                 'an earlier try may have run', step='dispatch'
             )
         return exc
 
-    async def _choose(self):
+    async def _choose_upstream(self):
         """Return the `dispatch.Candidate` for the next try.
 
         Where no upstream can take the request yet, such as while all load
         the version that is due, it waits for one for a moment.
         """
         progress = self.progress
-        if progress.hold_until is None:
-            progress.hold_until = self.context.clock() + HOLD_S
+        if progress.wait_until is None:
+            progress.wait_until = self.context.clock() + UPSTREAM_WAIT_S
         while True:
             candidate = self.selection.find_next(progress)
             if candidate is not None:
                 return candidate
-            left_s = progress.hold_until - self.context.clock()
+            left_s = progress.wait_until - self.context.clock()
             if left_s <= 0 or not self._may_wait():
-                raise self._final(
+                raise self._final_error(
                     errors.OverloadedError(
                         'no upstream is there',
                         step='choose-upstream',
@@ -308,24 +312,26 @@
             progress.reloading.clear()
 
     def _may_wait(self):
-        return not self.progress.sends and self.selection.is_worth_waiting()
+        return (
+            not self.progress.sends and self.selection.may_become_available()
+        )
 
-    async def _send(self, candidate):
+    async def _run_attempt(self, candidate):
         """Make one try; raises an `errors.RequestError` where it failed."""
         # It may have been barred while it waited for a place.
-        self.suspicion.check()
+        self.quarantine_check.check()
         state = candidate.state
         job = state.begin(self.selection.make_job(), self.context.clock())
         job.likely_s = candidate.delay_s
         job.rank = self._rank(candidate)
         try:
-            await self._send_job(candidate, job)
+            await self._send_attempt(candidate, job)
             state.succeed(self.context.clock())
-            self.suspicion.note_completion()
+            self.quarantine_check.record_completion()
         except errors.RefusedError:
             raise
-        except _relay.BrokenOffError:
-            self.suspicion.note_break(candidate.upstream)
+        except _relay.ConnectionLostError:
+            self.quarantine_check.record_broken_connection(candidate.upstream)
             state.fail(self.context.clock())
             raise
         except errors.RequestError:
@@ -334,7 +340,7 @@
         finally:
             state.end(job)
 
-    async def _send_job(self, candidate, job):
+    async def _send_attempt(self, candidate, job):
         pool = self.context.pool(candidate.upstream)
         conn = await self._connect(pool, candidate.state)
         self.progress.notes.append(f'sent as {job.rank.name.lower()}')
@@ -349,7 +355,7 @@
             # The caller left, or its time is over, before the first byte.
             now = self.context.clock()
             if not job.answering and not candidate.state.is_silent(now):
-                self.learn_delay(job, now - sent_at)
+                self.record_delay(job, now - sent_at)
             raise
         finally:
             if whole:
@@ -369,17 +375,17 @@
             raise
 
     def _request_bytes(self, upstream, job):
-        left_s = self.end_at - self.context.clock()
-        last_id = self.progress.last_id
-        forward = base.AttemptInfo(
+        left_s = self.deadline - self.context.clock()
+        last_event_id = self.progress.last_event_id
+        attempt = base.AttemptInfo(
             upstream.id,
             left_s,
             self.decision.account,
-            '' if last_id is None else str(last_id),
+            '' if last_event_id is None else str(last_event_id),
             self._priority(job),
         )
         items = self.context.dialect.upstream_headers(
-            self.req, self.ask, forward
+            self.req, self.info, attempt
         )
         if self.req.body or self.req.method in ('POST', 'PUT', 'PATCH'):
             items.append(('Content-Length', str(len(self.req.body))))
@@ -400,7 +406,7 @@
             now,
         )
 
-    def _waited_s(self):
+    def _client_wait_s(self):
         """Return for how long the caller has waited since it first asked.
 
         None for one that is reading already.
@@ -410,7 +416,7 @@
         held_s = self.context.clock() - self.req.received_at
         return held_s + self.progress.before_s
 
-    def learn_delay(self, job, delay_s):
+    def record_delay(self, job, delay_s):
         """Take in the seconds that a try took to its first byte."""
         if job.rank == dispatch.Rank.EARLY:
             forecast = self.context.forecast(self.decision.service)
@@ -418,11 +424,11 @@
 
     def _priority(self, job):
         """Return the rank of the request at an engine, or None."""
-        if self.selection.engine() is None:
+        if self.selection.engine_profile() is None:
             return None
-        return PRIORITIES[job.rank]
+        return PRIORITY_BY_RANK[job.rank]
 
-    def can_move(self):
+    def can_fail_over(self):
         """Return whether a try may be given up for one elsewhere."""
         if not self.decision.serve.repeatable:
             return False
@@ -432,23 +438,23 @@
         # upstream that it waits for may still answer.
         if not self.context.retry_budget(self.decision.service).has_token():
             return False
-        return self.selection.has_other(self.progress.tried)
+        return self.selection.has_untried(self.progress.tried)
 
     # What the caller gets.
 
-    def _keeps(self):
+    def _keeps_alive(self):
         return self.req.keep_alive and self.context.stopping_since is None
 
-    def closing_items(self):
+    def connection_headers(self):
         """Return the headers that tell whether the connection stays."""
-        return [] if self._keeps() else [('Connection', 'close')]
+        return [] if self._keeps_alive() else [('Connection', 'close')]
 
-    def note_first(self):
+    def record_first_byte(self):
         """Note that the answer has begun."""
         if self.progress.first_s is None:
             self.progress.first_s = self.context.clock() - self.req.received_at
 
-    def _refuse(self, exc):
+    def _reply_error(self, exc):
         """Answer with an error of our own; return whether to go on."""
         if self.progress.head_sent:
             # A proper end would make the broken answer look whole.
@@ -456,18 +462,20 @@
             return False
         if isinstance(exc, errors.OverloadedError):
             self.context.return_detector.note_refusal(self.context.clock())
-        items = self.context.dialect.reply_headers(self.ask)
+        items = self.context.dialect.reply_headers(self.info)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
-        keeps = self._keeps() and not isinstance(exc, _admission.StaleError)
-        if not keeps:
+        keeps_alive = self._keeps_alive() and not isinstance(
+            exc, _admission.StaleError
+        )
+        if not keeps_alive:
             items.append(('Connection', 'close'))
         body = f'{exc.code}: {exc.message}\n'.encode()
         items.append(('Content-Type', 'text/plain'))
         self.conn.write(http1.dump_reply(exc.status, items, body))
-        return keeps
+        return keeps_alive
 
-    def _record(self, outcome, reason):
+    def _record_outcome(self, outcome, reason):
         """Count the request and write the line on it."""
         now = self.context.clock()
         decision = self.decision
@@ -478,9 +486,9 @@
         age_s = self.context.catalog.age_s(self.context.wall())
         _log.info(
             'Request {} ended as {}.',
-            self.ask.id if self.ask else '?',
+            self.info.id if self.info else '?',
             outcome,
-            request=self.ask.id if self.ask else None,
+            request=self.info.id if self.info else None,
             outcome=outcome,
             reason=reason,
             service=service,
@@ -492,7 +500,7 @@
             waited_s=_rounded(self.progress.waited_s),
             tries=self.progress.notes,
             sends=self.progress.sends,
-            events_to=self.progress.last_id,
+            events_to=self.progress.last_event_id,
             first_s=_rounded(self.progress.first_s),
             took_s=_rounded(now - self.req.received_at),
         )
--- a/catkinshunt/gateway/_gateway.py
+++ b/catkinshunt/gateway/_gateway.py
@@ -8,9 +8,9 @@
 
 #: Seconds after the signal to stop in which idle connections stay open; the
 #: balancer has stopped sending new ones by then.
-CLOSE_IDLE_S = 2.6
+IDLE_CLOSE_DELAY_S = 2.6
 #: Pause between looks at what is still in progress while stopping.
-STOP_LOOK_S = 0.1
+STOP_POLL_S = 0.1
 
 _log = logs.get_logger('gateway')
 
@@ -26,7 +26,7 @@
         self.context = context
         self._busy = set()
         self._listener = http1.Listener(
-            self._session, context.clock, self._limits
+            self._serve_connection, context.clock, self._limits
         )
 
     @property
@@ -58,8 +58,8 @@
         self.context.stopping_since = since
         _log.info('Stopping with {} requests in progress.', self.in_progress)
         while self.context.clock() - since < grace_s:
-            await asyncio.sleep(STOP_LOOK_S)
-            if self.context.clock() - since > CLOSE_IDLE_S:
+            await asyncio.sleep(STOP_POLL_S)
+            if self.context.clock() - since > IDLE_CLOSE_DELAY_S:
                 self._close_idle()
                 if not self._listener.tasks:
                     break
@@ -75,7 +75,7 @@
         declaration = self.context.catalog.declaration
         return declaration.limits if declaration else http1.Limits()
 
-    async def _session(self, conn):
+    async def _serve_connection(self, conn):
         while True:
             req = await conn.read_request()
             if req is None:
@@ -85,10 +85,12 @@
                 return
             self._busy.add(conn)
             try:
-                keeps = await _exchange.Exchange(self.context, conn, req).run()
+                keeps_alive = await _exchange.Exchange(
+                    self.context, conn, req
+                ).run()
             finally:
                 self._busy.discard(conn)
-            if not keeps:
+            if not keeps_alive:
                 return
             conn.begin_idle()
 
--- a/catkinshunt/gateway/_seat.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -12,56 +12,56 @@
 #: the others say at once whether they have room: an entry does not know how
 #: busy engines are with requests of others. Each further one takes a round
 #: trip from the time that is left.
-MOST_ASKED = 3
+MAX_SIDECARS = 3
 #: Seconds for which another engine is asked after a sidecar was asked in
 #: vain. Where all of them are silent what it takes is lost; one that is not
 #: has answered by then on most links.
-SECOND_S = 0.05
+NEXT_REPLY_TIMEOUT_S = 0.05
 #: Seconds for which a request waits for a place at an engine that answers
 #: before one whose sidecar is silent gets it.
-QUEUED_S = 0.05
+QUEUED_PREFERENCE_S = 0.05
 #: Seconds within which an engine whose sidecar gives no answer must accept a
 #: connection to get a request; as long as an ask may take. What is sent over
 #: a full link cannot be taken back, and comes after its caller has left.
-PROVE_S = places.ANSWER_S * places.SENDS
+PROBE_TIMEOUT_S = places.ANSWER_S * places.SENDS
 #: Such engines that are tried.
-MOST_PROVED = 2
+MAX_PROBES = 2
 #: Share of the slots of an engine that one entry uses where the sidecar gives
 #: no answer; the others do the same.
-UNCOUNTED_SHARE = 0.25
+NO_PERMIT_SLOT_SHARE = 0.25
 #: Seconds before a version is due from which on an engine with the one before
 #: gets no request where its sidecar gives no answer. Nobody else keeps them
 #: from it then, and a full link that keeps the answer holds up the request
 #: as well.
-UNHEARD_LEAD_S = 1.5
+NO_PERMIT_VERSION_LEAD_S = 1.5
 #: Seconds for which a stream that broke off waits for a place elsewhere; its
 #: caller leaves after a longer pause.
-MOVE_WAIT_S = 0.2
+FAILOVER_WAIT_S = 0.2
 #: Seconds for which an engine that is about to load another version is left
 #: alone; it gets work again as soon as its entry shows other versions.
 RELOAD_PAUSE_S = 2.5
 
 
 @attrs.define(eq=False)
-class _Bid:
+class _PendingRequest:
     """An ask at the sidecar of one candidate.
 
     Attributes:
-        is_open: it counts among those that wait for the engine.
+        is_counted: it counts among those that wait for the engine.
     """
 
     candidate: dispatch.Candidate
     asking: places.Asking
-    is_open: bool = True
+    is_counted: bool = True
 
-    def settle(self):
+    def uncount(self):
         """Count no longer as one that waits."""
-        if self.is_open:
+        if self.is_counted:
             self.candidate.state.asking -= 1
-            self.is_open = False
+            self.is_counted = False
 
 
-class SeatFinder:
+class PermitSearch:
     """Asks engines for a place until one gives it.
 
     What it got is held until `close`.
@@ -82,7 +82,7 @@
         self.waited_s = waited_s
         self.goal_s = goal_s
         self._began = context.clock()
-        self._bids = []
+        self._pending = []
 
     async def find(self, candidate):
         """Return the `dispatch.Candidate` to send the request to.
@@ -94,53 +94,57 @@
             places.NoPlaceError: there is no place in time.
             places.ReloadingError: all are about to load another version.
         """
-        asked, waiting, silent = 0, None, []
-        in_vain = False
-        while candidate is not None and asked < MOST_ASKED:
-            may_ask = self._may_be_asked(candidate.upstream)
-            bid = None
-            if may_ask:
-                bid = await self._bid(candidate, asked > 0, in_vain)
-            reply = bid.asking.reply if bid is not None else None
+        answered, waiting, unresponsive = 0, None, []
+        any_unanswered = False
+        while candidate is not None and answered < MAX_SIDECARS:
+            responsive = self._is_responsive(candidate.upstream)
+            pending = None
+            if responsive:
+                pending = await self._request_permit(
+                    candidate, answered > 0, any_unanswered
+                )
+            reply = pending.asking.reply if pending is not None else None
             if isinstance(reply, places.Granted):
-                return self._settle(candidate, bid)
+                return self._keep_only(candidate, pending)
             if isinstance(reply, places.Queued):
-                waiting = bid
+                waiting = pending
             if reply is None:
-                in_vain |= may_ask
-                silent.append(candidate)
-                if len(silent) >= MOST_PROVED:
+                any_unanswered |= responsive
+                unresponsive.append(candidate)
+                if len(unresponsive) >= MAX_PROBES:
                     break
             elif not _is_reloading(reply):
-                asked += 1
+                answered += 1
             candidate = self.selection.find_next(
-                self.progress, self._may_be_asked
+                self.progress, self._is_responsive
             )
-        if waiting is not None and await self._wait(waiting, QUEUED_S):
-            return self._settle(waiting.candidate, waiting)
-        found = await self._find_unheard(silent)
+        if waiting is not None and await self._wait_for_grant(
+            waiting, QUEUED_PREFERENCE_S
+        ):
+            return self._keep_only(waiting.candidate, waiting)
+        found = await self._find_without_permit(unresponsive)
         if found is not None:
-            return self._settle(found)
-        if waiting is not None and await self._wait(waiting):
-            return self._settle(waiting.candidate, waiting)
-        raise self._refusal()
+            return self._keep_only(found)
+        if waiting is not None and await self._wait_for_grant(waiting):
+            return self._keep_only(waiting.candidate, waiting)
+        raise self._rejection()
 
-    async def _wait(self, bid, most_s=None):
-        """Return whether a bid gets its place within `most_s` seconds."""
+    async def _wait_for_grant(self, pending, timeout_s=None):
+        """Return whether a bid gets its place within `timeout_s` seconds."""
         try:
-            async with asyncio.timeout(most_s):
-                reply = await bid.asking.last_reply()
+            async with asyncio.timeout(timeout_s):
+                reply = await pending.asking.last_reply()
         except TimeoutError:
             return False
         return isinstance(reply, places.Granted)
 
-    def _may_be_asked(self, upstream):
+    def _is_responsive(self, upstream):
         return self.context.permit_client.may_ask(upstream.address[0])
 
-    def _is_silent(self, upstream):
-        return not self._may_be_asked(upstream)
+    def _is_unresponsive(self, upstream):
+        return not self._is_responsive(upstream)
 
-    async def _find_unheard(self, silent):
+    async def _find_without_permit(self, unresponsive):
         """Return a candidate whose sidecar is silent, or None.
 
         A sidecar that starts is as silent as one behind a full link. The
@@ -149,72 +153,72 @@
         Args:
             silent: candidates whose sidecars were found silent just now.
         """
-        proved = 0
-        while proved < MOST_PROVED:
-            if silent:
-                candidate = silent.pop(0)
+        probed = 0
+        while probed < MAX_PROBES:
+            if unresponsive:
+                candidate = unresponsive.pop(0)
             else:
                 candidate = self.selection.find_next(
-                    self.progress, self._is_silent
+                    self.progress, self._is_unresponsive
                 )
             if candidate is None:
                 return None
-            proved += 1
-            if not self._may_go_unheard(candidate):
+            probed += 1
+            if not self._may_send_without_permit(candidate):
                 continue
-            is_proved = await self._prove(candidate)
+            accepts = await self._accepts_connection(candidate)
             # Others may have been sent there meanwhile.
-            if is_proved and self._may_go_unheard(candidate):
+            if accepts and self._may_send_without_permit(candidate):
                 return candidate
         return None
 
-    async def _prove(self, candidate):
+    async def _accepts_connection(self, candidate):
         """Return whether an engine accepts a connection soon."""
         pool = self.context.pool(candidate.upstream)
         try:
-            async with asyncio.timeout(PROVE_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 conn = await pool.take(fresh=True)
         except TimeoutError:
-            self._note_try(candidate, 'no connection in time')
+            self._add_note(candidate, 'no connection in time')
             return False
         except errors.RefusedError as exc:
-            self._note_try(candidate, str(exc))
+            self._add_note(candidate, str(exc))
             candidate.state.pause(self.context.clock())
             return False
         pool.give_back(conn)
-        self._note_try(candidate, 'accepted a connection')
+        self._add_note(candidate, 'accepted a connection')
         return True
 
-    def _note_try(self, candidate, text):
+    def _add_note(self, candidate, text):
         self.progress.notes.append(f'{candidate.upstream.id}: {text}')
 
-    def _may_go_unheard(self, candidate):
+    def _may_send_without_permit(self, candidate):
         """Return whether an engine whose sidecar is silent gets the request.
 
         Nobody counts what all entries send there. Past capacity everything
         that is refused elsewhere would go there.
         """
         upstream = candidate.upstream
-        if self.selection.is_outdated(upstream, UNHEARD_LEAD_S):
+        if self.selection.is_outdated(upstream, NO_PERMIT_VERSION_LEAD_S):
             return False
-        most = upstream.slots * UNCOUNTED_SHARE
+        most = upstream.slots * NO_PERMIT_SLOT_SHARE
         return len(candidate.state.jobs) < max(1, most)
 
     def close(self):
         """Give back what was got."""
-        self._settle(None)
+        self._keep_only(None)
 
-    def _settle(self, candidate, kept=None):
+    def _keep_only(self, candidate, kept=None):
         """Give up all bids but one; return the candidate."""
-        for bid in self._bids:
-            bid.settle()
-            if bid is not kept:
-                bid.asking.end()
-        self._bids = [kept] if kept is not None else []
+        for pending in self._pending:
+            pending.uncount()
+            if pending is not kept:
+                pending.asking.end()
+        self._pending = [kept] if kept is not None else []
         return candidate
 
-    async def _bid(self, candidate, probe, brief):
-        """Return a `_Bid` with its first reply, or None where none comes.
+    async def _request_permit(self, candidate, probe, brief):
+        """Return a `_PendingRequest` with its first reply, or None.
 
         Args:
             candidate: the one to ask.
@@ -223,32 +227,34 @@
         """
         asking = self.context.permit_client.ask(
             _host(candidate),
-            lambda number: self._ask(number, candidate, probe),
+            lambda number: self._make_request(number, candidate, probe),
         )
-        bid = _Bid(candidate, asking)
-        self._bids.append(bid)
+        pending = _PendingRequest(candidate, asking)
+        self._pending.append(pending)
         candidate.state.asking += 1
         try:
-            async with asyncio.timeout(SECOND_S if brief else None):
+            async with asyncio.timeout(
+                NEXT_REPLY_TIMEOUT_S if brief else None
+            ):
                 await asking.first_reply()
         except TimeoutError:
             pass
-        self._note(bid)
+        self._record_reply(pending)
         if asking.reply is not None:
-            return bid
+            return pending
         # A place granted too late is given back, not kept from others.
-        self._bids.remove(bid)
-        bid.settle()
+        self._pending.remove(pending)
+        pending.uncount()
         asking.end()
         return None
 
-    def _ask(self, number, candidate, probe):
+    def _make_request(self, number, candidate, probe):
         """Return the `places.Ask` for a candidate."""
-        engine = self.selection.engine()
+        engine = self.selection.engine_profile()
         job = self.selection.make_job()
         moving = self.waited_s is None
         if moving:
-            wait_s = MOVE_WAIT_S
+            wait_s = FAILOVER_WAIT_S
         else:
             held_s = self.context.clock() - self._began
             wait_s = self.goal_s - self.waited_s - held_s
@@ -264,10 +270,10 @@
             moving=moving,
         )
 
-    def _note(self, bid):
+    def _record_reply(self, pending):
         """Take over what the reply tells of an engine."""
-        reply = bid.asking.reply
-        upstream, state = bid.candidate.upstream, bid.candidate.state
+        reply = pending.asking.reply
+        upstream, state = pending.candidate.upstream, pending.candidate.state
         self.progress.notes.append(_describe(reply, upstream))
         if reply is None:
             return
@@ -283,22 +289,24 @@
             load = dispatch.Load(slots, 1, slots)
         state.report(load, self.context.clock())
 
-    def _refusal(self):
+    def _rejection(self):
         """Return the error for a request that no engine takes."""
-        refused = [
-            bid.asking.reply
-            for bid in self._bids
-            if isinstance(bid.asking.reply, places.Refused)
+        rejected = [
+            pending.asking.reply
+            for pending in self._pending
+            if isinstance(pending.asking.reply, places.Refused)
         ]
-        full = [reply for reply in refused if not _is_reloading(reply)]
-        if refused and not full:
+        full = [reply for reply in rejected if not _is_reloading(reply)]
+        if rejected and not full:
             return places.ReloadingError(
                 'all engines are about to load', step='take-place'
             )
         return places.NoPlaceError(
             f'no engine has room, {len(full)} said so',
             step='take-place',
-            peer=', '.join(_host(bid.candidate) for bid in self._bids),
+            peer=', '.join(
+                _host(pending.candidate) for pending in self._pending
+            ),
             retry_after_s=full[0].retry_s if full else None,
         )
 
@@ -308,8 +316,8 @@
 
 
 def _is_reloading(reply):
-    refused = isinstance(reply, places.Refused)
-    return refused and reply.reason == places.RELOADING
+    rejected = isinstance(reply, places.Refused)
+    return rejected and reply.reason == places.RELOADING
 
 
 def _describe(reply, upstream):
--- a/catkinshunt/gateway/_suspicion.py
+++ b/catkinshunt/gateway/_quarantine_check.py
@@ -13,7 +13,7 @@
     code = 'quarantined'
 
 
-class Suspicion:
+class QuarantineCheck:
     """What one request has to do with crashes of its upstreams.
 
     Args:
@@ -49,12 +49,12 @@
                 retry_after_s=math.ceil(left_s),
             )
 
-    def note_break(self, upstream):
+    def record_broken_connection(self, upstream):
         """Note that the connection to an upstream broke off."""
         if self.guard is not None:
-            self.guard.note_break(upstream, self.fingerprint)
+            self.guard.record_broken_connection(upstream, self.fingerprint)
 
-    def note_completion(self):
+    def record_completion(self):
         """Note that an upstream has run the request to its end."""
         if self.guard is not None and not self.guard.is_idle:
-            self.guard.note_completion(self.fingerprint)
+            self.guard.record_completion(self.fingerprint)
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -7,10 +7,10 @@
 from catkinshunt import http1
 
 #: Seconds after which an exchange looks whether its upstream is silent.
-LOOK_S = 0.2
+POLL_S = 0.2
 #: Bytes of an answer that are held until it is whole, so that one that
 #: breaks off can be asked for again; a longer one is passed on as it comes.
-HELD_BYTES = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 #: Seconds for which an upstream that refused a request gets no other one.
 FULL_PAUSE_S = 0.1
 #: The same after it did not hold the name or version that was expected.
@@ -25,17 +25,17 @@
 EVENT_STREAM = 'text/event-stream'
 
 
-class OutdatedError(errors.OutcomeUnknownError):
+class OutdatedVersionError(errors.OutcomeUnknownError):
     """The upstream had not begun when its version became too old."""
 
     code = 'outdated'
 
 
-class BrokenOffError(errors.OutcomeUnknownError):
+class ConnectionLostError(errors.OutcomeUnknownError):
     """The connection to the upstream ended before its reply."""
 
 
-class SilentError(errors.OutcomeUnknownError):
+class UnresponsiveError(errors.OutcomeUnknownError):
     """The upstream sends nothing on any connection."""
 
     code = 'silent'
@@ -64,20 +64,20 @@
 
     async def run(self):
         """Relay the reply; return whether the connection can be kept."""
-        head = await self._read_own_head()
+        head = await self._read_reply_head()
         note = self.context.dialect.decode_reply(head)
         if note.load is not None:
             self.state.report(note.load, self.context.clock())
-        self._check(head, note)
+        self._check_head(head, note)
         delay_s = self.context.clock() - self.sent_at
-        self.exchange.learn_delay(self.job, delay_s)
+        self.exchange.record_delay(self.job, delay_s)
         if self._is_stream(head):
             await self._relay_events(head)
         else:
-            await self._relay_whole(head)
+            await self._relay_buffered(head)
         return self.conn.sent_whole and not note.closes_connection
 
-    async def _read_own_head(self):
+    async def _read_reply_head(self):
         """Return the head of the reply to this request.
 
         A reply to an earlier one can still come on the connection; it is
@@ -88,20 +88,20 @@
             if not isinstance(part, http1.ReplyHead):
                 continue
             note = self.context.dialect.decode_reply(part)
-            if note.request_id in ('', self.exchange.ask.id):
+            if note.request_id in ('', self.exchange.info.id):
                 return part
 
     async def _next_part(self):
         while True:
             try:
-                async with asyncio.timeout(LOOK_S):
+                async with asyncio.timeout(POLL_S):
                     part = await self.conn.read_part()
             except TimeoutError:
                 self._check_version()
-                self._check_silence()
+                self._check_responsive()
                 continue
             if isinstance(part, http1.Broken):
-                raise BrokenOffError(
+                raise ConnectionLostError(
                     part.reason, step='read-reply', peer=self.peer
                 )
             self.state.hear(self.context.clock())
@@ -116,23 +116,23 @@
         """
         if self.job.answering:
             return
-        if self.exchange.selection.is_outdated(self.upstream, LOOK_S):
-            raise OutdatedError(
+        if self.exchange.selection.is_outdated(self.upstream, POLL_S):
+            raise OutdatedVersionError(
                 'not begun before its version was due',
                 step='read-reply',
                 peer=self.peer,
             )
 
-    def _check_silence(self):
+    def _check_responsive(self):
         now = self.context.clock()
-        if not self.state.is_silent(now) or now - self.sent_at < LOOK_S:
+        if not self.state.is_silent(now) or now - self.sent_at < POLL_S:
             return
-        if self.exchange.can_move():
-            raise SilentError(
+        if self.exchange.can_fail_over():
+            raise UnresponsiveError(
                 'no byte on any connection', step='read-reply', peer=self.peer
             )
 
-    def _check(self, head, note):
+    def _check_head(self, head, note):
         """Raise where the reply is not to be passed on."""
         if note.misdirected:
             self.state.rest(self.context.clock(), MISDIRECTED_PAUSE_S)
@@ -142,7 +142,7 @@
                 peer=self.peer,
             )
         if note.not_executed:
-            self._rest(note)
+            self._back_off(note)
             raise errors.OverloadedError(
                 f'upstream refused with {head.status}',
                 step='read-reply',
@@ -157,14 +157,14 @@
                 step='read-reply',
                 peer=self.peer,
             )
-        if head.status >= 500 and self.exchange.can_move():
+        if head.status >= 500 and self.exchange.can_fail_over():
             raise errors.OutcomeUnknownError(
                 f'upstream failed with {head.status}',
                 step='read-reply',
                 peer=self.peer,
             )
 
-    def _rest(self, note):
+    def _back_off(self, note):
         """Leave an upstream alone that has just refused a request."""
         now = self.context.clock()
         load = note.load
@@ -177,22 +177,22 @@
         kind = head.headers.get('content-type') or ''
         return head.status == 200 and kind.startswith(EVENT_STREAM)
 
-    async def _relay_whole(self, head):
+    async def _relay_buffered(self, head):
         body = bytearray()
-        while len(body) <= HELD_BYTES:
+        while len(body) <= MAX_BUFFERED_BYTES:
             part = await self._next_part()
             if isinstance(part, http1.End):
-                self._send_whole(head, bytes(body))
+                self._send_buffered(head, bytes(body))
                 return
             body += part.data
-        await self._relay_long(head, bytes(body))
+        await self._relay_chunked(head, bytes(body))
 
-    def _send_whole(self, head, body):
-        self.exchange.note_first()
-        items = head.headers.end_to_end() + self.exchange.closing_items()
+    def _send_buffered(self, head, body):
+        self.exchange.record_first_byte()
+        items = head.headers.end_to_end() + self.exchange.connection_headers()
         self.exchange.conn.write(http1.dump_reply(head.status, items, body))
 
-    async def _relay_long(self, head, data):
+    async def _relay_chunked(self, head, data):
         self._send_head(head)
         while True:
             self.exchange.conn.write(http1.dump_chunk(data))
@@ -209,7 +209,7 @@
             part = await self._next_part()
             if isinstance(part, http1.End):
                 break
-            fresh, missing = self._fresh(self._split(splitter, part.data))
+            fresh, missing = self._select_new(self._split(splitter, part.data))
             if fresh:
                 self._send_head(head)
                 self.exchange.conn.write(http1.dump_chunk(fresh))
@@ -235,7 +235,7 @@
                 str(exc), step='read-reply', peer=self.peer
             ) from exc
 
-    def _fresh(self, events):
+    def _select_new(self, events):
         """Return the bytes that the caller lacks, and what is missing.
 
         What comes before a gap still goes to the caller: it is counted as
@@ -244,24 +244,24 @@
         progress = self.exchange.progress
         fresh = []
         for event in events:
-            last_id = progress.last_id
-            if None not in (event.id, last_id):
-                if event.id <= last_id:
+            last_event_id = progress.last_event_id
+            if None not in (event.id, last_event_id):
+                if event.id <= last_event_id:
                     continue
-                if event.id > last_id + 1:
-                    gap = f'event {event.id} came after {last_id}'
+                if event.id > last_event_id + 1:
+                    gap = f'event {event.id} came after {last_event_id}'
                     return b''.join(fresh), gap
-            progress.last_id = event.id
+            progress.last_event_id = event.id
             fresh.append(event.data)
         return b''.join(fresh), ''
 
     def _send_head(self, head):
         if self.exchange.progress.head_sent:
             return
-        self.exchange.note_first()
+        self.exchange.record_first_byte()
         self.exchange.progress.head_sent = True
         items = head.headers.end_to_end()
         items.append(('Transfer-Encoding', 'chunked'))
-        items.extend(self.exchange.closing_items())
+        items.extend(self.exchange.connection_headers())
         first = http1.status_line(head.status)
         self.exchange.conn.write(http1.dump_head(first, items))
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -14,46 +14,48 @@
         decision: the `_admission.Decision` on it.
     """
 
-    def __init__(self, context, ask, decision):
+    def __init__(self, context, info, decision):
         self.context = context
-        self.ask = ask
+        self.info = info
         self.decision = decision
 
     def make_job(self):
         """Return a new `dispatch.Job` for the request."""
-        return dispatch.Job(self.ask.tokens_in, self.ask.tokens_out)
+        return dispatch.Job(self.info.tokens_in, self.info.tokens_out)
 
-    def engine(self):
+    def engine_profile(self):
         """Return the profile of the service's engines, or None."""
         services = self.context.catalog.declaration.services
         service = services.get(self.decision.service)
-        return service.engine if service else None
+        return service.engine_profile if service else None
 
-    def find(self, tried, only=None):
+    def find(self, tried, predicate=None):
         """Return the best `dispatch.Candidate` that is not tried, or None.
 
         Args:
             tried: keys of the upstreams that were tried.
             only: function that tells whether an upstream is meant, or None.
         """
-        upstreams = self._upstreams()
+        upstreams = self._eligible_upstreams()
         return self.context.chooser.choose(
-            filter(only, upstreams) if only is not None else upstreams,
+            filter(predicate, upstreams)
+            if predicate is not None
+            else upstreams,
             self.context.tracker,
-            self.engine(),
+            self.engine_profile(),
             self.make_job(),
             self.context.clock(),
             avoid=tried,
         )
 
-    def find_next(self, progress, only=None):
+    def find_next(self, progress, predicate=None):
         """Return the best one that is not tried, and count it as tried.
 
         Args:
             progress: the `Progress` of the request.
             only: as for `find`.
         """
-        candidate = self.find(progress.tried, only)
+        candidate = self.find(progress.tried, predicate)
         if candidate is not None:
             progress.tried.add(candidate.upstream.key)
             progress.notes.append(self._describe(candidate))
@@ -68,16 +70,16 @@
             f' {state.failure_rate(self.context.clock()):.2f} failing'
         )
 
-    def has_other(self, tried):
+    def has_untried(self, tried):
         """Return whether one that is not tried is there and not silent."""
         now = self.context.clock()
         return any(
             not self.context.tracker.state(upstream).is_silent(now)
-            for upstream in self._upstreams()
+            for upstream in self._eligible_upstreams()
             if upstream.key not in tried
         )
 
-    def is_worth_waiting(self):
+    def may_become_available(self):
         """Return whether an upstream is there that may soon take it."""
         service = self.decision.service
         return any(
@@ -95,35 +97,35 @@
 
     def is_outdated(self, upstream, lead_s):
         """Return whether no request may begin there `lead_s` from now."""
-        least = self._least_version(lead_s)
-        if least is None or self.engine() is None:
+        min_version = self._min_version(lead_s)
+        if min_version is None or self.engine_profile() is None:
             return False
         known = self.context.catalog.find(upstream.id) or upstream
-        version = (known.versions or {}).get(self.ask.model)
-        return version is not None and version < least
+        version = (known.versions or {}).get(self.info.model)
+        return version is not None and version < min_version
 
-    def _upstreams(self):
+    def _eligible_upstreams(self):
         """Return the upstreams that may take the request."""
         found = self.context.catalog.upstreams(
             self.decision.service, self.context.wall()
         )
-        model = self.ask.model
-        if not model or self.engine() is None:
+        model = self.info.model
+        if not model or self.engine_profile() is None:
             return found
-        holding = [u for u in found if u.versions and model in u.versions]
-        least = self._least_version()
-        if least is None:
-            return holding
-        return [u for u in holding if u.versions[model] >= least]
+        serving = [u for u in found if u.versions and model in u.versions]
+        min_version = self._min_version()
+        if min_version is None:
+            return serving
+        return [u for u in serving if u.versions[model] >= min_version]
 
-    def _least_version(self, lead_s=0.0):
+    def _min_version(self, lead_s=0.0):
         """Return the oldest version that may still begin, or None for any.
 
         Args:
             lead_s: seconds from now for which it is asked.
         """
         return self.context.catalog.due_version(
-            self.ask.model,
+            self.info.model,
             self.context.version_grace_s,
             self.context.wall() + lead_s,
         )
--- a/catkinshunt/gateway/base.py
+++ b/catkinshunt/gateway/base.py
@@ -83,7 +83,7 @@
         """
 
     @abc.abstractmethod
-    def upstream_headers(self, req, ask, forward):
+    def upstream_headers(self, req, info, attempt):
         """Return the header items of `req` for an upstream."""
 
     @abc.abstractmethod
@@ -91,5 +91,5 @@
         """Return the `ReplyInfo` in an `http1.ReplyHead`."""
 
     @abc.abstractmethod
-    def reply_headers(self, ask):
+    def reply_headers(self, info):
         """Return the header items that each of our own replies carries."""
--- a/catkinshunt/gateway/tests/dialect.py
+++ b/catkinshunt/gateway/tests/dialect.py
@@ -31,14 +31,14 @@
             last_event_id=headers.get('Last-Event-Id', ''),
         )
 
-    def upstream_headers(self, req, ask, forward):
+    def upstream_headers(self, req, info, attempt):
         items = req.headers.end_to_end(without=_OWN)
-        items.append(('Left-Ms', str(int(forward.timeout_s * 1000))))
-        items.append(('Upstream', forward.upstream_id))
-        items.append(('Account', forward.account))
-        items.append(('Last-Event-Id', forward.last_event_id))
-        if forward.priority is not None:
-            items.append(('Rank', str(forward.priority)))
+        items.append(('Left-Ms', str(int(attempt.timeout_s * 1000))))
+        items.append(('Upstream', attempt.upstream_id))
+        items.append(('Account', attempt.account))
+        items.append(('Last-Event-Id', attempt.last_event_id))
+        if attempt.priority is not None:
+            items.append(('Rank', str(attempt.priority)))
         return items
 
     def decode_reply(self, head):
@@ -53,5 +53,5 @@
             in (headers.get('Connection') or '').lower(),
         )
 
-    def reply_headers(self, ask):
-        return [('Request-Id', ask.id)] if ask is not None else []
+    def reply_headers(self, info):
+        return [('Request-Id', info.id)] if info is not None else []
--- a/catkinshunt/gateway/tests/scene.py
+++ b/catkinshunt/gateway/tests/harness.py
@@ -59,7 +59,7 @@
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = (await reader.readuntil(b'\r\n\r\n')).decode()
-                length = field(head, 'Content-Length')
+                length = header(head, 'Content-Length')
                 if length:
                     await reader.readexactly(int(length))
                 self.heads.append(head)
@@ -84,7 +84,7 @@
                     return
 
 
-def field(head, name):
+def header(head, name):
     """Return the value of a header in `head`, or ''."""
     for line in head.split('\r\n'):
         key, _, value = line.partition(':')
@@ -96,14 +96,14 @@
 def reply(head, status=200, body=b'done', items=()):
     """Return the bytes of an upstream's own reply."""
     items = [
-        ('Request-Id', field(head, 'Request-Id')),
+        ('Request-Id', header(head, 'Request-Id')),
         ('Stamp', 'stamp'),
         *items,
     ]
     return http1.dump_reply(status, items, body)
 
 
-def answering(status=200, body=b'done', items=()):
+def replying(status=200, body=b'done', items=()):
     """Return an answer that replies at once."""
 
     async def answer(head, writer, upstream):
@@ -112,9 +112,9 @@
     return answer
 
 
-def refusing():
+def rejecting():
     """Return an answer that says that the request was not run."""
-    return answering(503, b'', [('Not-Run', '1')])
+    return replying(503, b'', [('Not-Run', '1')])
 
 
 def event(number):
@@ -131,19 +131,19 @@
     """
 
     async def answer(head, writer, upstream):
-        begin = int(field(head, 'Last-Event-Id') or 0) + 1
+        first = int(header(head, 'Last-Event-Id') or 0) + 1
         writer.write(
             http1.dump_head(
                 http1.status_line(200),
                 [
-                    ('Request-Id', field(head, 'Request-Id')),
+                    ('Request-Id', header(head, 'Request-Id')),
                     ('Stamp', upstream.name),
                     ('Content-Type', 'text/event-stream'),
                     ('Transfer-Encoding', 'chunked'),
                 ],
             )
         )
-        for number in range(begin, last + 1):
+        for number in range(first, last + 1):
             writer.write(http1.dump_chunk(event(number)))
             await writer.drain()
             if number == breaks_after:
@@ -190,7 +190,7 @@
     ]
 
 
-def declare(**changes):
+def make_declaration(**changes):
     """Return a declaration with an account and two services."""
     fields = {
         'revision': 1,
@@ -208,8 +208,8 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(*upstreams, retry_burst=10.0, guard=None, **changes):
-    """Start a gateway before `upstreams`; yields a `Scene`."""
+async def running_gateway(*upstreams, retry_burst=10.0, guard=None, **changes):
+    """Start a gateway before `upstreams`; yields a `GatewayHarness`."""
     loop = asyncio.get_running_loop()
     context = gateway.Context(
         catalog=catalogs.Catalog(fresh_s=3.0),
@@ -224,43 +224,43 @@
         permit_client=places.PlaceClient(0, loop.time, random.Random(3)),
         guard=guard,
     )
-    context.catalog.declare(declare(**changes))
+    context.catalog.declare(make_declaration(**changes))
     context.catalog.confirm(loop.time())
     for upstream in upstreams:
         await upstream.start()
         context.catalog.put_upstream(upstream.entry())
     server = await gateway.Gateway(context).start('127.0.0.1', 0)
     try:
-        yield Scene(context, server)
+        yield GatewayHarness(context, server)
     finally:
         for upstream in upstreams:
             upstream.stop()
 
 
-class Scene:
+class GatewayHarness:
     """A running gateway."""
 
     def __init__(self, context, server):
         self.context = context
         self.server = server
 
-    async def open(self):
+    async def connect(self):
         """Return (reader, writer) of a new connection."""
         return await asyncio.open_connection('127.0.0.1', self.server.port)
 
-    async def ask(self, path, method='GET', body=b'', **headers):
+    async def request(self, path, method='GET', body=b'', **headers):
         """Send one request; return (status, head, bytes of the body).
 
         The body is None where the reply broke off.
         """
-        reader, writer = await self.open()
-        await send(writer, path, method, body, **headers)
+        reader, writer = await self.connect()
+        await send_request(writer, path, method, body, **headers)
         found = await read_reply(reader)
         writer.close()
         return found
 
 
-async def send(writer, path, method='GET', body=b'', **headers):
+async def send_request(writer, path, method='GET', body=b'', **headers):
     """Send one request."""
     fields = {
         'Host': HOST,
@@ -290,8 +290,8 @@
 
 
 async def _read_body(reader, head):
-    if field(head, 'Transfer-Encoding') != 'chunked':
-        return await reader.readexactly(int(field(head, 'Content-Length')))
+    if header(head, 'Transfer-Encoding') != 'chunked':
+        return await reader.readexactly(int(header(head, 'Content-Length')))
     body = b''
     while True:
         size = int(await reader.readuntil(b'\r\n'), 16)
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -3,9 +3,9 @@
 import loguru
 import pytest
 
-from catkinshunt.gateway.tests import scene as scenes
+from catkinshunt.gateway.tests import harness
 
-field = scenes.field
+header = harness.header
 
 
 def run(main):
@@ -14,17 +14,17 @@
 
 def test_an_answer_comes_back_unchanged():
     async def main():
-        upstream = scenes.FakeUpstream(
-            'u1', scenes.answering(201, b'booked', [('X-Own', 'kept')])
+        upstream = harness.FakeUpstream(
+            'u1', harness.replying(201, b'booked', [('X-Own', 'kept')])
         )
-        async with scenes.scene(upstream) as scene:
-            reply = await scene.ask('/book/9', 'POST', b'die 4')
+        async with harness.running_gateway(upstream) as gateway:
+            reply = await gateway.request('/book/9', 'POST', b'die 4')
             return reply, upstream.heads
 
     (status, head, body), heads = run(main)
     assert (status, body) == (201, b'booked')
-    assert field(head, 'Stamp') == 'stamp'
-    assert field(head, 'X-Own') == 'kept'
+    assert header(head, 'Stamp') == 'stamp'
+    assert header(head, 'X-Own') == 'kept'
     assert len(heads) == 1
 
 
@@ -36,13 +36,13 @@
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            await scene.ask('/read/1', Account='somebody-else')
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            await gateway.request('/read/1', Account='somebody-else')
         return upstream.heads[0]
 
     head = run(main)
-    assert field(head, 'Account') == 'workshop'
+    assert header(head, 'Account') == 'workshop'
     assert 'k1' not in head
     assert 'somebody-else' not in head
 
@@ -51,11 +51,11 @@
     """An upstream with more time than the caller works for nobody."""
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            await scene.ask('/book/1', Left_Ms='700')
-            await scene.ask('/book/1', Left_Ms='60000')
-        return [int(field(h, 'Left-Ms')) for h in upstream.heads]
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            await gateway.request('/book/1', Left_Ms='700')
+            await gateway.request('/book/1', Left_Ms='60000')
+        return [int(header(h, 'Left-Ms')) for h in upstream.heads]
 
     short, long = run(main)
     assert 600 <= short <= 700
@@ -74,9 +74,9 @@
 )
 def test_rules_and_keys_decide_who_is_served(path, key, status):
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            found = await scene.ask(path, Api_Key=key)
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            found = await gateway.request(path, Api_Key=key)
             return found[0], len(upstream.heads)
 
     assert run(main) == (status, 1 if status == 200 else 0)
@@ -91,22 +91,22 @@
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            base = scene.context.wall
-            scene.context.wall = lambda: base() + 3.5
-            ready = scene.server.is_ready()
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            base = gateway.context.wall
+            gateway.context.wall = lambda: base() + 3.5
+            ready = gateway.server.is_ready()
             return (
                 ready,
-                await scene.ask('/read/1'),
-                await scene.ask('/open/1', Api_Key=''),
+                await gateway.request('/read/1'),
+                await gateway.request('/open/1', Api_Key=''),
             )
 
     ready, (status, head, _), public = run(main)
     assert not ready
     assert status == 503
-    assert float(field(head, 'Retry-After')) > 0
-    assert field(head, 'Connection') == 'close'
+    assert float(header(head, 'Retry-After')) > 0
+    assert header(head, 'Connection') == 'close'
     assert public[0] == 200
 
 
@@ -116,8 +116,8 @@
     sink = loguru.logger.add(lambda line: records.append(line.record))
 
     async def main():
-        async with scenes.scene() as scene:
-            return await scene.ask('/unknown/1')
+        async with harness.running_gateway() as gateway:
+            return await gateway.request('/unknown/1')
 
     try:
         status = run(main)[0]
@@ -136,16 +136,16 @@
     """A newer one may have the path or the key; a denied caller is lost."""
 
     async def main():
-        async with scenes.scene() as scene:
-            base = scene.context.wall
-            early = await scene.ask(path, Api_Key=key)
-            scene.context.wall = lambda: base() + 2.5
-            return early, await scene.ask(path, Api_Key=key)
+        async with harness.running_gateway() as gateway:
+            base = gateway.context.wall
+            early = await gateway.request(path, Api_Key=key)
+            gateway.context.wall = lambda: base() + 2.5
+            return early, await gateway.request(path, Api_Key=key)
 
     early, (status, head, _) = run(main)
     assert early[0] in (401, 404)
     assert status == 503
-    assert float(field(head, 'Retry-After')) > 0
+    assert float(header(head, 'Retry-After')) > 0
 
 
 def test_nothing_known_is_no_reason_to_deny():
@@ -156,9 +156,9 @@
     """
 
     async def main():
-        async with scenes.scene() as scene:
-            scene.context.catalog.declaration = None
-            return await scene.ask('/read/1')
+        async with harness.running_gateway() as gateway:
+            gateway.context.catalog.declaration = None
+            return await gateway.request('/read/1')
 
     assert run(main)[0] == 503
 
@@ -167,11 +167,11 @@
     """After a loss of power all come to entries that know nothing yet."""
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            catalog = scene.context.catalog
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            catalog = gateway.context.catalog
             known, catalog.declaration = catalog.declaration, None
-            asked = asyncio.ensure_future(scene.ask('/read/1'))
+            asked = asyncio.ensure_future(gateway.request('/read/1'))
             await asyncio.sleep(0.1)
             early = asked.done()
             catalog.declare(known)
@@ -182,10 +182,10 @@
 
 def test_a_refused_request_goes_to_another_upstream():
     async def main():
-        full = scenes.FakeUpstream('u1', scenes.refusing())
-        free = scenes.FakeUpstream('u2', scenes.answering())
-        async with scenes.scene(full, free) as scene:
-            found = [await scene.ask('/read/1') for _ in range(4)]
+        full = harness.FakeUpstream('u1', harness.rejecting())
+        free = harness.FakeUpstream('u2', harness.replying())
+        async with harness.running_gateway(full, free) as gateway:
+            found = [await gateway.request('/read/1') for _ in range(4)]
             return [reply[0] for reply in found], len(full.heads)
 
     statuses, refused = run(main)
@@ -204,10 +204,10 @@
         return 'close'
 
     async def main():
-        first = scenes.FakeUpstream('u1', lose)
-        second = scenes.FakeUpstream('u2', lose)
-        async with scenes.scene(first, second) as scene:
-            found = await scene.ask('/book/1', 'POST', b'x')
+        first = harness.FakeUpstream('u1', lose)
+        second = harness.FakeUpstream('u2', lose)
+        async with harness.running_gateway(first, second) as gateway:
+            found = await gateway.request('/book/1', 'POST', b'x')
         return found[0], len(first.heads) + len(second.heads)
 
     assert run(main) == (502, 1)
@@ -221,15 +221,15 @@
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            await scene.ask('/read/1')
-            entry = scene.context.catalog.find('u1')
-            pool = scene.context.pool(entry)
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            await gateway.request('/read/1')
+            entry = gateway.context.catalog.find('u1')
+            pool = gateway.context.pool(entry)
             before = pool.opened
-            await scene.ask('/read/2')
+            await gateway.request('/read/2')
             kept = pool.opened - before
-            await scene.ask('/book/1', 'POST', b'x')
+            await gateway.request('/book/1', 'POST', b'x')
             return kept, pool.opened - before
 
     assert run(main) == (0, 1)
@@ -244,14 +244,14 @@
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering(status, b''))
-        async with scenes.scene(upstream) as scene:
-            return await scene.ask('/book/1', 'POST', b'x')
+        upstream = harness.FakeUpstream('u1', harness.replying(status, b''))
+        async with harness.running_gateway(upstream) as gateway:
+            return await gateway.request('/book/1', 'POST', b'x')
 
     status, head, _ = run(main)
     assert status == 502
-    assert not field(head, 'Retry-After')
-    assert not field(head, 'Stamp')
+    assert not header(head, 'Retry-After')
+    assert not header(head, 'Stamp')
 
 
 def test_a_refusal_after_a_try_that_may_have_run_does_not_promise():
@@ -265,9 +265,9 @@
         return 'close'
 
     async def main():
-        first = scenes.FakeUpstream('u1', lose)
-        async with scenes.scene(first) as scene:
-            return await scene.ask('/read/1')
+        first = harness.FakeUpstream('u1', lose)
+        async with harness.running_gateway(first) as gateway:
+            return await gateway.request('/read/1')
 
     assert run(main)[0] == 502
 
@@ -283,10 +283,12 @@
         return 'close'
 
     async def main():
-        upstreams = [scenes.FakeUpstream(f'u{i}', lose) for i in range(2)]
-        async with scenes.scene(*upstreams, retry_burst=1.0) as scene:
+        upstreams = [harness.FakeUpstream(f'u{i}', lose) for i in range(2)]
+        async with harness.running_gateway(
+            *upstreams, retry_burst=1.0
+        ) as gateway:
             for _ in range(10):
-                await scene.ask('/read/1')
+                await gateway.request('/read/1')
         return sum(len(upstream.heads) for upstream in upstreams)
 
     assert run(main) <= 12
@@ -301,12 +303,14 @@
 
     async def answer(head, writer, upstream):
         other = head.replace('Request-Id: a1', 'Request-Id: a0')
-        writer.write(scenes.reply(other, body=b'not yours'))
-        writer.write(scenes.reply(head, body=b'yours'))
+        writer.write(harness.reply(other, body=b'not yours'))
+        writer.write(harness.reply(head, body=b'yours'))
 
     async def main():
-        async with scenes.scene(scenes.FakeUpstream('u1', answer)) as scene:
-            return await scene.ask('/read/1')
+        async with harness.running_gateway(
+            harness.FakeUpstream('u1', answer)
+        ) as gateway:
+            return await gateway.request('/read/1')
 
     assert run(main)[2] == b'yours'
 
@@ -323,10 +327,10 @@
         await asyncio.sleep(60)
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', slow)
-        async with scenes.scene(upstream) as scene:
-            _, writer = await scene.open()
-            await scenes.send(writer, '/read/1')
+        upstream = harness.FakeUpstream('u1', slow)
+        async with harness.running_gateway(upstream) as gateway:
+            _, writer = await gateway.connect()
+            await harness.send_request(writer, '/read/1')
             while not upstream.heads:
                 await asyncio.sleep(0.01)
             writer.close()
@@ -343,11 +347,11 @@
         await asyncio.sleep(60)
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', slow)
-        async with scenes.scene(upstream) as scene:
+        upstream = harness.FakeUpstream('u1', slow)
+        async with harness.running_gateway(upstream) as gateway:
             clock = asyncio.get_running_loop().time
             began = clock()
-            found = await scene.ask('/book/1', Left_Ms='300')
+            found = await gateway.request('/book/1', Left_Ms='300')
             return found[0], clock() - began
 
     status, took_s = run(main)
@@ -357,9 +361,9 @@
 
 def test_a_request_nobody_can_take_is_refused_in_time():
     async def main():
-        async with scenes.scene() as scene:
-            return await scene.ask('/book/1')
+        async with harness.running_gateway() as gateway:
+            return await gateway.request('/book/1')
 
     status, head, _ = run(main)
     assert status == 429
-    assert float(field(head, 'Retry-After')) > 0
+    assert float(header(head, 'Retry-After')) > 0
--- a/catkinshunt/gateway/tests/test_places.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -3,15 +3,15 @@
 
 import pytest
 
-from catkinshunt.gateway.tests import scene as scenes
+from catkinshunt.gateway.tests import harness
 from catkinshunt import places
 
 #: Address of an engine whose sidecar is not asked.
-SILENT_HOST = '127.0.0.2'
-CHAT = {'Model': scenes.MODEL, 'Tokens': '100,20'}
+UNRESPONSIVE_HOST = '127.0.0.2'
+CHAT = {'Model': harness.MODEL, 'Tokens': '100,20'}
 
 
-class FakeDoor:
+class FakePermitClient:
     """Sidecars that answer asks for places as told, one after the other.
 
     An answer is a message class, the reason of a refusal, or None for none;
@@ -25,7 +25,7 @@
         self.asks = []
         self.held = 0
         self.granted = 0
-        self.make_asking = FakeAsking
+        self.request_class = FakePermitRequest
 
     def may_ask(self, host):
         return True
@@ -34,20 +34,20 @@
         ask = make_ask(len(self.asks))
         self.asks.append(ask)
         answer = self.answers.pop(0) if self.answers else places.Granted
-        return self.make_asking(self, ask, answer)
+        return self.request_class(self, ask, answer)
 
 
-class FakeAsking:
-    def __init__(self, door, ask, answer):
-        self.door = door
+class FakePermitRequest:
+    def __init__(self, client, ask, answer):
+        self.client = client
         self.ask = ask
         self.answer = answer
         self.reply = None
 
     async def first_reply(self):
         if self.answer is places.Granted:
-            self.door.held += 1
-            self.door.granted += 1
+            self.client.held += 1
+            self.client.granted += 1
             self.reply = places.Granted(self.ask.number, 1)
         elif self.answer is places.Queued:
             self.reply = places.Queued(self.ask.number)
@@ -60,20 +60,22 @@
         return await self.first_reply()
 
     def end(self):
-        self.door.held -= isinstance(self.reply, places.Granted)
+        self.client.held -= isinstance(self.reply, places.Granted)
 
 
-def engine(name, answer, version=1):
-    return scenes.FakeUpstream(name, answer, 'model', {scenes.MODEL: version})
+def make_engine(name, answer, version=1):
+    return harness.FakeUpstream(
+        name, answer, 'model', {harness.MODEL: version}
+    )
 
 
-def play(door, *engines, **headers):
+def request_once(client, *engines, **headers):
     """Ask once through a gateway; return the reply."""
 
     async def main():
-        async with scenes.scene(*engines) as scene:
-            scene.context.permit_client = door
-            return await scene.ask(
+        async with harness.running_gateway(*engines) as gateway:
+            gateway.context.permit_client = client
+            return await gateway.request(
                 '/chat/1', 'POST', b'hello', **CHAT, **headers
             )
 
@@ -81,26 +83,26 @@
 
 
 def test_a_place_is_held_as_long_as_the_answer_lasts():
-    door = FakeDoor()
+    client = FakePermitClient()
     held = []
 
     async def answer(head, writer, upstream):
-        held.append(door.held)
-        return await scenes.streaming(3)(head, writer, upstream)
+        held.append(client.held)
+        return await harness.streaming(3)(head, writer, upstream)
 
-    status, _, _ = play(door, engine('u1', answer))
-    assert (status, held, door.held) == (200, [1], 0)
+    status, _, _ = request_once(client, make_engine('u1', answer))
+    assert (status, held, client.held) == (200, [1], 0)
 
 
 def test_a_place_is_given_back_when_the_engine_breaks():
-    door = FakeDoor()
+    client = FakePermitClient()
 
     async def answer(head, writer, upstream):
         return 'close'
 
-    status, _, _ = play(door, engine('u1', answer))
+    status, _, _ = request_once(client, make_engine('u1', answer))
     assert status == 502
-    assert door.held == 0
+    assert client.held == 0
 
 
 def test_a_silent_sidecar_ends_the_old_version_sooner():
@@ -110,17 +112,19 @@
     request, sent all the same, came there 0.95 s later and began on weights
     that should no longer serve.
     """
-    old = engine('a', scenes.streaming(3), version=1)
-    new = engine('b', scenes.streaming(3), version=2)
+    old = make_engine('a', harness.streaming(3), version=1)
+    new = make_engine('b', harness.streaming(3), version=2)
 
     async def main():
-        async with scenes.scene(old, new) as scene:
-            context = scene.context
-            context.permit_client = FakeDoor(None, None)
+        async with harness.running_gateway(old, new) as gateway:
+            context = gateway.context
+            context.permit_client = FakePermitClient(None, None)
             context.version_grace_s = 8.0
-            context.catalog.name_version(scenes.MODEL, 2, context.wall() - 7.0)
+            context.catalog.name_version(
+                harness.MODEL, 2, context.wall() - 7.0
+            )
             context.tracker.state(new.entry()).rest(context.clock(), 0.2)
-            return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
     assert status == 200
@@ -129,28 +133,28 @@
 
 def test_nothing_is_sent_to_an_engine_whose_time_ran_out_meanwhile():
     """A request that waited for its place would begin on the old version."""
-    old = engine('a', scenes.streaming(3), version=1)
-    door = FakeDoor(places.Queued)
+    old = make_engine('a', harness.streaming(3), version=1)
+    client = FakePermitClient(places.Queued)
 
     async def main():
-        async with scenes.scene(old) as scene:
-            context = scene.context
-            context.permit_client = door
+        async with harness.running_gateway(old) as gateway:
+            context = gateway.context
+            context.permit_client = client
             context.version_grace_s = 8.0
 
-            class Waiting(FakeAsking):
+            class Waiting(FakePermitRequest):
                 async def last_reply(self):
                     now = context.wall()
-                    context.catalog.name_version(scenes.MODEL, 2, now - 9.0)
+                    context.catalog.name_version(harness.MODEL, 2, now - 9.0)
                     return await super().last_reply()
 
-            door.make_asking = Waiting
-            return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            client.request_class = Waiting
+            return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
     assert status == 429
     assert not old.heads
-    assert door.held == 0
+    assert client.held == 0
 
 
 def test_where_no_engine_has_room_nothing_is_sent():
@@ -160,26 +164,28 @@
     others from being in time. Its caller is told at once when to come back,
     and that nothing has run.
     """
-    engines = [engine(name, scenes.streaming(3)) for name in 'abc']
-    status, head, _ = play(FakeDoor(*[places.NO_ROOM] * 3), *engines)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
+    status, head, _ = request_once(
+        FakePermitClient(*[places.NO_ROOM] * 3), *engines
+    )
     assert status == 429
-    assert scenes.field(head, 'Retry-After') == '1.7'
+    assert harness.header(head, 'Retry-After') == '1.7'
     assert not any(one.heads for one in engines)
 
 
 def test_another_engine_is_asked_when_one_is_full():
-    engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    status, _, _ = play(FakeDoor(places.NO_ROOM), *engines)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    status, _, _ = request_once(FakePermitClient(places.NO_ROOM), *engines)
     assert status == 200
 
 
 def test_a_request_waits_where_no_other_engine_has_room():
-    engines = [engine(name, scenes.streaming(3)) for name in 'abc']
-    door = FakeDoor(places.Queued, places.NO_ROOM, places.NO_ROOM)
-    status, _, _ = play(door, *engines)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
+    client = FakePermitClient(places.Queued, places.NO_ROOM, places.NO_ROOM)
+    status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert [ask.probe for ask in door.asks] == [False, True, True]
-    assert door.held == 0
+    assert [ask.probe for ask in client.asks] == [False, True, True]
+    assert client.held == 0
 
 
 def test_a_request_does_not_wait_where_another_engine_has_room():
@@ -187,33 +193,33 @@
 
     It asked the one that looked best, which is full, and others stand idle.
     """
-    engines = [engine(name, scenes.streaming(3)) for name in 'abc']
-    door = FakeDoor(places.Queued, places.NO_ROOM, places.Granted)
-    status, _, _ = play(door, *engines)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
+    client = FakePermitClient(places.Queued, places.NO_ROOM, places.Granted)
+    status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert door.held == 0
+    assert client.held == 0
 
 
 def test_an_engine_about_to_load_is_left_alone():
     """Half of the engines load a version; the others serve meanwhile."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'abcd']
-    door = FakeDoor(*[places.RELOADING] * 3)
-    status, _, _ = play(door, *engines)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abcd']
+    client = FakePermitClient(*[places.RELOADING] * 3)
+    status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert len(door.asks) == 4
+    assert len(client.asks) == 4
 
 
 def test_a_request_waits_for_an_engine_that_is_about_to_serve_again():
     async def main():
-        only = engine('u1', scenes.streaming(3))
-        async with scenes.scene(only) as scene:
-            scene.context.permit_client = FakeDoor(places.RELOADING)
+        only = make_engine('u1', harness.streaming(3))
+        async with harness.running_gateway(only) as gateway:
+            gateway.context.permit_client = FakePermitClient(places.RELOADING)
             asking = asyncio.ensure_future(
-                scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+                gateway.request('/chat/1', 'POST', b'hello', **CHAT)
             )
             await asyncio.sleep(0.1)
-            changed = only.entry(versions={scenes.MODEL: 2})
-            scene.context.catalog.put_upstream(changed)
+            changed = only.entry(versions={harness.MODEL: 2})
+            gateway.context.catalog.put_upstream(changed)
             return await asking
 
     status, _, _ = asyncio.run(main())
@@ -221,53 +227,57 @@
 
 
 def test_a_sidecar_that_gives_no_answer_keeps_nobody_out():
-    door = FakeDoor(None)
-    status, _, _ = play(door, engine('u1', scenes.streaming(3)))
+    client = FakePermitClient(None)
+    status, _, _ = request_once(
+        client, make_engine('u1', harness.streaming(3))
+    )
     assert status == 200
 
 
 def test_a_silent_engine_is_not_preferred_to_one_that_lets_wait():
     """Behind a narrow link a request comes after its caller has left."""
-    first, second = (engine(name, scenes.streaming(3)) for name in 'ab')
-    door = FakeDoor(places.Queued, None)
-    status, _, _ = play(door, first, second)
+    first, second = (make_engine(name, harness.streaming(3)) for name in 'ab')
+    client = FakePermitClient(places.Queued, None)
+    status, _, _ = request_once(client, first, second)
     heads = sorted(len(each.heads) for each in (first, second))
     assert (status, heads) == (200, [0, 1])
-    assert door.held == 0
-    assert door.granted == 1
+    assert client.held == 0
+    assert client.granted == 1
 
 
 def test_an_engine_that_answers_goes_before_a_silent_one():
     """The first one asked stands behind a full link, and others are free."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(None)
-    status, _, _ = play(door, *engines)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(None)
+    status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert (door.granted, door.held) == (1, 0)
+    assert (client.granted, client.held) == (1, 0)
 
 
 @pytest.mark.parametrize('silent', ['a', 'b'])
 def test_an_engine_known_as_silent_is_left_for_last(silent):
     """Its sidecar gave no answer a moment ago, and is not asked again."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'ab']
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     (first,) = [each for each in engines if each.name == silent]
-    door = FakeDoor()
-    door.may_ask = lambda host: host != SILENT_HOST
+    client = FakePermitClient()
+    client.may_ask = lambda host: host != UNRESPONSIVE_HOST
 
     async def main():
-        async with scenes.scene(*engines) as scene:
-            context = scene.context
-            context.permit_client = door
-            changed = first.entry(address=(SILENT_HOST, first.port))
+        async with harness.running_gateway(*engines) as gateway:
+            context = gateway.context
+            context.permit_client = client
+            changed = first.entry(address=(UNRESPONSIVE_HOST, first.port))
             context.catalog.put_upstream(changed)
-            status, _, _ = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            status, _, _ = await gateway.request(
+                '/chat/1', 'POST', b'hello', **CHAT
+            )
             return status, context.tracker.state(changed).failures_in_row
 
     assert asyncio.run(main()) == (200, 0)
-    assert door.granted == 1
+    assert client.granted == 1
 
 
-def hold_up(context, upstream, seconds):
+def delay_connections(context, upstream, seconds):
     """Let connections to an upstream be made after `seconds`."""
     pool = context.pool(upstream.entry())
     take = pool.take
@@ -284,98 +294,98 @@
 
     What is sent over it comes after its caller has left, and runs for nobody.
     """
-    only = engine('u1', scenes.streaming(3))
+    only = make_engine('u1', harness.streaming(3))
 
     async def main():
-        async with scenes.scene(only) as scene:
-            context = scene.context
-            context.permit_client = FakeDoor(None)
-            hold_up(context, only, 0.4)
+        async with harness.running_gateway(only) as gateway:
+            context = gateway.context
+            context.permit_client = FakePermitClient(None)
+            delay_connections(context, only, 0.4)
             began = context.clock()
-            reply = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            reply = await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
             return reply, context.clock() - began
 
     (status, head, _), took_s = asyncio.run(main())
     assert status == 429
-    assert scenes.field(head, 'Retry-After')
+    assert harness.header(head, 'Retry-After')
     assert not only.heads
     assert took_s < 0.4
 
 
 def test_a_request_waits_on_where_the_silent_engine_is_behind_a_full_link():
     """Given up for that engine, it would lose its turn at the other one."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(places.Queued, None)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(places.Queued, None)
 
-    class Waiting(FakeAsking):
+    class Waiting(FakePermitRequest):
         async def last_reply(self):
             await asyncio.sleep(0.2)
             return await super().last_reply()
 
-    door.make_asking = Waiting
+    client.request_class = Waiting
 
     async def main():
-        async with scenes.scene(*engines) as scene:
-            scene.context.permit_client = door
+        async with harness.running_gateway(*engines) as gateway:
+            gateway.context.permit_client = client
             for each in engines:
-                hold_up(scene.context, each, 0.3)
-            return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+                delay_connections(gateway.context, each, 0.3)
+            return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
-    assert (status, door.granted, door.held) == (200, 1, 0)
+    assert (status, client.granted, client.held) == (200, 1, 0)
 
 
 def test_a_request_does_not_wait_in_vain_beside_a_dead_sidecar():
     """The engine beside that sidecar works, and all others are full."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(places.Queued, None)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(places.Queued, None)
 
-    class Refused(FakeAsking):
+    class Refused(FakePermitRequest):
         async def last_reply(self):
             await asyncio.sleep(2.0)
             return places.Refused(self.ask.number, places.NO_ROOM, 1.7)
 
-    door.make_asking = Refused
+    client.request_class = Refused
     began = time.monotonic()
-    status, _, _ = play(door, *engines)
+    status, _, _ = request_once(client, *engines)
     assert status == 200
     assert time.monotonic() - began < 1.0
     assert sum(len(each.heads) for each in engines) == 1
-    assert door.granted == 0
+    assert client.granted == 0
 
 
 def test_callers_are_served_soon_while_all_sidecars_start():
     """After a loss of power no sidecar answers for some seconds."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'abcdef']
-    door = FakeDoor(*[None] * 20)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abcdef']
+    client = FakePermitClient(*[None] * 20)
 
-    class Slow(FakeAsking):
+    class Slow(FakePermitRequest):
         async def first_reply(self):
             await asyncio.sleep(0.5)
             return await super().first_reply()
 
-    door.make_asking = Slow
+    client.request_class = Slow
 
     async def main():
-        async with scenes.scene(*engines) as scene:
-            scene.context.permit_client = door
-            began = scene.context.clock()
-            reply = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
-            return reply[0], scene.context.clock() - began
+        async with harness.running_gateway(*engines) as gateway:
+            gateway.context.permit_client = client
+            began = gateway.context.clock()
+            reply = await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+            return reply[0], gateway.context.clock() - began
 
     status, took_s = asyncio.run(main())
     assert status == 200
     assert took_s < 0.9
-    assert len(door.asks) <= 2
+    assert len(client.asks) <= 2
 
 
 def test_a_place_at_a_silent_engine_is_given_back_before_the_request_waits():
     """Its grant comes late, and would keep others out for nothing."""
-    engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(None, places.Queued)
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(None, places.Queued)
     ended = []
 
-    class Noting(FakeAsking):
+    class Noting(FakePermitRequest):
         async def last_reply(self):
             ended.append(len(ends))
             return await super().last_reply()
@@ -385,8 +395,8 @@
             super().end()
 
     ends = []
-    door.make_asking = Noting
-    status, _, _ = play(door, *engines)
+    client.request_class = Noting
+    status, _, _ = request_once(client, *engines)
     assert (status, ended) == (200, [1])
     assert sorted(ends) == [0, 1]
 
@@ -399,13 +409,13 @@
     """
 
     async def main():
-        hangs = scenes.streaming(3, breaks_after=1, hangs=True)
-        hanging = engine('u1', hangs)
-        async with scenes.scene(hanging) as scene:
-            scene.context.permit_client = FakeDoor(*[None] * 20)
+        hangs = harness.streaming(3, breaks_after=1, hangs=True)
+        hanging = make_engine('u1', hangs)
+        async with harness.running_gateway(hanging) as gateway:
+            gateway.context.permit_client = FakePermitClient(*[None] * 20)
             asking = [
                 asyncio.ensure_future(
-                    scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+                    gateway.request('/chat/1', 'POST', b'hello', **CHAT)
                 )
                 for _ in range(5)
             ]
@@ -421,28 +431,28 @@
 
 def test_a_stream_that_broke_off_goes_on_where_all_are_full():
     """Its caller is reading; a refusal now would lose what it has."""
-    first = engine('u1', scenes.streaming(6, breaks_after=3))
-    second = engine('u2', scenes.streaming(6, breaks_after=3))
-    door = FakeDoor(places.Granted, *[places.NO_ROOM] * 3)
+    first = make_engine('u1', harness.streaming(6, breaks_after=3))
+    second = make_engine('u2', harness.streaming(6, breaks_after=3))
+    client = FakePermitClient(places.Granted, *[places.NO_ROOM] * 3)
 
     async def answer(head, writer, upstream):
-        if scenes.field(head, 'Last-Event-Id'):
-            return await scenes.streaming(6)(head, writer, upstream)
-        return await scenes.streaming(6, breaks_after=3)(
+        if harness.header(head, 'Last-Event-Id'):
+            return await harness.streaming(6)(head, writer, upstream)
+        return await harness.streaming(6, breaks_after=3)(
             head, writer, upstream
         )
 
     first.answer = second.answer = answer
-    status, _, body = play(door, first, second)
+    status, _, body = request_once(client, first, second)
     assert status == 200
-    assert body.endswith(scenes.event(6))
-    assert [ask.moving for ask in door.asks] == [False, True]
+    assert body.endswith(harness.event(6))
+    assert [ask.moving for ask in client.asks] == [False, True]
 
 
 def test_an_ask_tells_how_long_the_request_may_wait():
-    door = FakeDoor()
-    play(door, engine('u1', scenes.streaming(3)))
-    (ask,) = door.asks
+    client = FakePermitClient()
+    request_once(client, make_engine('u1', harness.streaming(3)))
+    (ask,) = client.asks
     assert not ask.late
     assert 0 < ask.wait_s < 1.0
     assert ask.slots == 4
@@ -450,15 +460,17 @@
 
 def test_a_caller_that_waited_before_asks_as_late():
     """It was refused a second ago, and cannot be in time any more."""
-    door = FakeDoor()
+    client = FakePermitClient()
 
     async def main():
-        async with scenes.scene(engine('u1', scenes.streaming(3))) as scene:
-            scene.context.permit_client = door
+        async with harness.running_gateway(
+            make_engine('u1', harness.streaming(3))
+        ) as gateway:
+            gateway.context.permit_client = client
             for left_ms in ('5000', '5000', '3000'):
-                await scene.ask(
+                await gateway.request(
                     '/chat/1', 'POST', b'hello', Left_Ms=left_ms, **CHAT
                 )
 
     asyncio.run(main())
-    assert [ask.late for ask in door.asks] == [False, False, True]
+    assert [ask.late for ask in client.asks] == [False, False, True]
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from catkinshunt.gateway.tests import scene as scenes
+from catkinshunt.gateway.tests import harness
 from catkinshunt import quarantine
 from catkinshunt.quarantine.tests import entries
 
@@ -14,7 +14,7 @@
 MOST_RETRIES = 3
 
 
-class CrashingUpstream(scenes.FakeUpstream):
+class CrashingUpstream(harness.FakeUpstream):
     """An engine that ends with all its connections under a bad request."""
 
     def __init__(self, name, on_crash):
@@ -27,21 +27,21 @@
         await super()._serve(reader, writer)
 
     async def _answer(self, head, writer, upstream):
-        if scenes.field(head, 'Content-Length') == str(len(BAD)):
+        if harness.header(head, 'Content-Length') == str(len(BAD)):
             self.stop()
             for each in self.writers:
                 each.transport.abort()
             self.on_crash(self)
             return
         await asyncio.sleep(0.05)
-        writer.write(scenes.reply(head))
+        writer.write(harness.reply(head))
 
 
-class Fleet:
+class SharedUpstreams:
     """Entries that share upstreams; a crashed one is replaced at once."""
 
     def __init__(self):
-        self.scenes = []
+        self.gateways = []
         self.upstreams = []
         self.crashed_at = []
         self.when_crashed = lambda: None
@@ -51,59 +51,59 @@
         number = len(self.upstreams)
         upstream = CrashingUpstream(f'u{number}', self._on_crash)
         self.upstreams.append(await upstream.start())
-        for scene in self.scenes:
-            scene.context.catalog.put_upstream(upstream.entry())
+        for gateway in self.gateways:
+            gateway.context.catalog.put_upstream(upstream.entry())
 
     def _on_crash(self, upstream):
         self.crashed_at.append(asyncio.get_running_loop().time())
         self.when_crashed()
-        for scene in self.scenes:
-            scene.context.catalog.drop_upstream(upstream.name, 0.0)
+        for gateway in self.gateways:
+            gateway.context.catalog.drop_upstream(upstream.name, 0.0)
         task = asyncio.ensure_future(self.add_upstream())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def ask(self, number, path='/read/1', body=BAD, **headers):
-        scene = self.scenes[number % len(self.scenes)]
-        return await scene.ask(path, 'POST', body, **headers)
+    async def request(self, number, path='/read/1', body=BAD, **headers):
+        gateway = self.gateways[number % len(self.gateways)]
+        return await gateway.request(path, 'POST', body, **headers)
 
 
 @contextlib.asynccontextmanager
-async def fleet(count=3, upstreams=4, guarded=True):
-    found = Fleet()
+async def shared_upstreams(count=3, upstreams=4, guarded=True):
+    shared = SharedUpstreams()
     async with contextlib.AsyncExitStack() as stack:
         known = await stack.enter_async_context(
             entries.Entries(count).running()
         )
         for gossip in known.gossips.values():
             guard = quarantine.Guard(gossip) if guarded else None
-            found.scenes.append(
+            shared.gateways.append(
                 await stack.enter_async_context(
-                    scenes.scene(retry_burst=100.0, guard=guard)
+                    harness.running_gateway(retry_burst=100.0, guard=guard)
                 )
             )
         for _ in range(upstreams):
-            await found.add_upstream()
+            await shared.add_upstream()
         try:
-            yield found
+            yield shared
         finally:
-            for upstream in found.upstreams:
+            for upstream in shared.upstreams:
                 upstream.stop()
 
 
 def run(main, **options):
     async def inside():
-        async with fleet(**options) as found:
-            return await main(found)
+        async with shared_upstreams(**options) as shared:
+            return await main(shared)
 
     return asyncio.run(inside())
 
 
-async def ask_often(found):
+async def request_repeatedly(shared):
     """Let the bad request come to each entry in turn; return its replies."""
     replies = []
     for number in range(24):
-        replies.append(await found.ask(number))
+        replies.append(await shared.request(number))
         await asyncio.sleep(0.05)
     return replies
 
@@ -115,43 +115,43 @@
     that they were working on with them.
     """
 
-    async def main(found):
-        replies = await ask_often(found)
-        third = found.crashed_at[2]
-        late = [t for t in found.crashed_at if t > third + CONTACT_S]
-        before = len(found.crashed_at)
-        last = [await found.ask(number) for number in range(3)]
-        return replies, late, len(found.crashed_at) - before, last
+    async def main(shared):
+        replies = await request_repeatedly(shared)
+        third = shared.crashed_at[2]
+        late = [t for t in shared.crashed_at if t > third + CONTACT_S]
+        before = len(shared.crashed_at)
+        last = [await shared.request(number) for number in range(3)]
+        return replies, late, len(shared.crashed_at) - before, last
 
     replies, late, further, last = run(main)
     assert len(late) <= MOST_RETRIES
     assert further == 0
     for status, head, _ in last:
         assert status == 503
-        assert float(scenes.field(head, 'Retry-After')) > 0
+        assert float(harness.header(head, 'Retry-After')) > 0
     assert replies[0][0] == 502
 
 
 def test_callers_beside_a_crash_are_still_served():
     """Their requests ended with the upstream, again and again."""
 
-    async def main(found):
+    async def main(shared):
         stop = asyncio.Event()
         statuses = []
 
         async def work(name):
             while not stop.is_set():
                 body = f'a sound prompt of {name}'.encode()
-                statuses.append((await found.ask(name, body=body))[0])
+                statuses.append((await shared.request(name, body=body))[0])
 
         workers = [asyncio.ensure_future(work(n)) for n in range(12)]
-        await ask_often(found)
+        await request_repeatedly(shared)
         stop.set()
         await asyncio.gather(*workers)
         last = []
         for name in range(12):
             body = f'a sound prompt of {name}'.encode()
-            last.append((await found.ask(name, body=body))[0])
+            last.append((await shared.request(name, body=body))[0])
         return statuses, last
 
     statuses, last = run(main)
@@ -160,9 +160,9 @@
 
 
 def test_other_requests_of_the_same_caller_and_path_are_served():
-    async def main(found):
-        await ask_often(found)
-        return await found.ask(0, body=b'sound'), await found.ask(0)
+    async def main(shared):
+        await request_repeatedly(shared)
+        return await shared.request(0, body=b'sound'), await shared.request(0)
 
     sound, bad = run(main)
     assert sound[0] == 200
@@ -172,14 +172,14 @@
 def test_a_refusal_after_a_run_does_not_say_that_it_has_not_run():
     """A request is barred while its own try is at an upstream."""
 
-    async def main(found):
-        gossip = found.scenes[0].context.guard.gossip
+    async def main(shared):
+        gossip = shared.gateways[0].context.guard.gossip
         request = quarantine.fingerprint(
-            scenes.HOST, 'POST', '/read/1', 'workshop', BAD
+            harness.HOST, 'POST', '/read/1', 'workshop', BAD
         )
-        found.when_crashed = lambda: gossip.report_quarantine(request, 60.0)
-        first = await found.ask(0)
-        return first, await found.ask(0), len(found.crashed_at)
+        shared.when_crashed = lambda: gossip.report_quarantine(request, 60.0)
+        first = await shared.request(0)
+        return first, await shared.request(0), len(shared.crashed_at)
 
     first, second, crashes = run(main)
     assert first[0] == 502
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -2,37 +2,39 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt.gateway import _events
-from catkinshunt.gateway.tests import scene as scenes
+from catkinshunt.gateway.tests import harness
 from catkinshunt import retries
 
-CHAT = {'Model': scenes.MODEL, 'Tokens': '100,20'}
+CHAT = {'Model': harness.MODEL, 'Tokens': '100,20'}
 
 
 def run(main):
     return asyncio.run(main())
 
 
-def engine(name, answer, version=1):
-    versions = {scenes.MODEL: version} if version else {}
-    return scenes.FakeUpstream(name, answer, 'model', versions)
+def make_engine(name, answer, version=1):
+    versions = {harness.MODEL: version} if version else {}
+    return harness.FakeUpstream(name, answer, 'model', versions)
 
 
-def whole(last, begin=1):
-    return b''.join(map(scenes.event, range(begin, last + 1)))
+def events(last, begin=1):
+    return b''.join(map(harness.event, range(begin, last + 1)))
 
 
-async def chat(scene, path='/chat/1', **headers):
-    return await scene.ask(path, 'POST', b'hello', **CHAT, **headers)
+async def chat(gateway, path='/chat/1', **headers):
+    return await gateway.request(path, 'POST', b'hello', **CHAT, **headers)
 
 
 def test_events_come_in_order_and_whole():
     async def main():
-        async with scenes.scene(engine('u1', scenes.streaming(5))) as scene:
-            return await chat(scene)
+        async with harness.running_gateway(
+            make_engine('u1', harness.streaming(5))
+        ) as gateway:
+            return await chat(gateway)
 
     status, head, body = run(main)
     assert status == 200
-    assert body == whole(5)
+    assert body == events(5)
 
 
 def test_a_broken_stream_is_taken_up_by_another_engine():
@@ -43,17 +45,19 @@
     """
 
     async def main():
-        first = engine('u1', scenes.streaming(6, breaks_after=3))
-        second = engine('u2', scenes.streaming(6))
-        async with scenes.scene(first, second) as scene:
-            tracker = scene.context.tracker
-            tracker.state(second.entry()).rest(scene.context.clock(), 0.5)
-            return await chat(scene), second.heads
+        first = make_engine('u1', harness.streaming(6, breaks_after=3))
+        second = make_engine('u2', harness.streaming(6))
+        async with harness.running_gateway(first, second) as gateway:
+            tracker = gateway.context.tracker
+            tracker.state(second.entry()).remainder(
+                gateway.context.clock(), 0.5
+            )
+            return await chat(gateway), second.heads
 
     (_, head, body), heads = run(main)
-    assert body == whole(6)
-    assert scenes.field(head, 'Stamp') == 'u1'
-    assert scenes.field(heads[0], 'Last-Event-Id') == '3'
+    assert body == events(6)
+    assert harness.header(head, 'Stamp') == 'u1'
+    assert harness.header(heads[0], 'Last-Event-Id') == '3'
 
 
 def test_a_stream_that_falls_silent_is_taken_up_by_another_engine():
@@ -64,17 +68,21 @@
     """
 
     async def main():
-        dark = engine('u1', scenes.streaming(6, breaks_after=2, hangs=True))
-        second = engine('u2', scenes.streaming(6))
-        async with scenes.scene(dark, second) as scene:
-            tracker = scene.context.tracker
-            tracker.state(second.entry()).rest(scene.context.clock(), 0.5)
-            return await chat(scene)
+        unresponsive = make_engine(
+            'u1', harness.streaming(6, breaks_after=2, hangs=True)
+        )
+        second = make_engine('u2', harness.streaming(6))
+        async with harness.running_gateway(unresponsive, second) as gateway:
+            tracker = gateway.context.tracker
+            tracker.state(second.entry()).remainder(
+                gateway.context.clock(), 0.5
+            )
+            return await chat(gateway)
 
-    assert run(main)[2] == whole(6)
+    assert run(main)[2] == events(6)
 
 
-def ask_while_one_stands_still(count, retry_burst):
+def request_while_one_is_frozen(count, retry_burst):
     """Return what asks `count` requests of the first of two engines.
 
     It stands still, and the other has room a little later. The coroutine
@@ -85,13 +93,17 @@
         await asyncio.sleep(60)
 
     async def main():
-        dark = engine('u1', still)
-        other = engine('u2', scenes.streaming(2))
-        async with scenes.scene(dark, other, retry_burst=retry_burst) as scene:
-            tracker = scene.context.tracker
-            tracker.state(other.entry()).rest(scene.context.clock(), 0.3)
+        unresponsive = make_engine('u1', still)
+        other = make_engine('u2', harness.streaming(2))
+        async with harness.running_gateway(
+            unresponsive, other, retry_burst=retry_burst
+        ) as gateway:
+            tracker = gateway.context.tracker
+            tracker.state(other.entry()).remainder(
+                gateway.context.clock(), 0.3
+            )
             asked = [
-                chat(scene, Request_Id=f'a{n}', Left_Ms='3000')
+                chat(gateway, Request_Id=f'a{n}', Left_Ms='3000')
                 for n in range(count)
             ]
             return [reply[0] for reply in await asyncio.gather(*asked)]
@@ -107,7 +119,7 @@
     callers wait until they give up, and the engine works on their requests
     when it wakes, for nobody.
     """
-    assert run(ask_while_one_stands_still(12, 5.0)) == [200] * 12
+    assert run(request_while_one_is_frozen(12, 5.0)) == [200] * 12
 
 
 def test_an_entry_of_four_moves_all_streams_of_an_engine():
@@ -119,7 +131,7 @@
     run on an engine.
     """
     burst = retries.BurstShare(burst=80.0).choose(now=0.0)
-    assert run(ask_while_one_stands_still(16, burst)) == [200] * 16
+    assert run(request_while_one_is_frozen(16, burst)) == [200] * 16
 
 
 def test_a_silent_engine_is_waited_for_when_no_retry_is_left():
@@ -131,16 +143,18 @@
 
     async def pauses(head, writer, upstream):
         await asyncio.sleep(1.2)
-        await scenes.streaming(3)(head, writer, upstream)
+        await harness.streaming(3)(head, writer, upstream)
 
     async def main():
-        first = engine('u1', pauses)
-        second = engine('u2', pauses)
-        async with scenes.scene(first, second, retry_burst=0.5) as scene:
-            return await chat(scene), len(first.heads) + len(second.heads)
+        first = make_engine('u1', pauses)
+        second = make_engine('u2', pauses)
+        async with harness.running_gateway(
+            first, second, retry_burst=0.5
+        ) as gateway:
+            return await chat(gateway), len(first.heads) + len(second.heads)
 
     (_, _, body), sends = run(main)
-    assert body == whole(3)
+    assert body == events(3)
     assert sends == 1
 
 
@@ -152,9 +166,9 @@
     """
 
     async def main():
-        only = engine('u1', scenes.streaming(6, breaks_after=3))
-        async with scenes.scene(only) as scene:
-            return await chat(scene)
+        only = make_engine('u1', harness.streaming(6, breaks_after=3))
+        async with harness.running_gateway(only) as gateway:
+            return await chat(gateway)
 
     status, _, body = run(main)
     assert status == 200
@@ -163,10 +177,10 @@
 
 def test_a_stream_that_may_not_be_resumed_is_sent_once():
     async def main():
-        first = engine('u1', scenes.streaming(6, breaks_after=3))
-        second = engine('u2', scenes.streaming(6, breaks_after=3))
-        async with scenes.scene(first, second) as scene:
-            found = await chat(scene, '/once/1')
+        first = make_engine('u1', harness.streaming(6, breaks_after=3))
+        second = make_engine('u2', harness.streaming(6, breaks_after=3))
+        async with harness.running_gateway(first, second) as gateway:
+            found = await chat(gateway, '/once/1')
             return found[2], len(first.heads) + len(second.heads)
 
     assert run(main) == (None, 1)
@@ -181,30 +195,34 @@
 
     async def gap(head, writer, upstream):
         upstream.name = 'u1'
-        body = scenes.event(1) + scenes.event(3)
+        body = harness.event(1) + harness.event(3)
         writer.write(
-            scenes.reply(
+            harness.reply(
                 head, body=body, items=[('Content-Type', 'text/event-stream')]
             )
         )
 
     async def main():
-        first = engine('u1', gap)
-        second = engine('u2', scenes.streaming(3))
-        async with scenes.scene(first, second) as scene:
-            tracker = scene.context.tracker
-            tracker.state(second.entry()).rest(scene.context.clock(), 0.5)
-            return await chat(scene)
+        first = make_engine('u1', gap)
+        second = make_engine('u2', harness.streaming(3))
+        async with harness.running_gateway(first, second) as gateway:
+            tracker = gateway.context.tracker
+            tracker.state(second.entry()).remainder(
+                gateway.context.clock(), 0.5
+            )
+            return await chat(gateway)
 
-    assert run(main)[2] == whole(3)
+    assert run(main)[2] == events(3)
 
 
 def test_a_caller_can_resume_by_itself():
     async def main():
-        async with scenes.scene(engine('u1', scenes.streaming(5))) as scene:
-            return await chat(scene, Last_Event_Id='3')
+        async with harness.running_gateway(
+            make_engine('u1', harness.streaming(5))
+        ) as gateway:
+            return await chat(gateway, Last_Event_Id='3')
 
-    assert run(main)[2] == whole(5, begin=4)
+    assert run(main)[2] == events(5, begin=4)
 
 
 def test_only_engines_that_hold_the_model_get_work():
@@ -214,10 +232,10 @@
     """
 
     async def main():
-        empty = engine('u1', scenes.refusing(), version=None)
-        loaded = engine('u2', scenes.streaming(2))
-        async with scenes.scene(empty, loaded) as scene:
-            found = [(await chat(scene))[0] for _ in range(3)]
+        empty = make_engine('u1', harness.rejecting(), version=None)
+        loaded = make_engine('u2', harness.streaming(2))
+        async with harness.running_gateway(empty, loaded) as gateway:
+            found = [(await chat(gateway))[0] for _ in range(3)]
             return found, len(empty.heads)
 
     assert run(main) == ([200, 200, 200], 0)
@@ -231,21 +249,21 @@
     """
 
     async def main():
-        old = engine('u1', scenes.streaming(2), version=1)
-        new = engine('u2', scenes.streaming(2), version=2)
-        async with scenes.scene(old, new) as scene:
-            scene.context.version_grace_s = 4.0
-            now = scene.context.wall()
-            scene.context.catalog.name_version(scenes.MODEL, 2, now - 5)
-            first = await chat(scene)
-            scene.context.catalog.name_version(scenes.MODEL, 3, now - 4.5)
-            second = await chat(scene)
+        old = make_engine('u1', harness.streaming(2), version=1)
+        new = make_engine('u2', harness.streaming(2), version=2)
+        async with harness.running_gateway(old, new) as gateway:
+            gateway.context.version_grace_s = 4.0
+            now = gateway.context.wall()
+            gateway.context.catalog.name_version(harness.MODEL, 2, now - 5)
+            first = await chat(gateway)
+            gateway.context.catalog.name_version(harness.MODEL, 3, now - 4.5)
+            second = await chat(gateway)
             return first, second, len(old.heads)
 
     first, second, old_requests = run(main)
     assert first[0] == 200
     assert second[0] == 429
-    assert float(scenes.field(second[1], 'Retry-After')) > 0
+    assert float(harness.header(second[1], 'Retry-After')) > 0
     assert old_requests == 0
 
 
@@ -261,19 +279,21 @@
         await asyncio.sleep(60)
 
     async def main():
-        old = engine('u1', queued, version=1)
-        new = engine('u2', scenes.streaming(2), version=2)
-        async with scenes.scene(old, new) as scene:
-            context = scene.context
+        old = make_engine('u1', queued, version=1)
+        new = make_engine('u2', harness.streaming(2), version=2)
+        async with harness.running_gateway(old, new) as gateway:
+            context = gateway.context
             context.version_grace_s = 1.0
-            context.catalog.name_version(scenes.MODEL, 2, context.wall() - 0.5)
-            context.tracker.state(new.entry()).rest(context.clock(), 0.2)
-            found = await chat(scene)
+            context.catalog.name_version(
+                harness.MODEL, 2, context.wall() - 0.5
+            )
+            context.tracker.state(new.entry()).remainder(context.clock(), 0.2)
+            found = await chat(gateway)
             await asyncio.wait_for(old.closed.wait(), 2)
             return found, len(old.heads)
 
     (status, _, body), old_requests = run(main)
-    assert (status, body) == (200, whole(2))
+    assert (status, body) == (200, events(2))
     assert old_requests == 1
 
 
@@ -285,12 +305,12 @@
     """
 
     async def main():
-        busy = engine('u1', scenes.streaming(2), version=None)
-        async with scenes.scene(busy) as scene:
-            asking = asyncio.ensure_future(chat(scene))
+        busy = make_engine('u1', harness.streaming(2), version=None)
+        async with harness.running_gateway(busy) as gateway:
+            asking = asyncio.ensure_future(chat(gateway))
             await asyncio.sleep(0.1)
-            scene.context.catalog.put_upstream(
-                busy.entry(versions={scenes.MODEL: 1})
+            gateway.context.catalog.put_upstream(
+                busy.entry(versions={harness.MODEL: 1})
             )
             return await asking
 
@@ -304,11 +324,13 @@
     """
 
     async def main():
-        upstream = engine('u1', scenes.streaming(1))
-        async with scenes.scene(upstream) as scene:
-            await chat(scene, Left_Ms='6000')
-            await chat(scene, Left_Ms='4000')
-            return [int(scenes.field(head, 'Rank')) for head in upstream.heads]
+        upstream = make_engine('u1', harness.streaming(1))
+        async with harness.running_gateway(upstream) as gateway:
+            await chat(gateway, Left_Ms='6000')
+            await chat(gateway, Left_Ms='4000')
+            return [
+                int(harness.header(head, 'Rank')) for head in upstream.heads
+            ]
 
     fresh, again = run(main)
     assert fresh < again
@@ -322,23 +344,23 @@
     """
 
     async def slow(head, writer, upstream):
-        await scenes.streaming(2, breaks_after=9)(head, writer, upstream)
+        await harness.streaming(2, breaks_after=9)(head, writer, upstream)
 
     async def main():
-        upstream = engine('u1', slow)
-        async with scenes.scene(upstream) as scene:
-            stopping = asyncio.ensure_future(scene.server.stop(5.0))
+        upstream = make_engine('u1', slow)
+        async with harness.running_gateway(upstream) as gateway:
+            stopping = asyncio.ensure_future(gateway.server.stop(5.0))
             await asyncio.sleep(0)
-            ready = scene.server.is_ready()
-            found = await chat(scene)
-            late = scene.context.clock()
+            ready = gateway.server.is_ready()
+            found = await chat(gateway)
+            late = gateway.context.clock()
             await stopping
-            return ready, found, scene.context.clock() - late
+            return ready, found, gateway.context.clock() - late
 
     ready, (status, head, body), _ = run(main)
     assert not ready
-    assert (status, body) == (200, whole(2))
-    assert scenes.field(head, 'Connection') == 'close'
+    assert (status, body) == (200, events(2))
+    assert harness.header(head, 'Connection') == 'close'
 
 
 def test_a_stop_refuses_what_comes_too_late():
@@ -348,24 +370,26 @@
     """
 
     async def main():
-        async with scenes.scene(engine('u1', scenes.streaming(2))) as scene:
-            scene.context.stopping_since = scene.context.clock() - 3.5
-            return await chat(scene)
+        async with harness.running_gateway(
+            make_engine('u1', harness.streaming(2))
+        ) as gateway:
+            gateway.context.stopping_since = gateway.context.clock() - 3.5
+            return await chat(gateway)
 
     status, head, _ = run(main)
     assert status == 503
-    assert float(scenes.field(head, 'Retry-After')) > 0
-    assert scenes.field(head, 'Connection') == 'close'
+    assert float(harness.header(head, 'Retry-After')) > 0
+    assert harness.header(head, 'Connection') == 'close'
 
 
 def test_events_split_anywhere_come_out_whole():
-    stream = whole(4)
+    stream = events(4)
     for cut in range(len(stream)):
         splitter = _events.EventSplitter()
         found = splitter.feed(stream[:cut]) + splitter.feed(stream[cut:])
         assert b''.join(e.data for e in found) == stream
         assert [e.id for e in found] == [1, 2, 3, 4]
-        assert not splitter.rest
+        assert not splitter.remainder
 
 
 def test_shares_of_a_rule_are_kept():
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -86,7 +86,7 @@
 
     def report_completion(self, request):
         """Note that a request ran to its end; tell if it was suspected."""
-        if self.quarantine.note_completion(request):
+        if self.quarantine.record_completion(request):
             self._tell(_messages.Completion(request))
             self._judge_later()
 
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -76,11 +76,11 @@
             self.gossip.report_quarantine(request, _quarantine.QUARANTINE_S)
         return left_s
 
-    def note_completion(self, request):
+    def record_completion(self, request):
         """Note that a request ran to its end."""
         self.gossip.report_completion(request)
 
-    def note_break(self, upstream, request):
+    def record_broken_connection(self, upstream, request):
         """Note that the connection of a request broke off.
 
         Args:
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -109,7 +109,7 @@
             self._explain(crash)
         return fresh
 
-    def note_completion(self, request):
+    def record_completion(self, request):
         """Clear a request that ran to its end; return whether it was held."""
         return self._suspects.pop(request, None) is not None
 
--- a/catkinshunt/quarantine/tests/test_guard.py
+++ b/catkinshunt/quarantine/tests/test_guard.py
@@ -32,11 +32,11 @@
         port = server.sockets[0].getsockname()[1]
         gossip = FakeGossip()
         guard = quarantine.Guard(gossip)
-        guard.note_break(upstream(port=port), 'a')
+        guard.record_broken_connection(upstream(port=port), 'a')
         await asyncio.sleep(2 * _guard.GATHER_S)
         server.close()
         alive = list(gossip.crashes)
-        guard.note_break(upstream(port=port), 'a')
+        guard.record_broken_connection(upstream(port=port), 'a')
         await entries.until(lambda: gossip.crashes)
         return alive, gossip.crashes
 
@@ -54,7 +54,7 @@
     async def main():
         gossip = FakeGossip()
         guard = quarantine.Guard(gossip, silent)
-        guard.note_break(upstream(), 'a')
+        guard.record_broken_connection(upstream(), 'a')
         await asyncio.sleep(2 * _guard.GATHER_S)
         return gossip.crashes
 
@@ -71,8 +71,8 @@
         gossip = FakeGossip()
         guard = quarantine.Guard(gossip, ended)
         for request in ('b', 'a', 'b'):
-            guard.note_break(upstream(), request)
-        guard.note_break(upstream(born=2), 'a')
+            guard.record_broken_connection(upstream(), request)
+        guard.record_broken_connection(upstream(born=2), 'a')
         await entries.until(lambda: len(gossip.crashes) == 2)
         return gossip.crashes
 
--- a/catkinshunt/quarantine/tests/test_quarantine.py
+++ b/catkinshunt/quarantine/tests/test_quarantine.py
@@ -64,7 +64,7 @@
     crash(held, 'pab', 'pab', 'pab')
     for request in 'ab':
         assert held.judge(SETTLED) == []
-        held.note_completion(request)
+        held.record_completion(request)
     assert held.judge(SETTLED) == ['p']
 
 
@@ -77,7 +77,7 @@
     """A popular request is there whenever an upstream crashes."""
     held = quarantine.Quarantine()
     crash(held, 'a', 'a')
-    assert held.note_completion('a')
+    assert held.record_completion('a')
     crash(held, 'a', at=1.0)
     assert held.judge(1.0 + SETTLED) == []
 
