--- a/catkinshunt/gateway/__init__.py
+++ b/catkinshunt/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The entry on the event loop: callers on one side, upstreams on the other."""
+"""HTTP gateway of an entry: routes client requests to upstreams."""
 
 from catkinshunt.gateway._admission import decide
 from catkinshunt.gateway._admission import Decision
--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may run, and by which service."""
+"""Admission of requests: matches the rule, the account and the service."""
 
 import attrs
 
@@ -6,34 +6,32 @@
 from catkinshunt import errors
 from catkinshunt import rules
 
-#: Seconds after which a caller may try another entry while this one waits
-#: for the platform's store.
+#: `Retry-After` in seconds while the entry's state is stale.
 STORE_RETRY_S = 0.3
-#: The same where it has just started, and others are likely to as well.
+#: The same while the entry starts; other entries are likely to start too.
 STARTING_RETRY_S = 0.8
-#: Seconds after which a caller may come back to another entry while this
-#: one stops.
+#: `Retry-After` in seconds while the entry stops.
 STOPPING_RETRY_S = 0.1
-#: Deadline of a request that names none, in seconds.
+#: Deadline of a request that gives none, in seconds.
 LONGEST_DEADLINE_S = 300.0
 
 
 class UnknownRouteError(errors.InvalidRequestError):
-    """Not run: no rule serves this host and path."""
+    """Not run: no rule matches the host and path."""
 
     status = 404
     code = 'no-route'
 
 
 class UnknownKeyError(errors.InvalidRequestError):
-    """Not run: no account has the key."""
+    """Not run: the API key belongs to no account."""
 
     status = 401
     code = 'unknown-key'
 
 
 class StaleError(errors.RefusedError):
-    """Not run: what this process knows is too old to decide."""
+    """Not run: the cached configuration is too old to decide."""
 
     default_retry_after_s = STORE_RETRY_S
     code = 'stale'
@@ -41,16 +39,16 @@
 
 @attrs.frozen
 class Decision:
-    """What was decided for a request, and on what grounds.
+    """Outcome of admission for one request.
 
     Attributes:
-        rule: name of the rule that matched.
-        serve: what it decides.
-        service: the service that is to answer.
+        rule: name of the matched rule.
+        serve: `catalog.Serve` action of the rule.
+        service: name of the service chosen among its shares.
         account: name of the account, or ''.
-        priority: rank; 0 goes first.
-        revision: revision of the declaration that decided.
-        age_s: seconds since it was known to be the newest.
+        priority: priority; 0 is the highest.
+        revision: revision of the declaration used.
+        age_s: seconds since the declaration was confirmed to be current.
     """
 
     rule: str
@@ -63,24 +61,24 @@
 
 
 def decide(catalog, info, fraction, now):
-    """Return the `Decision` on `info`.
+    """Return the `Decision` for a request.
 
     Args:
         catalog: `catalog.Catalog`.
-        ask: `base.RequestInfo`.
-        fraction: number from 0 up to 1 that picks among shares.
+        info: `base.RequestInfo`.
+        fraction: number in [0, 1) that selects among the shares.
         now: seconds on the clock of the catalog.
 
     Raises:
         UnknownRouteError: no rule matches.
         UnknownKeyError: the key belongs to no account.
-        StaleError: nothing is known yet, or what is known is too old to
-            serve the key, or to deny the path or the key.
+        StaleError: no configuration is loaded yet, or it is too old to
+            accept the key, or to deny the path or the key.
     """
     declaration = catalog.declaration
     if declaration is None:
         raise StaleError(
-            'no configuration is known yet',
+            'no configuration is loaded yet',
             step='match-rule',
             retry_after_s=STARTING_RETRY_S,
         )
@@ -88,7 +86,7 @@
     rule = declaration.rule_set.match(subject)
     if rule is None:
         _check_current(catalog, 'match-rule', now)
-        raise UnknownRouteError('no rule serves the path', step='match-rule')
+        raise UnknownRouteError('no rule matches the path', step='match-rule')
     account = _find_account(catalog, declaration, rule.then, info, now)
     priority = declaration.account_priorities.get(account, rule.then.priority)
     return Decision(
@@ -105,21 +103,24 @@
 def _find_account(catalog, declaration, serve, info, now):
     if serve.public or declaration.accounts is None:
         return ''
-    # A key may have been taken away while the store was out of reach; one
-    # that is unknown may have been added. So neither is decided then.
+    # While the store is unreachable, a known key may have been revoked and
+    # an unknown one added.
     if not catalog.is_fresh(now):
-        raise StaleError('the keys of accounts are too old', step='check-key')
+        raise StaleError('the account keys are too old', step='check-key')
     account = declaration.accounts.get(info.api_key)
     if account is None:
         _check_current(catalog, 'check-key', now)
-        raise UnknownKeyError('no account has the key', step='check-key')
+        raise UnknownKeyError(
+            'the key belongs to no account', step='check-key'
+        )
     return account
 
 
 def _check_current(catalog, step, now):
-    """Raise where a newer declaration may have what this one lacks.
+    """Raise `StaleError` if a newer declaration may exist.
 
-    Callers do not come back after a denial, so it must be final.
+    Clients do not retry after a denial, so a path or key that a newer
+    declaration may have must not be denied.
     """
     if not catalog.is_current(now):
         raise StaleError(
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -1,4 +1,4 @@
-"""What all exchanges of one gateway share."""
+"""State shared by all exchanges of one gateway."""
 
 import collections
 
@@ -17,16 +17,19 @@
     """State and collaborators of a gateway.
 
     Attributes:
-        clock: seconds on the steady clock.
-        wall: seconds on a clock that counts the time of a suspend too; the
-            age of the catalog is measured on it.
-        retry_ratio: share of the requests of a service that may be sent
-            once more.
-        retry_burst: retries that are allowed beyond that share.
+        clock: returns seconds on the monotonic clock.
+        wall: returns seconds on the boot-time clock, which also counts time
+            in suspend; the age of the catalog is measured on it.
+        retry_ratio: retries allowed per request of a service.
+        retry_burst: retries allowed beyond that ratio.
         random: source of random numbers, such as `random.Random(7)`.
-        places: `places.PlaceClient` that asks engines for room.
+        permit_client: `places.PlaceClient` that requests permits.
         guard: `quarantine.Guard` against requests that crash upstreams, or
-            None for none.
+            None.
+        return_detector: detects clients that come back after a rejection.
+        stopping_since: when this process began to stop, or None.
+        version_grace_s: seconds after a version is named in which requests
+            may still begin on the previous one.
     """
 
     catalog: catalogs.Catalog
@@ -53,7 +56,7 @@
     )
 
     def pool(self, upstream):
-        """Return the connections to `upstream`."""
+        """Return the connection pool of `upstream`."""
         found = self._pools.get(upstream.key)
         if found is None:
             host, port = upstream.address
@@ -62,10 +65,13 @@
         return found
 
     def forget(self, upstreams):
-        """Drop what is kept of starts of upstreams that are not listed.
+        """Drop the pools and states of upstreams that are not listed.
 
-        Engines that restart and services that scale would otherwise leave
-        a pool and a state behind with each start.
+        A restarted engine is a new upstream; without this, restarts and
+        scaling would leak a pool and a state each time.
+
+        Args:
+            upstreams: the listed `catalog.Upstream` objects.
         """
         kept = {upstream.key for upstream in upstreams}
         for key in set(self._pools) - kept:
@@ -73,14 +79,14 @@
         self.tracker.forget(upstreams)
 
     def retry_budget_tokens(self):
-        """Return the tokens of each retry budget by label values."""
+        """Return the tokens of each retry budget, by metric label values."""
         return {
             (service,): budget.report()['tokens']
             for service, budget in self._retry_budgets.items()
         }
 
     def set_retry_burst(self, burst):
-        """Allow `burst` retries beyond the share of the requests."""
+        """Set the retries allowed beyond the retry ratio of each service."""
         self.retry_burst = burst
         for budget in self._retry_budgets.values():
             budget.burst = burst
@@ -94,5 +100,5 @@
         return found
 
     def forecast(self, service):
-        """Return the `dispatch.Forecast` of a service."""
+        """Return the `dispatch.Forecast` of delays of a service."""
         return self._forecasts[service]
--- a/catkinshunt/gateway/_events.py
+++ b/catkinshunt/gateway/_events.py
@@ -1,23 +1,23 @@
-"""Splits an event stream into whole events."""
+"""Splits a server-sent event stream into complete events."""
 
 import attrs
 
-#: Longest event; a longer one is not held in memory.
+#: Longest event that is buffered.
 MAX_EVENT_BYTES = 1024 * 1024
 _DELIMITERS = (b'\n\n', b'\r\n\r\n')
 
 
 class BadEventError(Exception):
-    """Bytes that do not continue the stream."""
+    """The stream has an event that is too long or has an invalid id."""
 
 
 @attrs.frozen
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        id: its id, or None where it has none.
-        data: its bytes, the blank line included.
+        id: its numeric id, or None.
+        data: its bytes, including the terminating blank line.
     """
 
     id: int | None
@@ -25,10 +25,10 @@
 
 
 class EventSplitter:
-    """Takes parts of a stream and gives its whole events.
+    """Incremental parser that returns only complete events.
 
-    A part may end anywhere; what is not a whole event yet is held back, so
-    that a caller never gets half an event of an upstream that then fails.
+    An incomplete event stays in `remainder`, so that a client never gets a
+    part of an event from an upstream that then fails.
 
     Examples:
         >>> splitter = EventSplitter()
@@ -42,10 +42,10 @@
         self.remainder = b''
 
     def feed(self, data):
-        """Return the events that `data` makes whole.
+        """Append `data`; return the events that it completes.
 
         Raises:
-            BadEventError: an event is too long or its id is no number.
+            BadEventError: an event is too long or its id is not a number.
         """
         self.remainder += data
         found = []
@@ -56,7 +56,7 @@
             found.append(_parse_event(self.remainder[:end]))
             self.remainder = self.remainder[end:]
         if len(self.remainder) > MAX_EVENT_BYTES:
-            raise BadEventError('an event is too long')
+            raise BadEventError('event exceeds the size limit')
         return found
 
 
@@ -72,6 +72,6 @@
         if line.startswith(b'id:'):
             text = line[3:].strip()
             if not text.isdigit():
-                raise BadEventError(f'event id {text[:20]!r} is no number')
+                raise BadEventError(f'event id {text[:20]!r} is not a number')
             return Event(int(text), data)
     return Event(None, data)
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -1,4 +1,4 @@
-"""One request, from its decision to the last byte of its answer."""
+"""Handling of one request, from admission to the end of its reply."""
 
 import asyncio
 
@@ -17,30 +17,30 @@
 from catkinshunt import places
 from catkinshunt import retries
 
-#: Seconds for which a request waits for an upstream that may take it.
+#: Seconds for which a request waits for an eligible upstream.
 UPSTREAM_WAIT_S = 1.0
-#: Seconds after which a caller may come back when none was there by then.
+#: `Retry-After` in seconds if there was none by then.
 NO_UPSTREAM_RETRY_S = 0.8
-#: Priority at an engine by rank, from 0 (first) to 9; 5 is the usual one.
+#: Priority at an engine by rank, from 0 (highest) to 9; 5 is the default.
 PRIORITY_BY_RANK = {
     dispatch.Rank.EARLY: 4,
     dispatch.Rank.DOUBTFUL: 6,
     dispatch.Rank.LATE: 7,
 }
-#: Share of the retry burst that is kept for requests at upstreams that break
-#: or stand still.
+#: Share of the retry burst reserved for requests at upstreams that fail or
+#: become unresponsive.
 FAILOVER_RESERVE_SHARE = 0.5
-#: Seconds after the signal to stop in which new requests are still served:
-#: the balancer needs two of its questions, a second apart, to notice.
+#: Seconds after the stop signal in which new requests are still accepted. The
+#: load balancer needs two health checks, a second apart, to notice.
 STOP_ACCEPT_S = 3.0
-#: Smallest time left that is worth a try, in seconds.
+#: Least time to the deadline for an attempt, in seconds.
 MIN_REMAINING_S = 0.02
 
 _log = logs.get_logger('exchange')
 
 
 class DeadlineExceededError(errors.OutcomeUnknownError):
-    """The time of the request is over; it may have run."""
+    """The deadline of the request has passed; it may have run."""
 
     status = 504
     code = 'late'
@@ -48,20 +48,20 @@
 
 @attrs.define
 class Progress:
-    """What was sent to the caller, and what was tried.
+    """Progress of one request.
 
     Attributes:
-        head_sent: the head of the answer is with the caller.
-        last_event_id: id of the last event passed on, or None.
-        sends: tries whose request was sent.
+        head_sent: the head of the reply was sent to the client.
+        last_event_id: id of the last event relayed, or None.
+        sends: attempts whose request was sent to an upstream.
         may_have_run: one of them may have run.
         tried: keys of the upstreams that were tried.
         reloading: those of them that are about to load another version.
-        wait_until: when it stops waiting for an upstream, or None.
-        notes: one word on each try, for the log.
-        first_s: seconds until the first byte of the answer, or None.
-        waited_s: seconds for which it waited for an upstream.
-        before_s: seconds that its caller had waited before it asked.
+        wait_until: end of the wait for an eligible upstream, or None.
+        notes: short texts on each attempt, for the log.
+        first_s: seconds to the first byte of the reply, or None.
+        waited_s: seconds spent waiting for an upstream or a permit.
+        before_s: seconds that the client had waited before this request.
     """
 
     head_sent: bool = False
@@ -78,11 +78,11 @@
 
 
 class Exchange:
-    """Answers one request of a caller.
+    """Answers one request of a client.
 
     Args:
         context: `Context` of the gateway.
-        conn: `http1.ServerConnection` of the caller.
+        conn: `http1.ServerConnection` of the client.
         req: the `http1.Request`.
     """
 
@@ -98,8 +98,8 @@
         self.deadline = None
 
     async def run(self):
-        """Answer the request; return whether the connection stays usable."""
-        outcome, reason = 'left', 'the caller closed the connection'
+        """Answer the request; return whether to keep the connection."""
+        outcome, reason = 'left', 'the client closed the connection'
         try:
             await self._answer()
             outcome, reason = 'answered', None
@@ -116,7 +116,7 @@
         stopping = self.context.stopping_since
         if stopping is not None and now - stopping > STOP_ACCEPT_S:
             raise errors.LeavingError(
-                'this process stops',
+                'this process is stopping',
                 step='admit',
                 retry_after_s=_admission.STOPPING_RETRY_S,
             )
@@ -153,23 +153,23 @@
             raise self._timeout_error() from exc
 
     async def _wait_for_configuration(self, now):
-        """Wait for a moment where this process has just started.
+        """Wait for the first configuration after the start of the process.
 
-        After a loss of power all callers come at once, to entries that will
-        know the configuration in less than a second. Refused, they come back
-        to another one that does not know it either, and have no try left.
+        After a power failure all clients connect at once, to entries that
+        load the configuration within a second. If rejected, a client would
+        retry at another entry without configuration until it gives up.
         """
         catalog = self.context.catalog
         if catalog.is_known:
             return
-        hold_s = min(UPSTREAM_WAIT_S, self.info.deadline_s or UPSTREAM_WAIT_S)
-        self.progress.wait_until = now + hold_s
+        wait_s = min(UPSTREAM_WAIT_S, self.info.deadline_s or UPSTREAM_WAIT_S)
+        self.progress.wait_until = now + wait_s
         try:
-            async with asyncio.timeout(hold_s):
+            async with asyncio.timeout(wait_s):
                 while not catalog.is_known:
                     await catalog.wait_for_change()
         except TimeoutError:
-            # What is missing is told by the decision that follows.
+            # The admission that follows raises the error.
             return
         finally:
             self.progress.waited_s += self.context.clock() - now
@@ -177,13 +177,11 @@
     def _timeout_error(self):
         if not self.progress.sends:
             return errors.OverloadedError(
-                'no upstream took it in time', step='dispatch'
+                'no upstream accepted it in time', step='dispatch'
             )
-        return DeadlineExceededError(
-            'the time of the request is over', step='answer'
-        )
+        return DeadlineExceededError('deadline exceeded', step='answer')
 
-    # Tries.
+    # Attempts.
 
     async def _run_attempts(self):
         while True:
@@ -216,7 +214,7 @@
             raise self._final_error(exc) from exc
 
     async def _acquire_permit(self, search, candidate):
-        """Return the candidate that has a place; any where none is needed."""
+        """Return a candidate with a permit, or any if none is needed."""
         if self.selection.engine_profile() is None:
             return candidate
         if not self.context.permit_client.is_started:
@@ -229,27 +227,27 @@
         except places.NoPlaceError:
             if not self.progress.head_sent:
                 raise
-            # Its caller is reading; the engine takes it before others.
+            # The client is reading the stream; engines give it precedence.
             return candidate
         finally:
             self.progress.waited_s += self.context.clock() - began
 
     def _check_version(self, candidate):
-        """Refuse an engine whose time ran out while a place was waited for.
+        """Reject an engine whose version expired while a permit was awaited.
 
         Raises:
-            places.ReloadingError: no request may begin there any more.
+            places.ReloadingError: its version is too old to begin on.
         """
         if not self.selection.is_outdated(candidate.upstream, 0.0):
             return
         self.progress.reloading.add(candidate.upstream.key)
         raise places.ReloadingError(
-            f'{candidate.upstream.id}: its version is too old by now',
+            f'{candidate.upstream.id}: version became too old',
             step='take-place',
         )
 
     def _check_retry(self, exc):
-        """Raise what the request ends with unless it may be tried again."""
+        """Raise the final error unless the request may be retried."""
         progress = self.progress
         serve = self.decision.serve
         if isinstance(exc, places.NoPlaceError):
@@ -270,7 +268,7 @@
             self.deadline,
             self.context.clock(),
         )
-        progress.notes.append(f'{verdict.grounds}, again {verdict.again}')
+        progress.notes.append(f'{verdict.grounds}, retry {verdict.again}')
         if verdict.again:
             return
         raise self._final_error(exc)
@@ -278,15 +276,15 @@
     def _final_error(self, exc):
         if self.progress.may_have_run and exc.ran == 'no':
             return errors.OutcomeUnknownError(
-                'an earlier try may have run', step='dispatch'
+                'an earlier attempt may have run', step='dispatch'
             )
         return exc
 
     async def _choose_upstream(self):
-        """Return the `dispatch.Candidate` for the next try.
+        """Return the `dispatch.Candidate` for the next attempt.
 
-        Where no upstream can take the request yet, such as while all load
-        the version that is due, it waits for one for a moment.
+        If no upstream is eligible, such as while all of them load a version
+        that is due, waits for one for up to `UPSTREAM_WAIT_S`.
         """
         progress = self.progress
         if progress.wait_until is None:
@@ -299,7 +297,7 @@
             if left_s <= 0 or not self._may_wait():
                 raise self._final_error(
                     errors.OverloadedError(
-                        'no upstream is there',
+                        'no upstream is available',
                         step='choose-upstream',
                         retry_after_s=NO_UPSTREAM_RETRY_S,
                     )
@@ -307,7 +305,7 @@
             began = self.context.clock()
             await self.selection.wait_for_change(left_s)
             progress.waited_s += self.context.clock() - began
-            # What loaded a version may take the request now.
+            # Upstreams that finished loading are eligible again.
             progress.tried -= progress.reloading
             progress.reloading.clear()
 
@@ -317,8 +315,8 @@
         )
 
     async def _run_attempt(self, candidate):
-        """Make one try; raises an `errors.RequestError` where it failed."""
-        # It may have been barred while it waited for a place.
+        """Make one attempt; raise an `errors.RequestError` if it fails."""
+        # It may have been quarantined while it waited for a permit.
         self.quarantine_check.check()
         state = candidate.state
         job = state.begin(self.selection.make_job(), self.context.clock())
@@ -346,27 +344,28 @@
         self.progress.notes.append(f'sent as {job.rank.name.lower()}')
         self.progress.sends += 1
         sent_at = self.context.clock()
-        whole = False
+        is_reusable = False
         try:
             conn.send(*self._request_bytes(candidate.upstream, job))
             relay = _relay.Relay(self, conn, candidate, job, pool.peer)
-            whole = await relay.run()
+            is_reusable = await relay.run()
         except asyncio.CancelledError:
-            # The caller left, or its time is over, before the first byte.
+            # The client disconnected or the deadline passed.
             now = self.context.clock()
             if not job.answering and not candidate.state.is_silent(now):
                 self.record_delay(job, now - sent_at)
             raise
         finally:
-            if whole:
+            if is_reusable:
                 pool.give_back(conn)
             else:
                 conn.reset()
 
     async def _connect(self, pool, state):
         """Return a connection to an upstream."""
-        # On a connection that lay idle a request can be lost without a sign
-        # whether it ran; what must not run twice takes a new one.
+        # An upstream may close an idle connection as the request arrives, and
+        # whether it ran is then unknown. Requests that must not run twice use
+        # a new connection.
         fresh = not self.decision.serve.repeatable
         try:
             return await pool.take(fresh=fresh)
@@ -393,10 +392,10 @@
         return http1.dump_head(first, items), self.req.body
 
     def _rank(self, candidate):
-        """Return the `dispatch.Rank` of the request at an upstream."""
+        """Return the `dispatch.Rank` of the request in the engine's queue."""
         if self.progress.head_sent:
-            # The caller is reading, and leaves where the stream stands still
-            # for long; late ones wait for seconds in a burst.
+            # The client is reading the stream and disconnects if it stalls;
+            # requests of a lower rank wait for seconds in a burst.
             return dispatch.Rank.EARLY
         now = self.context.clock()
         return self.context.forecast(self.decision.service).rank(
@@ -407,57 +406,57 @@
         )
 
     def _client_wait_s(self):
-        """Return for how long the caller has waited since it first asked.
+        """Return the seconds since the client first sent the request.
 
-        None for one that is reading already.
+        None if the client is already reading the reply.
         """
         if self.progress.head_sent:
             return None
-        held_s = self.context.clock() - self.req.received_at
-        return held_s + self.progress.before_s
+        elapsed_s = self.context.clock() - self.req.received_at
+        return elapsed_s + self.progress.before_s
 
     def record_delay(self, job, delay_s):
-        """Take in the seconds that a try took to its first byte."""
+        """Record the time to the first byte of an attempt, in seconds."""
         if job.rank == dispatch.Rank.EARLY:
             forecast = self.context.forecast(self.decision.service)
             forecast.learn(job.likely_s, delay_s, self.context.clock())
 
     def _priority(self, job):
-        """Return the rank of the request at an engine, or None."""
+        """Return the priority at an engine; None for a plain service."""
         if self.selection.engine_profile() is None:
             return None
         return PRIORITY_BY_RANK[job.rank]
 
     def can_fail_over(self):
-        """Return whether a try may be given up for one elsewhere."""
+        """Return whether to abandon the attempt and retry elsewhere."""
         if not self.decision.serve.repeatable:
             return False
         if self.progress.sends >= self.decision.serve.max_tries:
             return False
-        # With the budget spent the request would end here, while the
-        # upstream that it waits for may still answer.
+        # With the retry budget spent the request would fail, while the
+        # current upstream may still answer.
         if not self.context.retry_budget(self.decision.service).has_token():
             return False
         return self.selection.has_untried(self.progress.tried)
 
-    # What the caller gets.
+    # Replies to the client.
 
     def _keeps_alive(self):
         return self.req.keep_alive and self.context.stopping_since is None
 
     def connection_headers(self):
-        """Return the headers that tell whether the connection stays."""
+        """Return the header items on the state of the connection."""
         return [] if self._keeps_alive() else [('Connection', 'close')]
 
     def record_first_byte(self):
-        """Note that the answer has begun."""
+        """Record the time to the first byte of the reply."""
         if self.progress.first_s is None:
             self.progress.first_s = self.context.clock() - self.req.received_at
 
     def _reply_error(self, exc):
-        """Answer with an error of our own; return whether to go on."""
+        """Send an error reply; return whether to keep the connection."""
         if self.progress.head_sent:
-            # A proper end would make the broken answer look whole.
+            # A regular end would make the truncated reply look complete.
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
@@ -476,7 +475,7 @@
         return keeps_alive
 
     def _record_outcome(self, outcome, reason):
-        """Count the request and write the line on it."""
+        """Update the metrics and log the outcome of the request."""
         now = self.context.clock()
         decision = self.decision
         service = decision.service if decision else ''
@@ -506,7 +505,7 @@
         )
 
     def _revision(self):
-        """Return the revision that decided, also on a refused request."""
+        """Return the revision in force, also for a rejected request."""
         if self.decision is not None:
             return self.decision.revision
         declaration = self.context.catalog.declaration
--- a/catkinshunt/gateway/_gateway.py
+++ b/catkinshunt/gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections, and stops without cutting a request."""
+"""Serves client connections, and stops gracefully."""
 
 import asyncio
 
@@ -6,17 +6,17 @@
 from catkinshunt import http1
 from catkinshunt import logs
 
-#: Seconds after the signal to stop in which idle connections stay open; the
-#: balancer has stopped sending new ones by then.
+#: Seconds after the stop signal for which idle connections stay open. By then
+#: the load balancer sends no new connections.
 IDLE_CLOSE_DELAY_S = 2.6
-#: Pause between looks at what is still in progress while stopping.
+#: Interval in seconds of the checks for open connections while stopping.
 STOP_POLL_S = 0.1
 
 _log = logs.get_logger('gateway')
 
 
 class Gateway:
-    """Serves callers on one address.
+    """Serves clients on one address.
 
     Args:
         context: `Context`.
@@ -31,21 +31,21 @@
 
     @property
     def in_progress(self):
-        """Number of requests that are being answered."""
+        """Number of requests in progress."""
         return len(self._busy)
 
     @property
     def port(self):
-        """The port that is listened on."""
+        """Port of the listening socket."""
         return self._listener.port
 
     async def start(self, host, port):
-        """Listen on an address; returns self."""
+        """Listen on an address and return self."""
         await self._listener.start(host, port)
         return self
 
     def is_ready(self):
-        """Return whether this process should get new connections."""
+        """Return whether the load balancer should send new connections."""
         return (
             self.context.stopping_since is None
             and self.context.catalog.declaration is not None
@@ -53,7 +53,11 @@
         )
 
     async def stop(self, grace_s):
-        """Answer what is in progress, then close; at most for `grace_s`."""
+        """Stop gracefully.
+
+        Args:
+            grace_s: seconds for which requests in progress may complete.
+        """
         since = self.context.clock()
         self.context.stopping_since = since
         _log.info('Stopping with {} requests in progress.', self.in_progress)
--- a/catkinshunt/gateway/_metrics.py
+++ b/catkinshunt/gateway/_metrics.py
@@ -1,10 +1,10 @@
-"""Counters and durations of a gateway."""
+"""Metrics of a gateway."""
 
 from catkinshunt import metrics
 
 
 class GatewayMetrics:
-    """Records how requests ended.
+    """Records the outcome and duration of requests.
 
     Args:
         registry: `metrics.Registry`.
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -1,4 +1,4 @@
-"""Finds an engine with a place for one try of a request."""
+"""Finds an engine with a permit for one attempt of a request."""
 
 import asyncio
 
@@ -8,46 +8,45 @@
 from catkinshunt import errors
 from catkinshunt import places
 
-#: Engines that are asked for a place. The first one lets the request wait,
-#: the others say at once whether they have room: an entry does not know how
-#: busy engines are with requests of others. Each further one takes a round
-#: trip from the time that is left.
+#: Most sidecars that answer a permit request. The first one may queue it, the
+#: others grant or reject at once, since an entry cannot see the load that
+#: other entries put on an engine. Each one costs a round trip.
 MAX_SIDECARS = 3
-#: Seconds for which another engine is asked after a sidecar was asked in
-#: vain. Where all of them are silent what it takes is lost; one that is not
-#: has answered by then on most links.
+#: Reply timeout in seconds after a sidecar did not answer. It bounds the delay
+#: if no sidecar answers; on most links a running one has answered by then.
 NEXT_REPLY_TIMEOUT_S = 0.05
-#: Seconds for which a request waits for a place at an engine that answers
-#: before one whose sidecar is silent gets it.
+#: Seconds to wait for a queued permit before an engine with an unresponsive
+#: sidecar is used.
 QUEUED_PREFERENCE_S = 0.05
-#: Seconds within which an engine whose sidecar gives no answer must accept a
-#: connection to get a request; as long as an ask may take. What is sent over
-#: a full link cannot be taken back, and comes after its caller has left.
+#: Seconds within which an engine with an unresponsive sidecar must accept a
+#: connection to get a request; as long as a permit request may take. A request
+#: sent over a saturated link cannot be cancelled, and arrives after its client
+#: has left.
 PROBE_TIMEOUT_S = places.ANSWER_S * places.SENDS
-#: Such engines that are tried.
+#: Most such engines that are probed.
 MAX_PROBES = 2
-#: Share of the slots of an engine that one entry uses where the sidecar gives
-#: no answer; the others do the same.
+#: Share of an engine's slots that one entry uses without permits while the
+#: sidecar is unresponsive; other entries do the same.
 NO_PERMIT_SLOT_SHARE = 0.25
-#: Seconds before a version is due from which on an engine with the one before
-#: gets no request where its sidecar gives no answer. Nobody else keeps them
-#: from it then, and a full link that keeps the answer holds up the request
-#: as well.
+#: Seconds before a version is due from which an engine with the previous one
+#: and an unresponsive sidecar gets no request: no sidecar rejects requests
+#: that come too late, and a saturated link that delays its replies delays
+#: them too.
 NO_PERMIT_VERSION_LEAD_S = 1.5
-#: Seconds for which a stream that broke off waits for a place elsewhere; its
-#: caller leaves after a longer pause.
+#: Seconds for which an interrupted stream waits for a permit elsewhere; after
+#: a longer pause the client disconnects.
 FAILOVER_WAIT_S = 0.2
-#: Seconds for which an engine that is about to load another version is left
-#: alone; it gets work again as soon as its entry shows other versions.
+#: Back-off in seconds of an engine that is about to load another version. It
+#: ends early when the engine lists other versions.
 RELOAD_PAUSE_S = 2.5
 
 
 @attrs.define(eq=False)
 class _PendingRequest:
-    """An ask at the sidecar of one candidate.
+    """A permit request at the sidecar of one candidate.
 
     Attributes:
-        is_counted: it counts among those that wait for the engine.
+        is_counted: it counts as waiting in the state of the upstream.
     """
 
     candidate: dispatch.Candidate
@@ -55,24 +54,24 @@
     is_counted: bool = True
 
     def uncount(self):
-        """Count no longer as one that waits."""
+        """Stop counting it as waiting."""
         if self.is_counted:
             self.candidate.state.asking -= 1
             self.is_counted = False
 
 
 class PermitSearch:
-    """Asks engines for a place until one gives it.
+    """Requests permits from sidecars until one is granted.
 
-    What it got is held until `close`.
+    The permit is held until `close`.
 
     Args:
         context: `Context` of the gateway.
         selection: the `Selection` of the request.
         progress: the `Progress` of the request.
-        waited_s: seconds that the caller has waited; None for a stream that
-            broke off and goes on elsewhere.
-        goal_s: seconds after which the first token is late.
+        waited_s: seconds that the client has waited; None for a stream that
+            is resumed elsewhere.
+        goal_s: target for the time to the first token, in seconds.
     """
 
     def __init__(self, context, selection, progress, waited_s, goal_s):
@@ -88,10 +87,10 @@
         """Return the `dispatch.Candidate` to send the request to.
 
         Args:
-            candidate: the one to ask first.
+            candidate: the first one to request a permit for.
 
         Raises:
-            places.NoPlaceError: there is no place in time.
+            places.NoPlaceError: no permit was granted in time.
             places.ReloadingError: all are about to load another version.
         """
         answered, waiting, unresponsive = 0, None, []
@@ -130,7 +129,7 @@
         raise self._rejection()
 
     async def _wait_for_grant(self, pending, timeout_s=None):
-        """Return whether a bid gets its place within `timeout_s` seconds."""
+        """Return whether a queued permit is granted within `timeout_s` s."""
         try:
             async with asyncio.timeout(timeout_s):
                 reply = await pending.asking.last_reply()
@@ -145,13 +144,13 @@
         return not self._is_responsive(upstream)
 
     async def _find_without_permit(self, unresponsive):
-        """Return a candidate whose sidecar is silent, or None.
+        """Return a candidate with an unresponsive sidecar, or None.
 
-        A sidecar that starts is as silent as one behind a full link. The
-        engine behind the latter does not accept a connection soon either.
+        A sidecar may be starting, or be behind a saturated link. In the
+        latter case the engine does not accept a connection soon either.
 
         Args:
-            silent: candidates whose sidecars were found silent just now.
+            unresponsive: candidates whose sidecars just did not answer.
         """
         probed = 0
         while probed < MAX_PROBES:
@@ -167,19 +166,19 @@
             if not self._may_send_without_permit(candidate):
                 continue
             accepts = await self._accepts_connection(candidate)
-            # Others may have been sent there meanwhile.
+            # Other requests may have been sent there during the probe.
             if accepts and self._may_send_without_permit(candidate):
                 return candidate
         return None
 
     async def _accepts_connection(self, candidate):
-        """Return whether an engine accepts a connection soon."""
+        """Return whether an engine accepts a connection in time."""
         pool = self.context.pool(candidate.upstream)
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 conn = await pool.take(fresh=True)
         except TimeoutError:
-            self._add_note(candidate, 'no connection in time')
+            self._add_note(candidate, 'connect timed out')
             return False
         except errors.RefusedError as exc:
             self._add_note(candidate, str(exc))
@@ -193,23 +192,23 @@
         self.progress.notes.append(f'{candidate.upstream.id}: {text}')
 
     def _may_send_without_permit(self, candidate):
-        """Return whether an engine whose sidecar is silent gets the request.
+        """Return whether to use an engine with an unresponsive sidecar.
 
-        Nobody counts what all entries send there. Past capacity everything
-        that is refused elsewhere would go there.
+        No sidecar counts the requests of all entries there. Without a limit,
+        an overload would send it everything that others reject.
         """
         upstream = candidate.upstream
         if self.selection.is_outdated(upstream, NO_PERMIT_VERSION_LEAD_S):
             return False
-        most = upstream.slots * NO_PERMIT_SLOT_SHARE
-        return len(candidate.state.jobs) < max(1, most)
+        max_jobs = upstream.slots * NO_PERMIT_SLOT_SHARE
+        return len(candidate.state.jobs) < max(1, max_jobs)
 
     def close(self):
-        """Give back what was got."""
+        """Release the permit and withdraw all requests for one."""
         self._keep_only(None)
 
     def _keep_only(self, candidate, kept=None):
-        """Give up all bids but one; return the candidate."""
+        """End all permit requests but one; return the candidate."""
         for pending in self._pending:
             pending.uncount()
             if pending is not kept:
@@ -217,13 +216,13 @@
         self._pending = [kept] if kept is not None else []
         return candidate
 
-    async def _request_permit(self, candidate, probe, brief):
+    async def _request_permit(self, candidate, probe, short_timeout):
         """Return a `_PendingRequest` with its first reply, or None.
 
         Args:
-            candidate: the one to ask.
-            probe: whether it must answer at once.
-            brief: whether another one was asked in vain.
+            candidate: the one to request a permit for.
+            probe: whether to reject instead of queueing.
+            short_timeout: whether to use the shorter reply timeout.
         """
         asking = self.context.permit_client.ask(
             _host(candidate),
@@ -234,7 +233,7 @@
         candidate.state.asking += 1
         try:
             async with asyncio.timeout(
-                NEXT_REPLY_TIMEOUT_S if brief else None
+                NEXT_REPLY_TIMEOUT_S if short_timeout else None
             ):
                 await asking.first_reply()
         except TimeoutError:
@@ -242,22 +241,22 @@
         self._record_reply(pending)
         if asking.reply is not None:
             return pending
-        # A place granted too late is given back, not kept from others.
+        # A permit granted after the timeout is released for other requests.
         self._pending.remove(pending)
         pending.uncount()
         asking.end()
         return None
 
     def _make_request(self, number, candidate, probe):
-        """Return the `places.Ask` for a candidate."""
+        """Return the permit request (`places.Ask`) for a candidate."""
         engine = self.selection.engine_profile()
         job = self.selection.make_job()
         moving = self.waited_s is None
         if moving:
             wait_s = FAILOVER_WAIT_S
         else:
-            held_s = self.context.clock() - self._began
-            wait_s = self.goal_s - self.waited_s - held_s
+            elapsed_s = self.context.clock() - self._began
+            wait_s = self.goal_s - self.waited_s - elapsed_s
             wait_s -= dispatch.first_token_s(engine, job)
         return places.Ask(
             number=number,
@@ -271,7 +270,7 @@
         )
 
     def _record_reply(self, pending):
-        """Take over what the reply tells of an engine."""
+        """Update the state of the upstream from a sidecar's reply."""
         reply = pending.asking.reply
         upstream, state = pending.candidate.upstream, pending.candidate.state
         self.progress.notes.append(_describe(reply, upstream))
@@ -290,7 +289,7 @@
         state.report(load, self.context.clock())
 
     def _rejection(self):
-        """Return the error for a request that no engine takes."""
+        """Return the error for a request that got no permit."""
         rejected = [
             pending.asking.reply
             for pending in self._pending
@@ -299,10 +298,10 @@
         full = [reply for reply in rejected if not _is_reloading(reply)]
         if rejected and not full:
             return places.ReloadingError(
-                'all engines are about to load', step='take-place'
+                'all engines are about to reload', step='take-place'
             )
         return places.NoPlaceError(
-            f'no engine has room, {len(full)} said so',
+            f'no engine has a free permit ({len(full)} full)',
             step='take-place',
             peer=', '.join(
                 _host(pending.candidate) for pending in self._pending
@@ -321,9 +320,9 @@
 
 
 def _describe(reply, upstream):
-    """Return a note for the log."""
+    """Return a log note on a reply."""
     if reply is None:
-        return f'{upstream.id}: its sidecar gave no answer'
+        return f'{upstream.id}: sidecar unresponsive'
     if isinstance(reply, places.Refused):
-        return f'{upstream.id}: refused, {reply.reason}'
+        return f'{upstream.id}: rejected, {reply.reason}'
     return f'{upstream.id}: {reply.kind}'
--- a/catkinshunt/gateway/_quarantine_check.py
+++ b/catkinshunt/gateway/_quarantine_check.py
@@ -1,4 +1,4 @@
-"""Keeps one request from running where it crashes its upstreams."""
+"""Rejects a request that is quarantined for crashing its upstreams."""
 
 import functools
 import math
@@ -8,19 +8,19 @@
 
 
 class QuarantinedError(errors.RefusedError):
-    """Not run: upstreams crashed each time that the request ran."""
+    """Not run: upstreams crashed repeatedly while running the request."""
 
     code = 'quarantined'
 
 
 class QuarantineCheck:
-    """What one request has to do with crashes of its upstreams.
+    """Checks one request against the quarantine and reports on its runs.
 
     Args:
-        guard: `quarantine.Guard`, or None for none.
+        guard: `quarantine.Guard`, or None to disable the check.
         req: the `http1.Request`.
-        host: host that it asks for.
-        account: name of its account, or ''.
+        host: requested host.
+        account: name of the account, or ''.
     """
 
     def __init__(self, guard, req, host, account):
@@ -31,30 +31,30 @@
 
     @functools.cached_property
     def fingerprint(self):
-        """Names the request each time that it comes."""
+        """Identifier that is equal for each attempt of the request."""
         req = self.req
         return quarantine.fingerprint(
             self.host, req.method, req.target, self.account, req.body
         )
 
     def check(self):
-        """Raise `QuarantinedError` where the request must not run."""
+        """Raise `QuarantinedError` if the request must not run."""
         if self.guard is None or self.guard.is_idle:
             return
         left_s = self.guard.check(self.fingerprint)
         if left_s > 0:
             raise QuarantinedError(
-                f'upstreams crashed under request {self.fingerprint}',
+                f'upstreams crashed while running request {self.fingerprint}',
                 step='check-quarantine',
                 retry_after_s=math.ceil(left_s),
             )
 
     def record_broken_connection(self, upstream):
-        """Note that the connection to an upstream broke off."""
+        """Report that the connection to an upstream was lost."""
         if self.guard is not None:
             self.guard.record_broken_connection(upstream, self.fingerprint)
 
     def record_completion(self):
-        """Note that an upstream has run the request to its end."""
+        """Report that an upstream completed the request."""
         if self.guard is not None and not self.guard.is_idle:
             self.guard.record_completion(self.fingerprint)
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Passes the reply of one try on to the caller."""
+"""Relays the reply of one upstream attempt to the client."""
 
 import asyncio
 
@@ -6,49 +6,49 @@
 from catkinshunt.gateway import _events
 from catkinshunt import http1
 
-#: Seconds after which an exchange looks whether its upstream is silent.
+#: Interval in seconds of the checks for an unresponsive upstream.
 POLL_S = 0.2
-#: Bytes of an answer that are held until it is whole, so that one that
-#: breaks off can be asked for again; a longer one is passed on as it comes.
+#: Longest reply that is buffered until complete, so that the request can be
+#: retried if the reply is cut off. A longer one is relayed as it arrives.
 MAX_BUFFERED_BYTES = 1024 * 1024
-#: Seconds for which an upstream that refused a request gets no other one.
+#: Back-off in seconds of an upstream that rejected a request.
 FULL_PAUSE_S = 0.1
-#: The same after it did not hold the name or version that was expected.
+#: The same if it did not have the expected id or version.
 MISDIRECTED_PAUSE_S = 0.5
-#: Seconds after which a caller may come back when no upstream took the
-#: request: about the time in which an engine ends an answer.
+#: `Retry-After` in seconds if no upstream accepted the request: about the
+#: time in which an engine completes an answer.
 BUSY_RETRY_S = 0.25
-#: Seconds for which an upstream is left alone that refuses though it has
-#: free slots: it ends its answers before it loads another version. It gets
-#: work again as soon as its entry shows other versions.
+#: Back-off in seconds of an upstream that rejects requests although it has
+#: free slots: it completes its answers before it loads another version. The
+#: back-off ends early when the upstream lists other versions.
 LOADING_PAUSE_S = 2.5
 EVENT_STREAM = 'text/event-stream'
 
 
 class OutdatedVersionError(errors.OutcomeUnknownError):
-    """The upstream had not begun when its version became too old."""
+    """The version became too old before the upstream began to answer."""
 
     code = 'outdated'
 
 
 class ConnectionLostError(errors.OutcomeUnknownError):
-    """The connection to the upstream ended before its reply."""
+    """The connection to the upstream was lost before the reply ended."""
 
 
 class UnresponsiveError(errors.OutcomeUnknownError):
-    """The upstream sends nothing on any connection."""
+    """The upstream sends no bytes on any connection."""
 
     code = 'silent'
 
 
 class Relay:
-    """Passes the reply of one try on to the caller.
+    """Relays the reply of one upstream attempt to the client.
 
     Args:
         exchange: the `Exchange`.
         conn: `http1.ClientConnection` to the upstream.
-        candidate: the `dispatch.Candidate` that was chosen.
-        job: the `dispatch.Job` of the try.
+        candidate: the selected `dispatch.Candidate`.
+        job: the `dispatch.Job` of the attempt.
         peer: address of the upstream as text.
     """
 
@@ -63,7 +63,7 @@
         self.sent_at = self.context.clock()
 
     async def run(self):
-        """Relay the reply; return whether the connection can be kept."""
+        """Relay the reply; return whether the connection is reusable."""
         head = await self._read_reply_head()
         note = self.context.dialect.decode_reply(head)
         if note.load is not None:
@@ -80,8 +80,8 @@
     async def _read_reply_head(self):
         """Return the head of the reply to this request.
 
-        A reply to an earlier one can still come on the connection; it is
-        read to its end and dropped.
+        A late reply to an earlier request on the same connection is read
+        and dropped.
         """
         while True:
             part = await self._next_part()
@@ -109,16 +109,16 @@
             return part
 
     def _check_version(self):
-        """Give the try up where it would begin on a version too old.
+        """Raise if the attempt would begin on a version that is too old.
 
-        A request can wait at a full engine for seconds, and would then get
-        an answer from weights that should no longer serve.
+        A request can wait in the queue of a full engine for seconds, and
+        would then be answered from weights that must no longer serve.
         """
         if self.job.answering:
             return
         if self.exchange.selection.is_outdated(self.upstream, POLL_S):
             raise OutdatedVersionError(
-                'not begun before its version was due',
+                'version became too old before the answer began',
                 step='read-reply',
                 peer=self.peer,
             )
@@ -129,29 +129,29 @@
             return
         if self.exchange.can_fail_over():
             raise UnresponsiveError(
-                'no byte on any connection', step='read-reply', peer=self.peer
+                'no bytes on any connection', step='read-reply', peer=self.peer
             )
 
     def _check_head(self, head, note):
-        """Raise where the reply is not to be passed on."""
+        """Raise if the reply must not be relayed."""
         if note.misdirected:
             self.state.rest(self.context.clock(), MISDIRECTED_PAUSE_S)
             raise errors.RefusedError(
-                'another upstream or version is there',
+                'unexpected upstream id or version',
                 step='read-reply',
                 peer=self.peer,
             )
         if note.not_executed:
             self._back_off(note)
             raise errors.OverloadedError(
-                f'upstream refused with {head.status}',
+                f'upstream rejected with {head.status}',
                 step='read-reply',
                 peer=self.peer,
                 retry_after_s=BUSY_RETRY_S,
             )
         if head.status in (408, 429, 503):
-            # Such a status promises that the request has not run; without
-            # the upstream's own word it cannot be passed on.
+            # These statuses tell clients that the request was not run. The
+            # upstream did not state that, so they are not relayed.
             raise errors.OutcomeUnknownError(
                 f'upstream answered {head.status}',
                 step='read-reply',
@@ -165,7 +165,7 @@
             )
 
     def _back_off(self, note):
-        """Leave an upstream alone that has just refused a request."""
+        """Send no requests to an upstream for a while after a rejection."""
         now = self.context.clock()
         load = note.load
         if load is not None and load.running < load.slots:
@@ -209,18 +209,18 @@
             part = await self._next_part()
             if isinstance(part, http1.End):
                 break
-            fresh, missing = self._select_new(self._split(splitter, part.data))
-            if fresh:
+            unsent, gap = self._select_new(self._split(splitter, part.data))
+            if unsent:
                 self._send_head(head)
-                self.exchange.conn.write(http1.dump_chunk(fresh))
+                self.exchange.conn.write(http1.dump_chunk(unsent))
                 await self.exchange.conn.drain()
-            if missing:
+            if gap:
                 raise errors.OutcomeUnknownError(
-                    missing, step='read-reply', peer=self.peer
+                    gap, step='read-reply', peer=self.peer
                 )
         if splitter.rest:
             raise errors.OutcomeUnknownError(
-                'the stream ended within an event',
+                'stream ended within an event',
                 step='read-reply',
                 peer=self.peer,
             )
@@ -236,13 +236,13 @@
             ) from exc
 
     def _select_new(self, events):
-        """Return the bytes that the caller lacks, and what is missing.
+        """Return the bytes not relayed yet, and a description of a gap.
 
-        What comes before a gap still goes to the caller: it is counted as
-        passed on, and the next upstream goes on behind it.
+        Events before a gap are still relayed and counted; the next upstream
+        resumes after them.
         """
         progress = self.exchange.progress
-        fresh = []
+        unsent = []
         for event in events:
             last_event_id = progress.last_event_id
             if None not in (event.id, last_event_id):
@@ -250,10 +250,10 @@
                     continue
                 if event.id > last_event_id + 1:
                     gap = f'event {event.id} came after {last_event_id}'
-                    return b''.join(fresh), gap
+                    return b''.join(unsent), gap
             progress.last_event_id = event.id
-            fresh.append(event.data)
-        return b''.join(fresh), ''
+            unsent.append(event.data)
+        return b''.join(unsent), ''
 
     def _send_head(self, head):
         if self.exchange.progress.head_sent:
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -1,4 +1,4 @@
-"""Which upstreams may take a request, and which of them is best."""
+"""Selects the upstream for each attempt of a request."""
 
 import asyncio
 
@@ -6,12 +6,12 @@
 
 
 class Selection:
-    """Finds upstreams for one request that was admitted.
+    """Finds upstreams for one admitted request.
 
     Args:
         context: `Context` of the gateway.
-        ask: the `base.RequestInfo`.
-        decision: the `_admission.Decision` on it.
+        info: the `base.RequestInfo`.
+        decision: its `_admission.Decision`.
     """
 
     def __init__(self, context, info, decision):
@@ -24,17 +24,18 @@
         return dispatch.Job(self.info.tokens_in, self.info.tokens_out)
 
     def engine_profile(self):
-        """Return the profile of the service's engines, or None."""
+        """Return the engine profile of the service; None for a plain one."""
         services = self.context.catalog.declaration.services
         service = services.get(self.decision.service)
         return service.engine_profile if service else None
 
     def find(self, tried, predicate=None):
-        """Return the best `dispatch.Candidate` that is not tried, or None.
+        """Return the best untried `dispatch.Candidate`, or None.
 
         Args:
             tried: keys of the upstreams that were tried.
-            only: function that tells whether an upstream is meant, or None.
+            predicate: function that returns whether an upstream is eligible,
+                or None for all.
         """
         upstreams = self._eligible_upstreams()
         return self.context.chooser.choose(
@@ -49,11 +50,11 @@
         )
 
     def find_next(self, progress, predicate=None):
-        """Return the best one that is not tried, and count it as tried.
+        """Return the best untried candidate, and mark it as tried.
 
         Args:
             progress: the `Progress` of the request.
-            only: as for `find`.
+            predicate: as for `find`.
         """
         candidate = self.find(progress.tried, predicate)
         if candidate is not None:
@@ -62,16 +63,17 @@
         return candidate
 
     def _describe(self, candidate):
-        """Return a note for the log on why it was chosen."""
+        """Return a log note with the grounds of the choice."""
         state = candidate.state
         return (
-            f'chose {candidate.upstream.id}: likely {candidate.delay_s:.3f} s,'
-            f' {len(state.jobs)} own jobs,'
-            f' {state.failure_rate(self.context.clock()):.2f} failing'
+            f'chose {candidate.upstream.id}:'
+            f' predicted {candidate.delay_s:.3f} s,'
+            f' {len(state.jobs)} own requests,'
+            f' failure rate {state.failure_rate(self.context.clock()):.2f}'
         )
 
     def has_untried(self, tried):
-        """Return whether one that is not tried is there and not silent."""
+        """Return whether an untried, responsive upstream is available."""
         now = self.context.clock()
         return any(
             not self.context.tracker.state(upstream).is_silent(now)
@@ -80,7 +82,7 @@
         )
 
     def may_become_available(self):
-        """Return whether an upstream is there that may soon take it."""
+        """Return whether a listed upstream may accept the request soon."""
         service = self.decision.service
         return any(
             not upstream.leaving
@@ -88,7 +90,7 @@
         )
 
     async def wait_for_change(self, left_s):
-        """Return when the catalog has changed, or after `left_s` seconds."""
+        """Wait for a change of the catalog, for at most `left_s` seconds."""
         try:
             async with asyncio.timeout(left_s):
                 await self.context.catalog.wait_for_change()
@@ -96,7 +98,7 @@
             return
 
     def is_outdated(self, upstream, lead_s):
-        """Return whether no request may begin there `lead_s` from now."""
+        """Return whether the version is too old to begin on in `lead_s` s."""
         min_version = self._min_version(lead_s)
         if min_version is None or self.engine_profile() is None:
             return False
@@ -105,7 +107,7 @@
         return version is not None and version < min_version
 
     def _eligible_upstreams(self):
-        """Return the upstreams that may take the request."""
+        """Return the upstreams that serve a permitted version."""
         found = self.context.catalog.upstreams(
             self.decision.service, self.context.wall()
         )
@@ -119,10 +121,10 @@
         return [u for u in serving if u.versions[model] >= min_version]
 
     def _min_version(self, lead_s=0.0):
-        """Return the oldest version that may still begin, or None for any.
+        """Return the oldest version a request may begin on; None for any.
 
         Args:
-            lead_s: seconds from now for which it is asked.
+            lead_s: seconds from now to which the answer refers.
         """
         return self.context.catalog.due_version(
             self.info.model,
--- a/catkinshunt/gateway/base.py
+++ b/catkinshunt/gateway/base.py
@@ -1,4 +1,4 @@
-"""What a gateway needs from the protocol that callers and upstreams speak."""
+"""Interface between a gateway and the headers of its protocol."""
 
 import abc
 
@@ -7,17 +7,16 @@
 
 @attrs.frozen
 class RequestInfo:
-    """A caller's request, decoded.
+    """Decoded headers of a client's request.
 
     Attributes:
-        id: names this try of the caller.
-        deadline_s: seconds that the caller waits; None where it told none.
+        id: identifies this attempt of the client.
+        deadline_s: seconds that the client waits, or None if not given.
         api_key: key of an account, or ''.
-        model: model that is asked for, or ''.
+        model: requested model, or ''.
         tokens_in: prompt tokens, 0 for a plain request.
-        tokens_out: likely tokens of the answer, 0 where the caller tells
-            none.
-        last_event_id: id of the last event that the caller has, or ''.
+        tokens_out: expected output tokens, 0 if not given.
+        last_event_id: id of the last event that the client received, or ''.
     """
 
     id: str
@@ -34,14 +33,14 @@
 
 @attrs.frozen
 class AttemptInfo:
-    """What one try at an upstream is told.
+    """Values that the headers of one upstream attempt carry.
 
     Attributes:
         upstream_id: the upstream that must answer.
-        timeout_s: seconds that it may take.
+        timeout_s: seconds left until the deadline of the request.
         account: name of the account, or ''.
-        last_event_id: id of the last event passed on, or ''.
-        priority: rank among the waiting requests, or None.
+        last_event_id: id of the last event relayed to the client, or ''.
+        priority: priority in the engine's queue, or None.
     """
 
     upstream_id: str
@@ -53,15 +52,15 @@
 
 @attrs.frozen
 class ReplyInfo:
-    """What the head of an upstream's reply says beside its status.
+    """Decoded headers of an upstream's reply.
 
     Attributes:
         request_id: id of the request that it answers, or ''.
-        not_executed: the upstream says that the request has not run.
-        misdirected: another upstream has the address, or it does not serve
-            what was asked for.
+        not_executed: the upstream states that it did not run the request.
+        misdirected: another upstream has the address, or the upstream does
+            not serve the requested model version.
         load: `dispatch.Load`, or None.
-        leaving: the upstream closes the connection after this reply.
+        closes_connection: the upstream closes the connection after it.
     """
 
     request_id: str = ''
@@ -72,24 +71,24 @@
 
 
 class BaseDialect(abc.ABC):
-    """Translates the headers of requests and replies."""
+    """Decodes and encodes the headers of requests and replies."""
 
     @abc.abstractmethod
     def decode_request(self, req):
-        """Return the `RequestInfo` in an `http1.Request`.
+        """Return the `RequestInfo` of an `http1.Request`.
 
         Raises:
-            errors.InvalidRequestError: a header cannot be read.
+            errors.InvalidRequestError: a header is malformed.
         """
 
     @abc.abstractmethod
     def upstream_headers(self, req, info, attempt):
-        """Return the header items of `req` for an upstream."""
+        """Return the header items of `req` to send to an upstream."""
 
     @abc.abstractmethod
     def decode_reply(self, head):
-        """Return the `ReplyInfo` in an `http1.ReplyHead`."""
+        """Return the `ReplyInfo` of an `http1.ReplyHead`."""
 
     @abc.abstractmethod
     def reply_headers(self, info):
-        """Return the header items that each of our own replies carries."""
+        """Return the header items of the gateway's own replies."""
