--- a/catkinshunt/gateway/tests/dialect.py
+++ b/catkinshunt/gateway/tests/dialect.py
@@ -1,4 +1,4 @@
-"""A dialect of the tests' own."""
+"""Header dialect used only by the tests."""
 
 from catkinshunt import dispatch
 from catkinshunt import errors
@@ -16,7 +16,7 @@
         headers = req.headers
         left_ms = headers.get('Left-Ms')
         if left_ms is not None and not left_ms.isdigit():
-            raise errors.InvalidRequestError('Left-Ms is no number')
+            raise errors.InvalidRequestError('Left-Ms is not a number')
         tokens_in, tokens_out = headers.get('Tokens', '0,0').split(',')
         return base.RequestInfo(
             id=headers.get('Request-Id', ''),
--- a/catkinshunt/gateway/tests/harness.py
+++ b/catkinshunt/gateway/tests/harness.py
@@ -1,4 +1,4 @@
-"""A gateway between callers and fake upstreams, in one event loop."""
+"""Gateway between clients and fake upstreams, in one event loop."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,14 @@
 
 
 class FakeUpstream:
-    """Answers requests as told, and remembers them.
+    """Answers requests with a given function, and records their heads.
 
     Args:
         name: its id.
-        answer: coroutine function of (head, writer, upstream).
+        answer: coroutine function of (head, writer, upstream); it returns
+            'close' to close the connection.
+        service: name of its service.
+        versions: served version by model, or None.
     """
 
     def __init__(self, name, answer, service='plain', versions=None):
@@ -44,7 +47,7 @@
         self._server.close()
 
     def entry(self, **changes):
-        """Return the `catalog.Upstream` that stands for this one."""
+        """Return the `catalog.Upstream` of this one."""
         fields = {
             'id': self.name,
             'service': self.service,
@@ -65,7 +68,7 @@
                 self.heads.append(head)
                 work = asyncio.ensure_future(self.answer(head, writer, self))
                 gone = asyncio.ensure_future(reader.read(1))
-                # An exception that nobody takes is printed at any moment.
+                # Retrieves the exception, which would be logged otherwise.
                 gone.add_done_callback(
                     lambda f: f.cancelled() or f.exception()
                 )
@@ -104,7 +107,7 @@
 
 
 def replying(status=200, body=b'done', items=()):
-    """Return an answer that replies at once."""
+    """Return an answer function that replies at once."""
 
     async def answer(head, writer, upstream):
         writer.write(reply(head, status, body, items))
@@ -113,7 +116,7 @@
 
 
 def rejecting():
-    """Return an answer that says that the request was not run."""
+    """Return an answer function that rejects with `Not-Run`."""
     return replying(503, b'', [('Not-Run', '1')])
 
 
@@ -122,12 +125,12 @@
 
 
 def streaming(last, breaks_after=None, hangs=False):
-    """Return an answer that sends events up to `last`.
+    """Return an answer function that sends events up to `last`.
 
     Args:
         last: number of the last event.
-        breaks_after: event after which the connection ends, or None.
-        hangs: whether it falls silent there instead.
+        breaks_after: event after which the connection is closed, or None.
+        hangs: whether the stream stalls there instead.
     """
 
     async def answer(head, writer, upstream):
@@ -147,7 +150,7 @@
             writer.write(http1.dump_chunk(event(number)))
             await writer.drain()
             if number == breaks_after:
-                # Half an event comes too; the caller must not get it.
+                # The client must not get this incomplete event.
                 writer.write(http1.dump_chunk(event(number + 1)[:9]))
                 await writer.drain()
                 if hangs:
@@ -159,7 +162,7 @@
 
 
 def make_rules(**changes):
-    """Return rules for a plain, a booking and a streaming path."""
+    """Return rules for idempotent, booking, public and streaming paths."""
     plain = {'shares': [catalogs.Share('plain', 1)], 'timeout_s': 2.0}
     model = {'shares': [catalogs.Share('model', 1)], 'timeout_s': 6.0}
     kinds = {
@@ -209,7 +212,7 @@
 
 @contextlib.asynccontextmanager
 async def running_gateway(*upstreams, retry_burst=10.0, guard=None, **changes):
-    """Start a gateway before `upstreams`; yields a `GatewayHarness`."""
+    """Start a gateway for `upstreams`; yield a `GatewayHarness`."""
     loop = asyncio.get_running_loop()
     context = gateway.Context(
         catalog=catalogs.Catalog(fresh_s=3.0),
@@ -251,7 +254,7 @@
     async def request(self, path, method='GET', body=b'', **headers):
         """Send one request; return (status, head, bytes of the body).
 
-        The body is None where the reply broke off.
+        The body is None if the reply was cut off.
         """
         reader, writer = await self.connect()
         await send_request(writer, path, method, body, **headers)
@@ -276,7 +279,7 @@
 
 
 async def read_reply(reader):
-    """Return (status, head, body) of a reply; the body None if broken."""
+    """Return (status, head, body); the body is None if cut off."""
     async with asyncio.timeout(10):
         try:
             head = (await reader.readuntil(b'\r\n\r\n')).decode()
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -12,7 +12,7 @@
     return asyncio.run(main())
 
 
-def test_an_answer_comes_back_unchanged():
+def test_reply_is_relayed_unchanged():
     async def main():
         upstream = harness.FakeUpstream(
             'u1', harness.replying(201, b'booked', [('X-Own', 'kept')])
@@ -28,11 +28,11 @@
     assert len(heads) == 1
 
 
-def test_an_upstream_gets_the_account_and_never_the_key():
-    """The key of an account opens everything that the account may do.
+def test_upstream_gets_the_account_and_never_the_key():
+    """An upstream that got the API key could act as the account.
 
-    An upstream that got it could act as the account; and one that believed
-    the account named by the caller would serve anybody as anybody.
+    An account header sent by the client must not reach the upstream either,
+    or any client could act as any account.
     """
 
     async def main():
@@ -47,8 +47,8 @@
     assert 'somebody-else' not in head
 
 
-def test_an_upstream_is_told_less_time_than_the_caller_has():
-    """An upstream with more time than the caller works for nobody."""
+def test_upstream_deadline_is_shorter_than_the_clients():
+    """An upstream must not work on beyond the deadline of its client."""
 
     async def main():
         upstream = harness.FakeUpstream('u1', harness.replying())
@@ -72,7 +72,7 @@
         ('/open/1', '', 200),
     ],
 )
-def test_rules_and_keys_decide_who_is_served(path, key, status):
+def test_admission_by_rule_and_key(path, key, status):
     async def main():
         upstream = harness.FakeUpstream('u1', harness.replying())
         async with harness.running_gateway(upstream) as gateway:
@@ -82,12 +82,12 @@
     assert run(main) == (status, 1 if status == 200 else 0)
 
 
-def test_keys_are_not_trusted_once_they_are_old():
-    """A key can be taken away while the store is out of reach.
+def test_stale_keys_are_not_accepted():
+    """A key can be revoked while the store is unreachable.
 
-    After a while without word from the store the process refuses requests
-    with keys, says when to come back, and closes the connection, so that the
-    caller reaches another process. Public paths go on.
+    Once the configuration is stale, requests with keys are rejected with
+    `Retry-After` and the connection is closed, so that the client reaches
+    another process. Public paths are still served.
     """
 
     async def main():
@@ -110,8 +110,8 @@
     assert public[0] == 200
 
 
-def test_the_line_of_a_refused_request_names_the_revision_in_force():
-    """Without it a 404 by an old configuration looks like a wrong path."""
+def test_log_line_of_a_rejected_request_has_the_revision():
+    """It tells a 404 by an outdated configuration from a wrong path."""
     records = []
     sink = loguru.logger.add(lambda line: records.append(line.record))
 
@@ -132,8 +132,8 @@
 @pytest.mark.parametrize(
     ('path', 'key'), [('/unknown/1', 'k1'), ('/read/1', 'k9')]
 )
-def test_an_old_configuration_is_no_reason_to_deny(path, key):
-    """A newer one may have the path or the key; a denied caller is lost."""
+def test_stale_configuration_does_not_deny(path, key):
+    """A newer one may have the path or key; clients do not retry denials."""
 
     async def main():
         async with harness.running_gateway() as gateway:
@@ -148,11 +148,11 @@
     assert float(header(head, 'Retry-After')) > 0
 
 
-def test_nothing_known_is_no_reason_to_deny():
-    """A process that has just started knows no rule and no key.
+def test_missing_configuration_does_not_deny():
+    """A process that has just started has no rules and keys yet.
 
-    Denying for good would turn away callers that are in the right; it says
-    that the request was not run, and when to come back.
+    It must reject requests as retriable; a 404 or 401 would be final for
+    clients with a valid path and key.
     """
 
     async def main():
@@ -163,24 +163,24 @@
     assert run(main)[0] == 503
 
 
-def test_a_request_waits_for_the_first_configuration():
-    """After a loss of power all come to entries that know nothing yet."""
+def test_request_waits_for_the_first_configuration():
+    """After a power failure all entries start without configuration."""
 
     async def main():
         upstream = harness.FakeUpstream('u1', harness.replying())
         async with harness.running_gateway(upstream) as gateway:
             catalog = gateway.context.catalog
             known, catalog.declaration = catalog.declaration, None
-            asked = asyncio.ensure_future(gateway.request('/read/1'))
+            sent = asyncio.ensure_future(gateway.request('/read/1'))
             await asyncio.sleep(0.1)
-            early = asked.done()
+            early = sent.done()
             catalog.declare(known)
-            return early, (await asked)[0]
+            return early, (await sent)[0]
 
     assert run(main) == (False, 200)
 
 
-def test_a_refused_request_goes_to_another_upstream():
+def test_rejected_request_is_retried_at_another_upstream():
     async def main():
         full = harness.FakeUpstream('u1', harness.rejecting())
         free = harness.FakeUpstream('u2', harness.replying())
@@ -188,16 +188,16 @@
             found = [await gateway.request('/read/1') for _ in range(4)]
             return [reply[0] for reply in found], len(full.heads)
 
-    statuses, refused = run(main)
+    statuses, rejected = run(main)
     assert statuses == [200] * 4
-    assert refused <= 1
+    assert rejected <= 1
 
 
-def test_a_booking_is_sent_once_when_its_answer_is_lost():
-    """An upstream runs a booking and its connection breaks.
+def test_non_idempotent_request_is_not_retried_after_a_lost_reply():
+    """The connection is lost while an upstream runs a booking.
 
-    Nobody can tell whether it ran. Sent again it could be booked twice, so
-    the caller is told that the outcome is open, and not that it did not run.
+    Whether it ran is unknown, and a retry could book twice. The client must
+    get an unknown outcome, not a rejection.
     """
 
     async def lose(head, writer, upstream):
@@ -213,11 +213,11 @@
     assert run(main) == (502, 1)
 
 
-def test_a_booking_takes_a_new_connection():
-    """A kept connection can be closed by the upstream as a request arrives.
+def test_non_idempotent_request_uses_a_new_connection():
+    """An upstream can close an idle connection as a request arrives.
 
-    Whether the request ran is then unknown; a new connection is known not
-    to be idle.
+    Whether the request ran is then unknown, so requests that must not run
+    twice never reuse a connection.
     """
 
     async def main():
@@ -236,11 +236,11 @@
 
 
 @pytest.mark.parametrize('status', [408, 429, 503])
-def test_a_refusal_is_passed_on_only_if_it_is_true(status):
-    """Some statuses promise that a request did not run.
+def test_rejection_status_without_not_run_header_is_not_relayed(status):
+    """Clients take these statuses as a statement that nothing was run.
 
-    A faulty upstream can send one after it ran a booking. Without its word
-    that it was not run, the caller must not be told so: it would book again.
+    A faulty upstream can send one after it ran a booking. Without `Not-Run`
+    the status is not relayed, or the client would book again.
     """
 
     async def main():
@@ -254,11 +254,11 @@
     assert not header(head, 'Stamp')
 
 
-def test_a_refusal_after_a_try_that_may_have_run_does_not_promise():
-    """The first upstream breaks off, the second refuses.
+def test_rejection_after_an_attempt_that_may_have_run():
+    """The first attempt loses its connection; there is no other upstream.
 
-    The second did not run it, but the first may have; so the answer must
-    not say that it did not run.
+    That attempt may have run, so the reply must not state that the request
+    was not run.
     """
 
     async def lose(head, writer, upstream):
@@ -272,11 +272,10 @@
     assert run(main)[0] == 502
 
 
-def test_retries_stay_within_their_budget():
-    """With all upstreams failing, each request could be sent twice.
+def test_retries_stay_within_the_budget():
+    """If all upstreams fail, retries would double the load.
 
-    That doubles the load at the worst moment. With the budget spent, a
-    failed request ends at once.
+    Once the retry budget is spent, a failed request ends at once.
     """
 
     async def lose(head, writer, upstream):
@@ -294,11 +293,11 @@
     assert run(main) <= 12
 
 
-def test_a_late_answer_to_another_request_is_dropped():
-    """An upstream answers an earlier request twice, late.
+def test_late_reply_to_another_request_is_dropped():
+    """An upstream sends a second, late reply to an earlier request.
 
-    The extra answer stands where the next one is expected. Its id belongs
-    to another request, so it is skipped, and the caller gets its own.
+    It arrives where the next reply is expected, and is skipped by its
+    request id.
     """
 
     async def answer(head, writer, upstream):
@@ -315,12 +314,12 @@
     assert run(main)[2] == b'yours'
 
 
-def test_a_caller_that_leaves_ends_the_work_at_the_upstream():
-    """A caller gives up before its answer has come.
+def test_client_disconnect_resets_the_upstream_connection():
+    """The client disconnects before the reply.
 
-    The upstream would go on for nobody; its connection is closed at once,
-    and by a reset: a request that is still on its way, such as to an instance
-    that stands still, is dropped then and not run when it wakes.
+    The upstream must not go on for it. The connection is reset at once, so
+    that a request still buffered for a suspended instance is dropped, and
+    not run when the instance resumes.
     """
 
     async def slow(head, writer, upstream):
@@ -340,8 +339,8 @@
     assert run(main)
 
 
-def test_a_request_gets_its_final_answer_when_its_time_is_over():
-    """An upstream that hangs must not hold its caller beyond the limit."""
+def test_request_ends_at_its_deadline():
+    """An upstream that hangs must not delay the reply past the deadline."""
 
     async def slow(head, writer, upstream):
         await asyncio.sleep(60)
@@ -359,7 +358,7 @@
     assert took_s < 0.8
 
 
-def test_a_request_nobody_can_take_is_refused_in_time():
+def test_request_without_an_upstream_is_rejected():
     async def main():
         async with harness.running_gateway() as gateway:
             return await gateway.request('/book/1')
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -6,23 +6,23 @@
 from catkinshunt.gateway.tests import harness
 from catkinshunt import places
 
-#: Address of an engine whose sidecar is not asked.
+#: Address of an engine whose sidecar is marked unresponsive.
 UNRESPONSIVE_HOST = '127.0.0.2'
 CHAT = {'Model': harness.MODEL, 'Tokens': '100,20'}
 
 
 class FakePermitClient:
-    """Sidecars that answer asks for places as told, one after the other.
+    """Permit client whose requests get the given replies in order.
 
-    An answer is a message class, the reason of a refusal, or None for none;
-    beyond the last one places are granted.
+    A reply is a message class, the reason of a rejection, or None for no
+    reply. After the last one, permits are granted.
     """
 
     is_started = True
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asks = []
+        self.requests = []
         self.held = 0
         self.granted = 0
         self.request_class = FakePermitRequest
@@ -31,8 +31,8 @@
         return True
 
     def ask(self, host, make_ask):
-        ask = make_ask(len(self.asks))
-        self.asks.append(ask)
+        ask = make_ask(len(self.requests))
+        self.requests.append(ask)
         answer = self.answers.pop(0) if self.answers else places.Granted
         return self.request_class(self, ask, answer)
 
@@ -70,7 +70,7 @@
 
 
 def request_once(client, *engines, **headers):
-    """Ask once through a gateway; return the reply."""
+    """Send one request through a gateway; return the reply."""
 
     async def main():
         async with harness.running_gateway(*engines) as gateway:
@@ -82,7 +82,7 @@
     return asyncio.run(main())
 
 
-def test_a_place_is_held_as_long_as_the_answer_lasts():
+def test_permit_is_held_until_the_reply_ends():
     client = FakePermitClient()
     held = []
 
@@ -94,7 +94,7 @@
     assert (status, held, client.held) == (200, [1], 0)
 
 
-def test_a_place_is_given_back_when_the_engine_breaks():
+def test_permit_is_released_when_the_engine_fails():
     client = FakePermitClient()
 
     async def answer(head, writer, upstream):
@@ -105,12 +105,12 @@
     assert client.held == 0
 
 
-def test_a_silent_sidecar_ends_the_old_version_sooner():
-    """A link between regions is full, and a new version is about to be due.
+def test_unresponsive_sidecar_expires_the_old_version_early():
+    """A version is about to be due while a link between regions is saturated.
 
-    The sidecar of an engine with the old one gives no answer in time. The
-    request, sent all the same, came there 0.95 s later and began on weights
-    that should no longer serve.
+    The sidecar of an engine with the old version does not answer in time. A
+    request sent there without a permit arrived 0.95 s later, and began on
+    weights that must no longer serve.
     """
     old = make_engine('a', harness.streaming(3), version=1)
     new = make_engine('b', harness.streaming(3), version=2)
@@ -131,8 +131,8 @@
     assert not old.heads
 
 
-def test_nothing_is_sent_to_an_engine_whose_time_ran_out_meanwhile():
-    """A request that waited for its place would begin on the old version."""
+def test_version_is_checked_after_waiting_for_a_permit():
+    """The version becomes outdated while a request waits for its permit."""
     old = make_engine('a', harness.streaming(3), version=1)
     client = FakePermitClient(places.Queued)
 
@@ -157,12 +157,11 @@
     assert client.held == 0
 
 
-def test_where_no_engine_has_room_nothing_is_sent():
-    """Past capacity each engine is full of requests of all entries.
+def test_request_is_rejected_when_all_engines_are_full():
+    """In overload every engine is full of requests of all entries.
 
-    Sent there all the same, a request waits for seconds, is late, and keeps
-    others from being in time. Its caller is told at once when to come back,
-    and that nothing has run.
+    A request sent there anyway would wait for seconds, be late, and delay
+    others. It is rejected at once, as not run, with `Retry-After`.
     """
     engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
     status, head, _ = request_once(
@@ -173,25 +172,25 @@
     assert not any(one.heads for one in engines)
 
 
-def test_another_engine_is_asked_when_one_is_full():
+def test_another_engine_is_tried_when_one_is_full():
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     status, _, _ = request_once(FakePermitClient(places.NO_ROOM), *engines)
     assert status == 200
 
 
-def test_a_request_waits_where_no_other_engine_has_room():
+def test_queued_permit_is_used_when_other_engines_are_full():
     engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
     client = FakePermitClient(places.Queued, places.NO_ROOM, places.NO_ROOM)
     status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert [ask.probe for ask in client.asks] == [False, True, True]
+    assert [ask.probe for ask in client.requests] == [False, True, True]
     assert client.held == 0
 
 
-def test_a_request_does_not_wait_where_another_engine_has_room():
-    """An entry does not know what others have sent to an engine.
+def test_free_engine_is_preferred_to_a_queued_permit():
+    """An entry does not see the load that other entries put on an engine.
 
-    It asked the one that looked best, which is full, and others stand idle.
+    The engine it prefers can be full while others are idle.
     """
     engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
     client = FakePermitClient(places.Queued, places.NO_ROOM, places.Granted)
@@ -200,33 +199,33 @@
     assert client.held == 0
 
 
-def test_an_engine_about_to_load_is_left_alone():
-    """Half of the engines load a version; the others serve meanwhile."""
+def test_reloading_engine_is_skipped():
+    """Some engines load a version while the others serve."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'abcd']
     client = FakePermitClient(*[places.RELOADING] * 3)
     status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert len(client.asks) == 4
+    assert len(client.requests) == 4
 
 
-def test_a_request_waits_for_an_engine_that_is_about_to_serve_again():
+def test_request_waits_for_a_reloading_engine():
     async def main():
         only = make_engine('u1', harness.streaming(3))
         async with harness.running_gateway(only) as gateway:
             gateway.context.permit_client = FakePermitClient(places.RELOADING)
-            asking = asyncio.ensure_future(
+            task = asyncio.ensure_future(
                 gateway.request('/chat/1', 'POST', b'hello', **CHAT)
             )
             await asyncio.sleep(0.1)
             changed = only.entry(versions={harness.MODEL: 2})
             gateway.context.catalog.put_upstream(changed)
-            return await asking
+            return await task
 
     status, _, _ = asyncio.run(main())
     assert status == 200
 
 
-def test_a_sidecar_that_gives_no_answer_keeps_nobody_out():
+def test_unresponsive_sidecar_does_not_block_requests():
     client = FakePermitClient(None)
     status, _, _ = request_once(
         client, make_engine('u1', harness.streaming(3))
@@ -234,8 +233,8 @@
     assert status == 200
 
 
-def test_a_silent_engine_is_not_preferred_to_one_that_lets_wait():
-    """Behind a narrow link a request comes after its caller has left."""
+def test_queued_permit_is_preferred_to_an_unresponsive_sidecar():
+    """Over a slow link a request arrives after its client has left."""
     first, second = (make_engine(name, harness.streaming(3)) for name in 'ab')
     client = FakePermitClient(places.Queued, None)
     status, _, _ = request_once(client, first, second)
@@ -245,8 +244,8 @@
     assert client.granted == 1
 
 
-def test_an_engine_that_answers_goes_before_a_silent_one():
-    """The first one asked stands behind a full link, and others are free."""
+def test_responsive_sidecar_is_preferred():
+    """The first sidecar is behind a saturated link, other engines are free."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     client = FakePermitClient(None)
     status, _, _ = request_once(client, *engines)
@@ -254,11 +253,11 @@
     assert (client.granted, client.held) == (1, 0)
 
 
-@pytest.mark.parametrize('silent', ['a', 'b'])
-def test_an_engine_known_as_silent_is_left_for_last(silent):
-    """Its sidecar gave no answer a moment ago, and is not asked again."""
+@pytest.mark.parametrize('unresponsive', ['a', 'b'])
+def test_sidecar_known_as_unresponsive_is_tried_last(unresponsive):
+    """Its sidecar did not answer recently, and gets no permit request."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
-    (first,) = [each for each in engines if each.name == silent]
+    (first,) = [each for each in engines if each.name == unresponsive]
     client = FakePermitClient()
     client.may_ask = lambda host: host != UNRESPONSIVE_HOST
 
@@ -278,7 +277,7 @@
 
 
 def delay_connections(context, upstream, seconds):
-    """Let connections to an upstream be made after `seconds`."""
+    """Delay new connections to an upstream by `seconds`."""
     pool = context.pool(upstream.entry())
     take = pool.take
 
@@ -289,10 +288,10 @@
     pool.take = take_slowly
 
 
-def test_nothing_is_sent_over_a_link_that_accepts_no_connection_soon():
-    """The link to the sidecar and its engine is full of other bytes.
+def test_no_request_is_sent_over_a_saturated_link():
+    """The link to a sidecar and its engine is saturated.
 
-    What is sent over it comes after its caller has left, and runs for nobody.
+    A request sent over it would arrive and run after its client has left.
     """
     only = make_engine('u1', harness.streaming(3))
 
@@ -312,8 +311,8 @@
     assert took_s < 0.4
 
 
-def test_a_request_waits_on_where_the_silent_engine_is_behind_a_full_link():
-    """Given up for that engine, it would lose its turn at the other one."""
+def test_queued_permit_is_kept_while_probing_a_saturated_link():
+    """Withdrawing it for that engine would lose its position in the queue."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     client = FakePermitClient(places.Queued, None)
 
@@ -335,17 +334,17 @@
     assert (status, client.granted, client.held) == (200, 1, 0)
 
 
-def test_a_request_does_not_wait_in_vain_beside_a_dead_sidecar():
-    """The engine beside that sidecar works, and all others are full."""
+def test_engine_with_a_dead_sidecar_is_used_when_others_are_full():
+    """The engine of that sidecar works, and all others are full."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     client = FakePermitClient(places.Queued, None)
 
-    class Refused(FakePermitRequest):
+    class Rejecting(FakePermitRequest):
         async def last_reply(self):
             await asyncio.sleep(2.0)
             return places.Refused(self.ask.number, places.NO_ROOM, 1.7)
 
-    client.request_class = Refused
+    client.request_class = Rejecting
     began = time.monotonic()
     status, _, _ = request_once(client, *engines)
     assert status == 200
@@ -354,8 +353,8 @@
     assert client.granted == 0
 
 
-def test_callers_are_served_soon_while_all_sidecars_start():
-    """After a loss of power no sidecar answers for some seconds."""
+def test_requests_are_served_while_all_sidecars_start():
+    """After a power failure no sidecar answers for some seconds."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'abcdef']
     client = FakePermitClient(*[None] * 20)
 
@@ -376,16 +375,16 @@
     status, took_s = asyncio.run(main())
     assert status == 200
     assert took_s < 0.9
-    assert len(client.asks) <= 2
+    assert len(client.requests) <= 2
 
 
-def test_a_place_at_a_silent_engine_is_given_back_before_the_request_waits():
-    """Its grant comes late, and would keep others out for nothing."""
+def test_unanswered_permit_request_is_withdrawn_before_waiting():
+    """A late grant would occupy a permit that no request uses."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     client = FakePermitClient(None, places.Queued)
     ended = []
 
-    class Noting(FakePermitRequest):
+    class Recording(FakePermitRequest):
         async def last_reply(self):
             ended.append(len(ends))
             return await super().last_reply()
@@ -395,17 +394,17 @@
             super().end()
 
     ends = []
-    client.request_class = Noting
+    client.request_class = Recording
     status, _, _ = request_once(client, *engines)
     assert (status, ended) == (200, [1])
     assert sorted(ends) == [0, 1]
 
 
-def test_what_is_refused_elsewhere_does_not_flood_an_uncounted_engine():
-    """The sidecar of one engine is dead, and all others are full.
+def test_engine_without_permits_is_not_overloaded():
+    """The sidecar of one engine is dead, and all other engines are full.
 
-    Nobody counts what goes to that engine. With all that is refused elsewhere
-    its queue grows for seconds, and what begins there is late.
+    No sidecar counts the requests at that engine. If it got all that others
+    reject, its queue would grow to seconds, and its answers would be late.
     """
 
     async def main():
@@ -413,13 +412,13 @@
         hanging = make_engine('u1', hangs)
         async with harness.running_gateway(hanging) as gateway:
             gateway.context.permit_client = FakePermitClient(*[None] * 20)
-            asking = [
+            tasks = [
                 asyncio.ensure_future(
                     gateway.request('/chat/1', 'POST', b'hello', **CHAT)
                 )
                 for _ in range(5)
             ]
-            done, waiting = await asyncio.wait(asking, timeout=0.5)
+            done, waiting = await asyncio.wait(tasks, timeout=0.5)
             for task in waiting:
                 task.cancel()
             return [task.result()[0] for task in done], len(hanging.heads)
@@ -429,8 +428,8 @@
     assert statuses == [429] * 4
 
 
-def test_a_stream_that_broke_off_goes_on_where_all_are_full():
-    """Its caller is reading; a refusal now would lose what it has."""
+def test_interrupted_stream_resumes_when_all_engines_are_full():
+    """The client is reading; a rejection would waste what it has got."""
     first = make_engine('u1', harness.streaming(6, breaks_after=3))
     second = make_engine('u2', harness.streaming(6, breaks_after=3))
     client = FakePermitClient(places.Granted, *[places.NO_ROOM] * 3)
@@ -446,20 +445,20 @@
     status, _, body = request_once(client, first, second)
     assert status == 200
     assert body.endswith(harness.event(6))
-    assert [ask.moving for ask in client.asks] == [False, True]
+    assert [ask.moving for ask in client.requests] == [False, True]
 
 
-def test_an_ask_tells_how_long_the_request_may_wait():
+def test_permit_request_has_the_longest_wait():
     client = FakePermitClient()
     request_once(client, make_engine('u1', harness.streaming(3)))
-    (ask,) = client.asks
+    (ask,) = client.requests
     assert not ask.late
     assert 0 < ask.wait_s < 1.0
     assert ask.slots == 4
 
 
-def test_a_caller_that_waited_before_asks_as_late():
-    """It was refused a second ago, and cannot be in time any more."""
+def test_returning_request_is_late():
+    """It was rejected before, and can no longer be in time."""
     client = FakePermitClient()
 
     async def main():
@@ -473,4 +472,4 @@
                 )
 
     asyncio.run(main())
-    assert [ask.late for ask in client.asks] == [False, False, True]
+    assert [ask.late for ask in client.requests] == [False, False, True]
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash their upstreams, before several entries."""
+"""Requests that crash their upstreams, at several entries."""
 
 import asyncio
 import contextlib
@@ -8,14 +8,14 @@
 from catkinshunt.quarantine.tests import entries
 
 BAD = b'a prompt that no engine survives'
-#: Seconds within which all entries must know, in the users' deployments.
+#: Required bound, in seconds, for the news of a crash to reach all entries.
 CONTACT_S = 3.0
-#: Runs that are allowed after that.
+#: Runs allowed after that.
 MOST_RETRIES = 3
 
 
 class CrashingUpstream(harness.FakeUpstream):
-    """An engine that ends with all its connections under a bad request."""
+    """An engine that a bad request crashes, with all its connections."""
 
     def __init__(self, name, on_crash):
         super().__init__(name, self._answer, 'plain')
@@ -100,7 +100,7 @@
 
 
 async def request_repeatedly(shared):
-    """Let the bad request come to each entry in turn; return its replies."""
+    """Send the bad request to the entries in turn; return the replies."""
     replies = []
     for number in range(24):
         replies.append(await shared.request(number))
@@ -108,11 +108,11 @@
     return replies
 
 
-def test_a_request_that_crashes_its_upstreams_is_not_run_for_ever():
-    """It comes again at any entry, and each sees some of the crashes.
+def test_request_that_crashes_upstreams_is_quarantined():
+    """The request is retried at any entry, and each sees some crashes.
 
-    All upstreams of a service would go down one after the other, and all
-    that they were working on with them.
+    Without the quarantine all upstreams of a service would crash one after
+    the other, together with the other requests that they run.
     """
 
     async def main(shared):
@@ -132,8 +132,8 @@
     assert replies[0][0] == 502
 
 
-def test_callers_beside_a_crash_are_still_served():
-    """Their requests ended with the upstream, again and again."""
+def test_other_requests_at_crashed_upstreams_are_still_served():
+    """Their connections are lost with each crash, but they are sound."""
 
     async def main(shared):
         stop = asyncio.Event()
@@ -159,7 +159,7 @@
     assert last == [200] * 12
 
 
-def test_other_requests_of_the_same_caller_and_path_are_served():
+def test_other_requests_of_the_same_client_are_served():
     async def main(shared):
         await request_repeatedly(shared)
         return await shared.request(0, body=b'sound'), await shared.request(0)
@@ -169,8 +169,8 @@
     assert bad[0] == 503
 
 
-def test_a_refusal_after_a_run_does_not_say_that_it_has_not_run():
-    """A request is barred while its own try is at an upstream."""
+def test_quarantine_during_an_attempt_does_not_claim_it_was_not_run():
+    """The request is quarantined while its own attempt is running."""
 
     async def main(shared):
         gossip = shared.gateways[0].context.guard.gossip
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -25,7 +25,7 @@
     return await gateway.request(path, 'POST', b'hello', **CHAT, **headers)
 
 
-def test_events_come_in_order_and_whole():
+def test_events_are_relayed_in_order():
     async def main():
         async with harness.running_gateway(
             make_engine('u1', harness.streaming(5))
@@ -37,11 +37,11 @@
     assert body == events(5)
 
 
-def test_a_broken_stream_is_taken_up_by_another_engine():
+def test_broken_stream_is_resumed_at_another_engine():
     """An engine dies in the middle of an answer, within an event.
 
-    The caller sees one series without gap or repetition, under the headers
-    of the first engine. The second engine is told which event came last.
+    The client gets the events without gap or repetition, under the headers
+    of the first engine. The second engine gets `Last-Event-Id`.
     """
 
     async def main():
@@ -60,11 +60,11 @@
     assert harness.header(heads[0], 'Last-Event-Id') == '3'
 
 
-def test_a_stream_that_falls_silent_is_taken_up_by_another_engine():
-    """An engine loses its power: nothing comes, and nothing is closed.
+def test_stalled_stream_is_resumed_at_another_engine():
+    """An engine loses power: it sends nothing and closes no connection.
 
-    The caller would wait until it gives up. With no byte on any connection
-    for a while, the rest is asked for elsewhere.
+    The client would wait until it times out. After a while without bytes on
+    any connection, the stream is resumed at another engine.
     """
 
     async def main():
@@ -83,10 +83,10 @@
 
 
 def request_while_one_is_frozen(count, retry_burst):
-    """Return what asks `count` requests of the first of two engines.
+    """Return a coroutine function that sends `count` requests at once.
 
-    It stands still, and the other has room a little later. The coroutine
-    function returns the statuses.
+    The first of two engines is frozen, and the other one accepts requests a
+    little later. The coroutine function returns the statuses.
     """
 
     async def still(head, writer, upstream):
@@ -102,43 +102,41 @@
             tracker.state(other.entry()).remainder(
                 gateway.context.clock(), 0.3
             )
-            asked = [
+            sent = [
                 chat(gateway, Request_Id=f'a{n}', Left_Ms='3000')
                 for n in range(count)
             ]
-            return [reply[0] for reply in await asyncio.gather(*asked)]
+            return [reply[0] for reply in await asyncio.gather(*sent)]
 
     return main
 
 
 def test_all_streams_of_an_engine_that_stands_still_move():
-    """An engine stands still with twelve requests, and others have room.
+    """An engine freezes with twelve requests, and another one is free.
 
-    Each entry keeps five retries beyond a share of its requests, since it
-    does not know how many entries there are. With these spent, the other
-    callers wait until they give up, and the engine works on their requests
-    when it wakes, for nobody.
+    The entry has five retries beyond the ratio. Once these are spent, the
+    other clients wait until they time out, and the engine runs their
+    requests when it resumes, after the clients have left.
     """
     assert run(request_while_one_is_frozen(12, 5.0)) == [200] * 12
 
 
-def test_an_entry_of_four_moves_all_streams_of_an_engine():
-    """An engine stands still with sixteen requests, and others have room.
+def test_retry_share_of_one_entry_of_four_suffices_for_an_engine():
+    """An engine freezes with sixteen requests, and another one is free.
 
-    With the retries of an entry spent, the other callers wait until they
-    give up, and the engine works on their requests when it wakes, for
-    nobody. An entry of four that share 80 retries has enough for all that
-    run on an engine.
+    With its retries spent, the entry would leave the other requests at the
+    engine, which would run them after their clients have left. One of four
+    entries that share 80 retries has enough for all requests of an engine.
     """
     burst = retries.BurstShare(burst=80.0).choose(now=0.0)
     assert run(request_while_one_is_frozen(16, burst)) == [200] * 16
 
 
-def test_a_silent_engine_is_waited_for_when_no_retry_is_left():
-    """An engine is silent for a second, and the retry budget is spent.
+def test_unresponsive_engine_is_awaited_when_the_retry_budget_is_spent():
+    """An engine is unresponsive for a second, and no retry is left.
 
-    Given up, the request would fail for want of another try; the engine
-    goes on after the pause, and the caller gets its whole answer.
+    Abandoning the attempt would fail the request. The engine continues after
+    the pause, and the client gets the complete answer.
     """
 
     async def pauses(head, writer, upstream):
@@ -158,11 +156,11 @@
     assert sends == 1
 
 
-def test_a_stream_that_cannot_go_on_never_looks_whole():
-    """The only engine breaks off and nobody can go on.
+def test_truncated_stream_does_not_look_complete():
+    """The only engine fails, and no other one can resume the stream.
 
-    The end of the body must be missing, or the caller would take half an
-    answer for the whole.
+    The last chunk must be missing, or the client would take the truncated
+    answer for the complete one.
     """
 
     async def main():
@@ -175,7 +173,7 @@
     assert body is None
 
 
-def test_a_stream_that_may_not_be_resumed_is_sent_once():
+def test_non_resumable_stream_is_sent_once():
     async def main():
         first = make_engine('u1', harness.streaming(6, breaks_after=3))
         second = make_engine('u2', harness.streaming(6, breaks_after=3))
@@ -186,11 +184,11 @@
     assert run(main) == (None, 1)
 
 
-def test_a_gap_in_the_events_is_not_passed_on():
-    """A faulty engine leaves out an event.
+def test_gap_in_the_events_is_not_relayed():
+    """A faulty engine skips an event.
 
-    The caller would get an answer with a hole; the rest is asked for
-    elsewhere instead.
+    The client would get an answer with a gap; instead the stream is resumed
+    at another engine from the event before it.
     """
 
     async def gap(head, writer, upstream):
@@ -215,7 +213,7 @@
     assert run(main)[2] == events(3)
 
 
-def test_a_caller_can_resume_by_itself():
+def test_client_can_resume_with_last_event_id():
     async def main():
         async with harness.running_gateway(
             make_engine('u1', harness.streaming(5))
@@ -225,10 +223,10 @@
     assert run(main)[2] == events(5, begin=4)
 
 
-def test_only_engines_that_hold_the_model_get_work():
-    """An engine that was just added holds no weights.
+def test_only_engines_with_the_model_get_requests():
+    """An engine that was just added has no weights.
 
-    It would refuse every request, or keep it waiting until it is loaded.
+    It would reject every request, or queue it until the weights are loaded.
     """
 
     async def main():
@@ -241,11 +239,11 @@
     assert run(main) == ([200, 200, 200], 0)
 
 
-def test_no_request_begins_on_a_version_that_is_too_old():
-    """A version was named, and the time to serve the one before is over.
+def test_no_request_begins_on_an_outdated_version():
+    """The grace period of the previous version is over.
 
-    An engine that still has the old one gets no request; the caller waits
-    for a moment and is then told when to come back.
+    An engine that still has it gets no request; the request waits for a
+    moment, and is then rejected with `Retry-After`.
     """
 
     async def main():
@@ -267,12 +265,11 @@
     assert old_requests == 0
 
 
-def test_a_request_that_has_not_begun_is_taken_back_when_its_version_is_due():
-    """A request waits in the queue of an engine with the old version.
+def test_queued_request_is_moved_when_its_version_becomes_outdated():
+    """A request is queued at an engine when its version becomes outdated.
 
-    The new version becomes due while it waits. Begun later it would be
-    answered from weights that should no longer serve; so it is taken back
-    and sent to an engine with the new one.
+    It would be answered from weights that must no longer serve, so it is
+    withdrawn and sent to an engine with the new version.
     """
 
     async def queued(head, writer, upstream):
@@ -297,30 +294,30 @@
     assert old_requests == 1
 
 
-def test_a_request_waits_while_all_engines_load():
-    """All engines load a new version at the same moment.
+def test_request_waits_while_all_engines_load():
+    """All engines load a new version at the same time.
 
-    Refused at once, callers would come back into the same gap. The request
-    waits for the first engine that is there again.
+    If rejected at once, clients would retry within the same gap. The request
+    waits for the first engine that serves again.
     """
 
     async def main():
         busy = make_engine('u1', harness.streaming(2), version=None)
         async with harness.running_gateway(busy) as gateway:
-            asking = asyncio.ensure_future(chat(gateway))
+            task = asyncio.ensure_future(chat(gateway))
             await asyncio.sleep(0.1)
             gateway.context.catalog.put_upstream(
                 busy.entry(versions={harness.MODEL: 1})
             )
-            return await asking
+            return await task
 
     assert run(main)[0] == 200
 
 
-def test_a_request_past_its_goal_goes_behind_others():
-    """A caller that was refused and comes back is late already.
+def test_returning_request_has_a_lower_priority():
+    """A request that returns after a rejection is already late.
 
-    Served first, it would make others late that can still be in time.
+    Served first, it would delay others that can still be in time.
     """
 
     async def main():
@@ -336,11 +333,11 @@
     assert fresh < again
 
 
-def test_a_stop_cuts_no_stream():
-    """A process is told to stop while a stream is on its way.
+def test_stop_completes_running_streams():
+    """A process gets the stop signal while clients are connected.
 
-    The stream goes on to its end and its connection is closed after it; new
-    requests are served for a while, since callers cannot know yet.
+    Requests are still served for a while, since the load balancer has not
+    noticed yet; each connection is closed after its reply.
     """
 
     async def slow(head, writer, upstream):
@@ -363,10 +360,11 @@
     assert harness.header(head, 'Connection') == 'close'
 
 
-def test_a_stop_refuses_what_comes_too_late():
-    """Callers with open connections go on asking a process that stops.
+def test_stopping_process_rejects_late_requests():
+    """Clients keep sending requests over open connections.
 
-    After some seconds it refuses, truly, so that nothing is cut at its end.
+    After some seconds they are rejected as not run, so that none is cut off
+    when the process ends.
     """
 
     async def main():
@@ -382,7 +380,7 @@
     assert harness.header(head, 'Connection') == 'close'
 
 
-def test_events_split_anywhere_come_out_whole():
+def test_event_splitter_handles_any_split():
     stream = events(4)
     for cut in range(len(stream)):
         splitter = _events.EventSplitter()
@@ -392,7 +390,7 @@
         assert not splitter.remainder
 
 
-def test_shares_of_a_rule_are_kept():
+def test_service_choice_follows_the_shares():
     serve = catalogs.Serve([catalogs.Share('a', 90), catalogs.Share('b', 10)])
     chosen = [serve.choose_service(step / 1000) for step in range(1000)]
     assert chosen.count('a') == 900
