--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -27,7 +27,7 @@
             'engines',
             (f'10.{number // 65536}.{number // 256 % 256}.{number % 256}', 80),
             f'zone-{number % 3}',
-            born=number,
+            started_at_ms=number,
             versions={'drafts': 1},
             slots=16,
         )
@@ -39,7 +39,7 @@
     """Return the figures at one size, as a mapping."""
     tracemalloc.start()
     held = catalog.Catalog()
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     for upstream in make_upstreams(size):
         held.put_upstream(upstream)
         tracker.state(upstream)
@@ -67,7 +67,7 @@
 def _plan_ms(upstreams):
     members = [spread.Member(u.address[0], u.data_centre) for u in upstreams]
     began = time.process_time()
-    plan = spread.Plan(members[0], members, {}, 'drafts', 2, CHUNKS)
+    plan = spread.SourcePlan(members[0], members, {}, 'drafts', 2, CHUNKS)
     for index in range(CHUNKS):
         plan.sources(index)
     return (time.process_time() - began) * 1e3
@@ -79,14 +79,14 @@
     The work is the same whatever the number of upstreams and entries: one
     look at the deadline, one rank, one delay learnt.
     """
-    returns = dispatch.ReturnDetector()
-    forecast = dispatch.Forecast()
+    returns = dispatch.ReturningRequestDetector()
+    forecast = dispatch.DelayCorrector()
     rng = random.Random(1)
     began = time.process_time()
     for number in range(RANKS):
         waited_s = returns.waited_s('chat', 6.0 - rng.random())
         forecast.rank(waited_s, 0.2, 0.5, number)
-        forecast.learn(0.2, 0.3, number)
+        forecast.observe(0.2, 0.3, number)
     return (time.process_time() - began) / RANKS * 1e6
 
 
--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -105,7 +105,7 @@
         return ''
     # While the store is unreachable, a known key may have been revoked and
     # an unknown one added.
-    if not catalog.is_fresh(now):
+    if not catalog.can_trust_keys(now):
         raise StaleError('the account keys are too old', step='check-key')
     account = declaration.accounts.get(info.api_key)
     if account is None:
@@ -122,7 +122,7 @@
     Clients do not retry after a denial, so a path or key that a newer
     declaration may have must not be denied.
     """
-    if not catalog.is_current(now):
+    if not catalog.can_trust_absence(now):
         raise StaleError(
             'the configuration is too old to deny the request', step=step
         )
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -23,7 +23,7 @@
         retry_ratio: retries allowed per request of a service.
         retry_burst: retries allowed beyond that ratio.
         random: source of random numbers, such as `random.Random(7)`.
-        permit_client: `places.PlaceClient` that requests permits.
+        permit_client: `places.PermitClient` that requests permits.
         guard: `quarantine.Guard` against requests that crash upstreams, or
             None.
         return_detector: detects clients that come back after a rejection.
@@ -43,16 +43,18 @@
     metrics: object
     permit_client: object
     guard: quarantine.Guard | None = None
-    tracker: dispatch.Tracker = attrs.field(factory=dispatch.Tracker)
-    return_detector: dispatch.ReturnDetector = attrs.field(
-        factory=dispatch.ReturnDetector
+    tracker: dispatch.UpstreamTracker = attrs.field(
+        factory=dispatch.UpstreamTracker
+    )
+    return_detector: dispatch.ReturningRequestDetector = attrs.field(
+        factory=dispatch.ReturningRequestDetector
     )
     stopping_since: float | None = None
     version_grace_s: float = 8.0
     _pools: dict = attrs.field(factory=dict)
     _retry_budgets: dict = attrs.field(factory=dict)
     _forecasts: dict = attrs.field(
-        factory=lambda: collections.defaultdict(dispatch.Forecast)
+        factory=lambda: collections.defaultdict(dispatch.DelayCorrector)
     )
 
     def pool(self, upstream):
@@ -100,5 +102,5 @@
         return found
 
     def forecast(self, service):
-        """Return the `dispatch.Forecast` of delays of a service."""
+        """Return the `dispatch.DelayCorrector` of delays of a service."""
         return self._forecasts[service]
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -23,8 +23,8 @@
 NO_UPSTREAM_RETRY_S = 0.8
 #: Priority at an engine by rank, from 0 (highest) to 9; 5 is the default.
 PRIORITY_BY_RANK = {
-    dispatch.Rank.EARLY: 4,
-    dispatch.Rank.DOUBTFUL: 6,
+    dispatch.Rank.ON_TIME: 4,
+    dispatch.Rank.AT_RISK: 6,
     dispatch.Rank.LATE: 7,
 }
 #: Share of the retry burst reserved for requests at upstreams that fail or
@@ -160,13 +160,13 @@
         retry at another entry without configuration until it gives up.
         """
         catalog = self.context.catalog
-        if catalog.is_known:
+        if catalog.is_loaded:
             return
         wait_s = min(UPSTREAM_WAIT_S, self.info.deadline_s or UPSTREAM_WAIT_S)
         self.progress.wait_until = now + wait_s
         try:
             async with asyncio.timeout(wait_s):
-                while not catalog.is_known:
+                while not catalog.is_loaded:
                     await catalog.wait_for_change()
         except TimeoutError:
             # The admission that follows raises the error.
@@ -224,7 +224,7 @@
             found = await search.find(candidate)
             self._check_version(found)
             return found
-        except places.NoPlaceError:
+        except places.NoPermitError:
             if not self.progress.head_sent:
                 raise
             # The client is reading the stream; engines give it precedence.
@@ -250,7 +250,7 @@
         """Raise the final error unless the request may be retried."""
         progress = self.progress
         serve = self.decision.serve
-        if isinstance(exc, places.NoPlaceError):
+        if isinstance(exc, places.NoPermitError):
             raise self._final_error(exc)
         progress.may_have_run |= exc.ran != 'no'
         policy = retries.RetryPolicy(
@@ -268,8 +268,10 @@
             self.deadline,
             self.context.clock(),
         )
-        progress.notes.append(f'{verdict.grounds}, retry {verdict.again}')
-        if verdict.again:
+        progress.notes.append(
+            f'{verdict.grounds}, retry {verdict.should_retry}'
+        )
+        if verdict.should_retry:
             return
         raise self._final_error(exc)
 
@@ -320,20 +322,20 @@
         self.quarantine_check.check()
         state = candidate.state
         job = state.begin(self.selection.make_job(), self.context.clock())
-        job.likely_s = candidate.delay_s
+        job.predicted_s = candidate.delay_s
         job.rank = self._rank(candidate)
         try:
             await self._send_attempt(candidate, job)
-            state.succeed(self.context.clock())
+            state.record_success(self.context.clock())
             self.quarantine_check.record_completion()
         except errors.RefusedError:
             raise
         except _relay.ConnectionLostError:
             self.quarantine_check.record_broken_connection(candidate.upstream)
-            state.fail(self.context.clock())
+            state.record_failure(self.context.clock())
             raise
         except errors.RequestError:
-            state.fail(self.context.clock())
+            state.record_failure(self.context.clock())
             raise
         finally:
             state.end(job)
@@ -352,7 +354,7 @@
         except asyncio.CancelledError:
             # The client disconnected or the deadline passed.
             now = self.context.clock()
-            if not job.answering and not candidate.state.is_silent(now):
+            if not job.answering and not candidate.state.is_unresponsive(now):
                 self.record_delay(job, now - sent_at)
             raise
         finally:
@@ -370,7 +372,7 @@
         try:
             return await pool.take(fresh=fresh)
         except errors.RefusedError:
-            state.pause(self.context.clock())
+            state.back_off(self.context.clock())
             raise
 
     def _request_bytes(self, upstream, job):
@@ -396,7 +398,7 @@
         if self.progress.head_sent:
             # The client is reading the stream and disconnects if it stalls;
             # requests of a lower rank wait for seconds in a burst.
-            return dispatch.Rank.EARLY
+            return dispatch.Rank.ON_TIME
         now = self.context.clock()
         return self.context.forecast(self.decision.service).rank(
             now - self.req.received_at + self.progress.before_s,
@@ -417,9 +419,9 @@
 
     def record_delay(self, job, delay_s):
         """Record the time to the first byte of an attempt, in seconds."""
-        if job.rank == dispatch.Rank.EARLY:
+        if job.rank == dispatch.Rank.ON_TIME:
             forecast = self.context.forecast(self.decision.service)
-            forecast.learn(job.likely_s, delay_s, self.context.clock())
+            forecast.observe(job.predicted_s, delay_s, self.context.clock())
 
     def _priority(self, job):
         """Return the priority at an engine; None for a plain service."""
@@ -460,7 +462,7 @@
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
-            self.context.return_detector.note_refusal(self.context.clock())
+            self.context.return_detector.record_rejection(self.context.clock())
         items = self.context.dialect.reply_headers(self.info)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -22,7 +22,7 @@
 #: connection to get a request; as long as a permit request may take. A request
 #: sent over a saturated link cannot be cancelled, and arrives after its client
 #: has left.
-PROBE_TIMEOUT_S = places.ANSWER_S * places.SENDS
+PROBE_TIMEOUT_S = places.REPLY_TIMEOUT_S * places.MAX_SENDS
 #: Most such engines that are probed.
 MAX_PROBES = 2
 #: Share of an engine's slots that one entry uses without permits while the
@@ -50,7 +50,7 @@
     """
 
     candidate: dispatch.Candidate
-    asking: places.Asking
+    asking: places.PermitHandle
     is_counted: bool = True
 
     def uncount(self):
@@ -90,7 +90,7 @@
             candidate: the first one to request a permit for.
 
         Raises:
-            places.NoPlaceError: no permit was granted in time.
+            places.NoPermitError: no permit was granted in time.
             places.ReloadingError: all are about to load another version.
         """
         answered, waiting, unresponsive = 0, None, []
@@ -103,9 +103,9 @@
                     candidate, answered > 0, any_unanswered
                 )
             reply = pending.asking.reply if pending is not None else None
-            if isinstance(reply, places.Granted):
+            if isinstance(reply, places.PermitGranted):
                 return self._keep_only(candidate, pending)
-            if isinstance(reply, places.Queued):
+            if isinstance(reply, places.PermitQueued):
                 waiting = pending
             if reply is None:
                 any_unanswered |= responsive
@@ -132,13 +132,13 @@
         """Return whether a queued permit is granted within `timeout_s` s."""
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await pending.asking.last_reply()
+                reply = await pending.asking.final_reply()
         except TimeoutError:
             return False
-        return isinstance(reply, places.Granted)
+        return isinstance(reply, places.PermitGranted)
 
     def _is_responsive(self, upstream):
-        return self.context.permit_client.may_ask(upstream.address[0])
+        return self.context.permit_client.is_responsive(upstream.address[0])
 
     def _is_unresponsive(self, upstream):
         return not self._is_responsive(upstream)
@@ -182,7 +182,7 @@
             return False
         except errors.RefusedError as exc:
             self._add_note(candidate, str(exc))
-            candidate.state.pause(self.context.clock())
+            candidate.state.back_off(self.context.clock())
             return False
         pool.give_back(conn)
         self._add_note(candidate, 'accepted a connection')
@@ -216,7 +216,7 @@
         self._pending = [kept] if kept is not None else []
         return candidate
 
-    async def _request_permit(self, candidate, probe, short_timeout):
+    async def _request_permit(self, candidate, no_wait, short_timeout):
         """Return a `_PendingRequest` with its first reply, or None.
 
         Args:
@@ -224,9 +224,9 @@
             probe: whether to reject instead of queueing.
             short_timeout: whether to use the shorter reply timeout.
         """
-        asking = self.context.permit_client.ask(
+        asking = self.context.permit_client.request(
             _host(candidate),
-            lambda number: self._make_request(number, candidate, probe),
+            lambda number: self._make_request(number, candidate, no_wait),
         )
         pending = _PendingRequest(candidate, asking)
         self._pending.append(pending)
@@ -247,26 +247,26 @@
         asking.end()
         return None
 
-    def _make_request(self, number, candidate, probe):
-        """Return the permit request (`places.Ask`) for a candidate."""
+    def _make_request(self, number, candidate, no_wait):
+        """Return the permit request (`places.PermitRequest`) for a candidate."""
         engine = self.selection.engine_profile()
         job = self.selection.make_job()
-        moving = self.waited_s is None
-        if moving:
+        resumed = self.waited_s is None
+        if resumed:
             wait_s = FAILOVER_WAIT_S
         else:
             elapsed_s = self.context.clock() - self._began
             wait_s = self.goal_s - self.waited_s - elapsed_s
             wait_s -= dispatch.first_token_s(engine, job)
-        return places.Ask(
+        return places.PermitRequest(
             number=number,
             wait_s=round(max(0.0, wait_s), 3),
-            lasts_s=round(dispatch.lasts_s(engine, job), 3),
-            read_s=round(dispatch.read_s(engine, job), 4),
+            occupancy_s=round(dispatch.occupancy_s(engine, job), 3),
+            prefill_s=round(dispatch.prefill_s(engine, job), 4),
             slots=candidate.upstream.slots,
-            probe=probe,
+            no_wait=no_wait,
             late=wait_s <= 0,
-            moving=moving,
+            resumed=resumed,
         )
 
     def _record_reply(self, pending):
@@ -282,8 +282,8 @@
             state.rest(now, RELOAD_PAUSE_S, upstream.versions)
             return
         slots = upstream.slots
-        if isinstance(reply, places.Granted):
-            load = dispatch.Load(reply.held, 0, slots)
+        if isinstance(reply, places.PermitGranted):
+            load = dispatch.Load(reply.in_use, 0, slots)
         else:
             load = dispatch.Load(slots, 1, slots)
         state.report(load, self.context.clock())
@@ -293,20 +293,20 @@
         rejected = [
             pending.asking.reply
             for pending in self._pending
-            if isinstance(pending.asking.reply, places.Refused)
+            if isinstance(pending.asking.reply, places.PermitRejected)
         ]
         full = [reply for reply in rejected if not _is_reloading(reply)]
         if rejected and not full:
             return places.ReloadingError(
                 'all engines are about to reload', step='take-place'
             )
-        return places.NoPlaceError(
+        return places.NoPermitError(
             f'no engine has a free permit ({len(full)} full)',
             step='take-place',
             peer=', '.join(
                 _host(pending.candidate) for pending in self._pending
             ),
-            retry_after_s=full[0].retry_s if full else None,
+            retry_after_s=full[0].retry_after_s if full else None,
         )
 
 
@@ -315,7 +315,7 @@
 
 
 def _is_reloading(reply):
-    rejected = isinstance(reply, places.Refused)
+    rejected = isinstance(reply, places.PermitRejected)
     return rejected and reply.reason == places.RELOADING
 
 
@@ -323,6 +323,6 @@
     """Return a log note on a reply."""
     if reply is None:
         return f'{upstream.id}: sidecar unresponsive'
-    if isinstance(reply, places.Refused):
+    if isinstance(reply, places.PermitRejected):
         return f'{upstream.id}: rejected, {reply.reason}'
     return f'{upstream.id}: {reply.kind}'
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -76,7 +76,7 @@
         """Return whether an untried, responsive upstream is available."""
         now = self.context.clock()
         return any(
-            not self.context.tracker.state(upstream).is_silent(now)
+            not self.context.tracker.state(upstream).is_unresponsive(now)
             for upstream in self._eligible_upstreams()
             if upstream.key not in tried
         )
--- a/catkinshunt/gateway/tests/harness.py
+++ b/catkinshunt/gateway/tests/harness.py
@@ -215,7 +215,7 @@
     """Start a gateway for `upstreams`; yield a `GatewayHarness`."""
     loop = asyncio.get_running_loop()
     context = gateway.Context(
-        catalog=catalogs.Catalog(fresh_s=3.0),
+        catalog=catalogs.Catalog(key_trust_s=3.0),
         dialect=dialect.PlainDialect(),
         chooser=dispatch.Chooser('larisa-a', {}),
         clock=loop.time,
@@ -224,7 +224,7 @@
         retry_burst=retry_burst,
         random=random.Random(3),
         metrics=gateway.GatewayMetrics(),
-        permit_client=places.PlaceClient(0, loop.time, random.Random(3)),
+        permit_client=places.PermitClient(0, loop.time, random.Random(3)),
         guard=guard,
     )
     context.catalog.declare(make_declaration(**changes))
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -23,44 +23,46 @@
     def __init__(self, *answers):
         self.answers = list(answers)
         self.requests = []
-        self.held = 0
+        self.in_use = 0
         self.granted = 0
         self.request_class = FakePermitRequest
 
-    def may_ask(self, host):
+    def is_responsive(self, host):
         return True
 
-    def ask(self, host, make_ask):
-        ask = make_ask(len(self.requests))
+    def request(self, host, make_request):
+        ask = make_request(len(self.requests))
         self.requests.append(ask)
-        answer = self.answers.pop(0) if self.answers else places.Granted
+        answer = self.answers.pop(0) if self.answers else places.PermitGranted
         return self.request_class(self, ask, answer)
 
 
 class FakePermitRequest:
     def __init__(self, client, ask, answer):
         self.client = client
-        self.ask = ask
+        self.request = ask
         self.answer = answer
         self.reply = None
 
     async def first_reply(self):
-        if self.answer is places.Granted:
-            self.client.held += 1
+        if self.answer is places.PermitGranted:
+            self.client.in_use += 1
             self.client.granted += 1
-            self.reply = places.Granted(self.ask.number, 1)
-        elif self.answer is places.Queued:
-            self.reply = places.Queued(self.ask.number)
+            self.reply = places.PermitGranted(self.request.number, 1)
+        elif self.answer is places.PermitQueued:
+            self.reply = places.PermitQueued(self.request.number)
         elif self.answer is not None:
-            self.reply = places.Refused(self.ask.number, self.answer, 1.7)
+            self.reply = places.PermitRejected(
+                self.request.number, self.answer, 1.7
+            )
         return self.reply
 
-    async def last_reply(self):
-        self.answer = places.Granted
+    async def final_reply(self):
+        self.answer = places.PermitGranted
         return await self.first_reply()
 
     def end(self):
-        self.client.held -= isinstance(self.reply, places.Granted)
+        self.client.in_use -= isinstance(self.reply, places.PermitGranted)
 
 
 def make_engine(name, answer, version=1):
@@ -87,11 +89,11 @@
     held = []
 
     async def answer(head, writer, upstream):
-        held.append(client.held)
+        held.append(client.in_use)
         return await harness.streaming(3)(head, writer, upstream)
 
     status, _, _ = request_once(client, make_engine('u1', answer))
-    assert (status, held, client.held) == (200, [1], 0)
+    assert (status, held, client.in_use) == (200, [1], 0)
 
 
 def test_permit_is_released_when_the_engine_fails():
@@ -102,7 +104,7 @@
 
     status, _, _ = request_once(client, make_engine('u1', answer))
     assert status == 502
-    assert client.held == 0
+    assert client.in_use == 0
 
 
 def test_unresponsive_sidecar_expires_the_old_version_early():
@@ -120,7 +122,7 @@
             context = gateway.context
             context.permit_client = FakePermitClient(None, None)
             context.version_grace_s = 8.0
-            context.catalog.name_version(
+            context.catalog.add_named_version(
                 harness.MODEL, 2, context.wall() - 7.0
             )
             context.tracker.state(new.entry()).rest(context.clock(), 0.2)
@@ -134,7 +136,7 @@
 def test_version_is_checked_after_waiting_for_a_permit():
     """The version becomes outdated while a request waits for its permit."""
     old = make_engine('a', harness.streaming(3), version=1)
-    client = FakePermitClient(places.Queued)
+    client = FakePermitClient(places.PermitQueued)
 
     async def main():
         async with harness.running_gateway(old) as gateway:
@@ -143,10 +145,12 @@
             context.version_grace_s = 8.0
 
             class Waiting(FakePermitRequest):
-                async def last_reply(self):
+                async def final_reply(self):
                     now = context.wall()
-                    context.catalog.name_version(harness.MODEL, 2, now - 9.0)
-                    return await super().last_reply()
+                    context.catalog.add_named_version(
+                        harness.MODEL, 2, now - 9.0
+                    )
+                    return await super().final_reply()
 
             client.request_class = Waiting
             return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
@@ -154,7 +158,7 @@
     status, _, _ = asyncio.run(main())
     assert status == 429
     assert not old.heads
-    assert client.held == 0
+    assert client.in_use == 0
 
 
 def test_request_is_rejected_when_all_engines_are_full():
@@ -180,11 +184,13 @@
 
 def test_queued_permit_is_used_when_other_engines_are_full():
     engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
-    client = FakePermitClient(places.Queued, places.NO_ROOM, places.NO_ROOM)
+    client = FakePermitClient(
+        places.PermitQueued, places.NO_ROOM, places.NO_ROOM
+    )
     status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert [ask.probe for ask in client.requests] == [False, True, True]
-    assert client.held == 0
+    assert [ask.no_wait for ask in client.requests] == [False, True, True]
+    assert client.in_use == 0
 
 
 def test_free_engine_is_preferred_to_a_queued_permit():
@@ -193,10 +199,12 @@
     The engine it prefers can be full while others are idle.
     """
     engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
-    client = FakePermitClient(places.Queued, places.NO_ROOM, places.Granted)
+    client = FakePermitClient(
+        places.PermitQueued, places.NO_ROOM, places.PermitGranted
+    )
     status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert client.held == 0
+    assert client.in_use == 0
 
 
 def test_reloading_engine_is_skipped():
@@ -236,11 +244,11 @@
 def test_queued_permit_is_preferred_to_an_unresponsive_sidecar():
     """Over a slow link a request arrives after its client has left."""
     first, second = (make_engine(name, harness.streaming(3)) for name in 'ab')
-    client = FakePermitClient(places.Queued, None)
+    client = FakePermitClient(places.PermitQueued, None)
     status, _, _ = request_once(client, first, second)
     heads = sorted(len(each.heads) for each in (first, second))
     assert (status, heads) == (200, [0, 1])
-    assert client.held == 0
+    assert client.in_use == 0
     assert client.granted == 1
 
 
@@ -250,7 +258,7 @@
     client = FakePermitClient(None)
     status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert (client.granted, client.held) == (1, 0)
+    assert (client.granted, client.in_use) == (1, 0)
 
 
 @pytest.mark.parametrize('unresponsive', ['a', 'b'])
@@ -259,7 +267,7 @@
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     (first,) = [each for each in engines if each.name == unresponsive]
     client = FakePermitClient()
-    client.may_ask = lambda host: host != UNRESPONSIVE_HOST
+    client.is_responsive = lambda host: host != UNRESPONSIVE_HOST
 
     async def main():
         async with harness.running_gateway(*engines) as gateway:
@@ -314,12 +322,12 @@
 def test_queued_permit_is_kept_while_probing_a_saturated_link():
     """Withdrawing it for that engine would lose its position in the queue."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
-    client = FakePermitClient(places.Queued, None)
+    client = FakePermitClient(places.PermitQueued, None)
 
     class Waiting(FakePermitRequest):
-        async def last_reply(self):
+        async def final_reply(self):
             await asyncio.sleep(0.2)
-            return await super().last_reply()
+            return await super().final_reply()
 
     client.request_class = Waiting
 
@@ -331,18 +339,20 @@
             return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
-    assert (status, client.granted, client.held) == (200, 1, 0)
+    assert (status, client.granted, client.in_use) == (200, 1, 0)
 
 
 def test_engine_with_a_dead_sidecar_is_used_when_others_are_full():
     """The engine of that sidecar works, and all others are full."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
-    client = FakePermitClient(places.Queued, None)
+    client = FakePermitClient(places.PermitQueued, None)
 
     class Rejecting(FakePermitRequest):
-        async def last_reply(self):
+        async def final_reply(self):
             await asyncio.sleep(2.0)
-            return places.Refused(self.ask.number, places.NO_ROOM, 1.7)
+            return places.PermitRejected(
+                self.request.number, places.NO_ROOM, 1.7
+            )
 
     client.request_class = Rejecting
     began = time.monotonic()
@@ -381,16 +391,16 @@
 def test_unanswered_permit_request_is_withdrawn_before_waiting():
     """A late grant would occupy a permit that no request uses."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
-    client = FakePermitClient(None, places.Queued)
+    client = FakePermitClient(None, places.PermitQueued)
     ended = []
 
     class Recording(FakePermitRequest):
-        async def last_reply(self):
+        async def final_reply(self):
             ended.append(len(ends))
-            return await super().last_reply()
+            return await super().final_reply()
 
         def end(self):
-            ends.append(self.ask.number)
+            ends.append(self.request.number)
             super().end()
 
     ends = []
@@ -432,7 +442,7 @@
     """The client is reading; a rejection would waste what it has got."""
     first = make_engine('u1', harness.streaming(6, breaks_after=3))
     second = make_engine('u2', harness.streaming(6, breaks_after=3))
-    client = FakePermitClient(places.Granted, *[places.NO_ROOM] * 3)
+    client = FakePermitClient(places.PermitGranted, *[places.NO_ROOM] * 3)
 
     async def answer(head, writer, upstream):
         if harness.header(head, 'Last-Event-Id'):
@@ -445,7 +455,7 @@
     status, _, body = request_once(client, first, second)
     assert status == 200
     assert body.endswith(harness.event(6))
-    assert [ask.moving for ask in client.requests] == [False, True]
+    assert [ask.resumed for ask in client.requests] == [False, True]
 
 
 def test_permit_request_has_the_longest_wait():
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -252,9 +252,13 @@
         async with harness.running_gateway(old, new) as gateway:
             gateway.context.version_grace_s = 4.0
             now = gateway.context.wall()
-            gateway.context.catalog.name_version(harness.MODEL, 2, now - 5)
+            gateway.context.catalog.add_named_version(
+                harness.MODEL, 2, now - 5
+            )
             first = await chat(gateway)
-            gateway.context.catalog.name_version(harness.MODEL, 3, now - 4.5)
+            gateway.context.catalog.add_named_version(
+                harness.MODEL, 3, now - 4.5
+            )
             second = await chat(gateway)
             return first, second, len(old.heads)
 
@@ -281,7 +285,7 @@
         async with harness.running_gateway(old, new) as gateway:
             context = gateway.context
             context.version_grace_s = 1.0
-            context.catalog.name_version(
+            context.catalog.add_named_version(
                 harness.MODEL, 2, context.wall() - 0.5
             )
             context.tracker.state(new.entry()).remainder(context.clock(), 0.2)
--- a/catkinshunt/platform/_engine.py
+++ b/catkinshunt/platform/_engine.py
@@ -61,7 +61,7 @@
             )
         try:
             return _documents.read_report(body)
-        except _documents.UnreadableError as exc:
+        except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='report') from exc
 
     async def put_chunk(self, model, index, data):
@@ -85,14 +85,14 @@
         )
         return body if status == 200 else None
 
-    async def staged(self, model):
-        """See `base.BaseEngine.staged`."""
+    async def list_staged(self, model):
+        """See `base.BaseEngine.list_staged`."""
         status, body = await _call(self._pool, 'GET', f'/-/stage-get/{model}')
         if status == 404:
             return []
         try:
             return _documents.read_staged(body)
-        except _documents.UnreadableError as exc:
+        except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='list stage') from exc
 
     async def load(self, model, version):
@@ -110,7 +110,9 @@
         except errors.TransferError as exc:
             if isinstance(exc.__cause__, errors.RefusedError):
                 raise
-            raise base.OrderLostError(exc.message, step='load') from exc
+            raise base.LoadOutcomeUnknownError(
+                exc.message, step='load'
+            ) from exc
         if status not in (200, 202):
             raise errors.OrderError(
                 f'the engine answered {status}: {body[:100]!r}', step='load'
@@ -136,7 +138,7 @@
         body = await self._get(f'/-/manifest/{model}', {'version': version})
         try:
             return _read_manifest(body, model, version)
-        except _documents.UnreadableError as exc:
+        except _documents.InvalidDocumentError as exc:
             raise errors.ManifestError(str(exc), step='manifest') from exc
 
     async def chunk(self, model, version, index):
@@ -180,11 +182,11 @@
     digests = document.get('digests')
     size = document.get('chunk_bytes')
     if document.get('version') != version or not isinstance(digests, list):
-        raise _documents.UnreadableError('another manifest')
+        raise _documents.InvalidDocumentError('another manifest')
     if not isinstance(size, int) or size <= 0:
-        raise _documents.UnreadableError(f'chunk_bytes is {size!r}')
+        raise _documents.InvalidDocumentError(f'chunk_bytes is {size!r}')
     if not all(isinstance(digest, str) for digest in digests):
-        raise _documents.UnreadableError('a digest is no text')
+        raise _documents.InvalidDocumentError('a digest is no text')
     return weights.Manifest(
         model=model,
         version=str(version),
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -8,7 +8,7 @@
 from catkinshunt import places
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _engine
-from catkinshunt.platform import _outlook
+from catkinshunt.platform import _store_view
 from catkinshunt.platform import _process
 from catkinshunt.platform import _signals
 from catkinshunt import spread
@@ -20,7 +20,7 @@
     """Serve beside one engine until the signal to stop.
 
     Args:
-        cfg: `NodeSettings`.
+        cfg: `InstanceSettings`.
     """
     stop = _signals.watch_signals()
     registry = metrics.Registry()
@@ -37,16 +37,16 @@
     """Start what looks after the engine; return its tasks."""
     if cfg.engine is None:
         return []
-    shelf = spread.Shelf()
-    moved = make_metrics(registry, shelf)
-    outlook = _outlook.StoreOutlook(
+    version_store = spread.VersionStore()
+    moved = make_metrics(registry, version_store)
+    outlook = _store_view.StoreView(
         cfg,
         _process.make_store_client(cfg, registry),
         catalogs.Catalog(),
         _clocks.wall,
         cfg.bounds.version_s,
     )
-    door = places.PlaceServer(places.Ledger(), _clocks.steady)
+    door = places.PermitServer(places.PermitAllocator(), _clocks.steady)
     await door.start(cfg.ip, _process.place_port(cfg))
     chunk_port = _process.chunk_port(cfg)
     agent = spread.Agent(
@@ -55,14 +55,18 @@
         _engine.PlatformEngine(cfg.engine, _clocks.steady),
         _engine.PlatformOrigin(outlook.origin, _clocks.steady),
         spread.PeerClient(chunk_port, _clocks.steady, name=cfg.ip),
-        shelf,
+        version_store,
         _clocks.steady,
         cfg.link_mbps,
         moved,
         door,
     )
     server = spread.ChunkServer(
-        shelf, _clocks.steady, cfg.link_mbps, moved, agent.note_asked
+        version_store,
+        _clocks.steady,
+        cfg.link_mbps,
+        moved,
+        agent.on_chunk_request,
     )
     await server.start(cfg.ip, chunk_port)
     return [
@@ -71,18 +75,18 @@
     ]
 
 
-def make_metrics(registry, shelf):
+def make_metrics(registry, version_store):
     """Show what is on the shelf; return the counter of moved bytes."""
     registry.gauge(
         'versions_whole',
         'Newest version that is here whole, by model.',
-        shelf.newest_whole,
+        version_store.newest_complete,
         ('model',),
     )
     registry.gauge(
         'chunks_missing',
         'Chunks that are missing, by model and version.',
-        shelf.missing,
+        version_store.missing,
         ('model', 'version'),
     )
     return registry.counter(
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -15,7 +15,7 @@
 
 
 def entry_registry():
-    cfg = platform.read_node_settings(test_settings.DOCUMENT)
+    cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
     context.retry_budget('desk').offer()
@@ -27,10 +27,10 @@
 
 def sidecar_registry():
     registry = metrics.Registry()
-    shelf = spread.Shelf()
-    shelf.holding('drafts', 2)
-    _sidecar.make_metrics(registry, shelf)
-    cfg = platform.read_node_settings(test_settings.DOCUMENT)
+    version_store = spread.VersionStore()
+    version_store.chunk_store('drafts', 2)
+    _sidecar.make_metrics(registry, version_store)
+    cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
 
--- a/catkinshunt/platform/tests/test_outlook.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -3,7 +3,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _outlook
+from catkinshunt.platform import _store_view
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import test_documents as documents
 from catkinshunt.platform.tests import test_settings
@@ -13,11 +13,11 @@
 
 
 def make_outlook(store):
-    cfg = platform.read_node_settings(
+    cfg = platform.parse_instance_settings(
         {**test_settings.DOCUMENT, 'service': 'engines'}
     )
     clock = asyncio.get_running_loop().time
-    return _outlook.StoreOutlook(cfg, store, catalogs.Catalog(), clock, DUE_S)
+    return _store_view.StoreView(cfg, store, catalogs.Catalog(), clock, DUE_S)
 
 
 def run(main):
@@ -54,7 +54,7 @@
     async def main(outlook, store):
         name(store, 2)
         await fakes.until(lambda: outlook.catalog.named_models())
-        return await outlook.wanted(report(1))
+        return await outlook.target_version(report(1))
 
     wanted = run(main)
     assert (wanted.model, wanted.version) == ('drafts', 2)
@@ -69,7 +69,9 @@
 
     async def main(outlook, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        return await outlook.wanted(report()), await outlook.wanted(report(1))
+        return await outlook.target_version(
+            report()
+        ), await outlook.target_version(report(1))
 
     empty, serving = run(main)
     assert (empty.model, empty.version) == ('drafts', 2)
@@ -85,7 +87,7 @@
 
     async def main(outlook, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        await outlook.wanted(report())
+        await outlook.target_version(report())
         before = outlook.catalog.declaration
         origin = await outlook.origin()
         return before, origin
@@ -107,12 +109,12 @@
         store = fakes.FakeStore()
         store.put('servers/i-1', documents.UPSTREAM)
         outlook = make_outlook(store)
-        early = await outlook.wanted(report())
+        early = await outlook.target_version(report())
         name(store, 3)
         task = asyncio.ensure_future(outlook.run())
         await fakes.until(lambda: outlook.catalog.named_models())
         task.cancel()
-        return early, await outlook.wanted(report())
+        return early, await outlook.target_version(report())
 
     early, late = asyncio.run(main())
     assert early is None
@@ -141,7 +143,7 @@
 
     One that kept the first address for ever would fetch no version again.
     """
-    monkeypatch.setattr(_outlook, 'ORIGIN_S', 0.0)
+    monkeypatch.setattr(_store_view, 'ORIGIN_S', 0.0)
 
     async def main(outlook, store):
         found = []
@@ -168,7 +170,7 @@
     async def main(outlook, store):
         name(store, 2)
         await fakes.until(lambda: outlook.catalog.named_models())
-        since = outlook.due_after('drafts', 1) - outlook.now()
+        since = outlook.superseded_at('drafts', 1) - outlook.now()
         return since
 
     assert run(main) > DUE_S - 1
@@ -188,7 +190,7 @@
 
     calm, named_at, expires_at = run(main)
     assert calm == float('inf')
-    assert expires_at <= named_at + DUE_S - _outlook.EXPIRY_MARGIN_S
+    assert expires_at <= named_at + DUE_S - _store_view.EXPIRY_MARGIN_S
 
 
 def test_a_version_found_at_the_start_expires_nothing():
@@ -227,7 +229,7 @@
     no transfer begins until the store is back, though all members and the
     origin are there; callers get no answer once the version is due.
     """
-    monkeypatch.setattr(_outlook, 'MEMBERS_S', 0.0)
+    monkeypatch.setattr(_store_view, 'MEMBERS_S', 0.0)
 
     async def main(outlook, store):
         store.put('servers/i-1', documents.UPSTREAM)
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -26,16 +26,16 @@
 
     Args:
         quarantine: `Quarantine` of this entry.
-        roster: `catalog.Roster` with the homes of the entries.
+        roster: `catalog.LiveEntries` with the homes of the entries.
         name: name of this entry.
         port: port of all entries.
         wall: gives seconds on the clock of the quarantine.
         random: source of random numbers.
     """
 
-    def __init__(self, quarantine, roster, name, port, wall, random):
+    def __init__(self, quarantine, live_entries, name, port, wall, random):
         self.quarantine = quarantine
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.port = port
         self.wall = wall
@@ -99,7 +99,7 @@
         """Take one message of another entry."""
         try:
             message = _messages.load(data)
-        except datagrams.UnreadableError as exc:
+        except datagrams.DecodeError as exc:
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.CrashReport):
@@ -134,5 +134,5 @@
             self._transport.sendto(_messages.dump(message), (host, self.port))
 
     def _others(self):
-        homes = self.roster.homes()
+        homes = self.live_entries.locations()
         return [home.host for name, home in homes.items() if name != self.name]
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -112,5 +112,5 @@
 def _name_crash(upstream):
     """Return a text that is equal in all processes for this start."""
     host, port = upstream.address
-    text = f'{upstream.id}\0{upstream.born}\0{host}:{port}'.encode()
+    text = f'{upstream.id}\0{upstream.started_at_ms}\0{host}:{port}'.encode()
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).hexdigest()
--- a/catkinshunt/quarantine/tests/test_guard.py
+++ b/catkinshunt/quarantine/tests/test_guard.py
@@ -20,8 +20,10 @@
         self.crashes.append((crash, requests))
 
 
-def upstream(born=1, port=1):
-    return catalogs.Upstream('i-1', 'model', ('127.0.0.1', port), born=born)
+def upstream(started_at_ms=1, port=1):
+    return catalogs.Upstream(
+        'i-1', 'model', ('127.0.0.1', port), started_at_ms=started_at_ms
+    )
 
 
 def test_a_reset_connection_is_no_crash():
@@ -72,7 +74,7 @@
         guard = quarantine.Guard(gossip, ended)
         for request in ('b', 'a', 'b'):
             guard.record_broken_connection(upstream(), request)
-        guard.record_broken_connection(upstream(born=2), 'a')
+        guard.record_broken_connection(upstream(started_at_ms=2), 'a')
         await entries.until(lambda: len(gossip.crashes) == 2)
         return gossip.crashes
 
