--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -593,7 +593,7 @@
     Mutation(
         'crashes-are-pooled',
         'catkinshunt/quarantine/_gossip.py',
-        'self._tell(_messages.CrashReport(crash, part))',
+        'self._fan_out(_messages.CrashReport(crash, part))',
         'pass',
     ),
     Mutation(
@@ -605,13 +605,13 @@
     Mutation(
         'offender-explains-its-crashes',
         'catkinshunt/quarantine/_quarantine.py',
-        'return not self._find_rivals(request, suspect)',
+        'return not self._find_other_causes(request, suspect)',
         'return True',
     ),
     Mutation(
         'alike-suspects-run-by-turns',
         'catkinshunt/quarantine/_quarantine.py',
-        'return 0.0 if place == 0 else',
+        'return 0.0 if rank == 0 else',
         'return 0.0 if True else',
     ),
     Mutation(
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -53,7 +53,7 @@
     version_grace_s: float = 8.0
     _pools: dict = attrs.field(factory=dict)
     _retry_budgets: dict = attrs.field(factory=dict)
-    _forecasts: dict = attrs.field(
+    _delay_correctors: dict = attrs.field(
         factory=lambda: collections.defaultdict(dispatch.DelayCorrector)
     )
 
@@ -101,6 +101,6 @@
             self._retry_budgets[service] = found
         return found
 
-    def forecast(self, service):
+    def delay_corrector(self, service):
         """Return the `dispatch.DelayCorrector` of delays of a service."""
-        return self._forecasts[service]
+        return self._delay_correctors[service]
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -400,7 +400,7 @@
             # requests of a lower rank wait for seconds in a burst.
             return dispatch.Rank.ON_TIME
         now = self.context.clock()
-        return self.context.forecast(self.decision.service).rank(
+        return self.context.delay_corrector(self.decision.service).rank(
             now - self.req.received_at + self.progress.before_s,
             candidate.delay_s,
             self.decision.serve.goal_s,
@@ -420,8 +420,12 @@
     def record_delay(self, job, delay_s):
         """Record the time to the first byte of an attempt, in seconds."""
         if job.rank == dispatch.Rank.ON_TIME:
-            forecast = self.context.forecast(self.decision.service)
-            forecast.observe(job.predicted_s, delay_s, self.context.clock())
+            delay_corrector = self.context.delay_corrector(
+                self.decision.service
+            )
+            delay_corrector.observe(
+                job.predicted_s, delay_s, self.context.clock()
+            )
 
     def _priority(self, job):
         """Return the priority at an engine; None for a plain service."""
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -50,7 +50,7 @@
     """
 
     candidate: dispatch.Candidate
-    asking: places.PermitHandle
+    handle: places.PermitHandle
     is_counted: bool = True
 
     def uncount(self):
@@ -102,7 +102,7 @@
                 pending = await self._request_permit(
                     candidate, answered > 0, any_unanswered
                 )
-            reply = pending.asking.reply if pending is not None else None
+            reply = pending.handle.reply if pending is not None else None
             if isinstance(reply, places.PermitGranted):
                 return self._keep_only(candidate, pending)
             if isinstance(reply, places.PermitQueued):
@@ -132,7 +132,7 @@
         """Return whether a queued permit is granted within `timeout_s` s."""
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await pending.asking.final_reply()
+                reply = await pending.handle.final_reply()
         except TimeoutError:
             return False
         return isinstance(reply, places.PermitGranted)
@@ -212,7 +212,7 @@
         for pending in self._pending:
             pending.uncount()
             if pending is not kept:
-                pending.asking.end()
+                pending.handle.end()
         self._pending = [kept] if kept is not None else []
         return candidate
 
@@ -224,31 +224,31 @@
             probe: whether to reject instead of queueing.
             short_timeout: whether to use the shorter reply timeout.
         """
-        asking = self.context.permit_client.request(
+        handle = self.context.permit_client.request(
             _host(candidate),
             lambda number: self._make_request(number, candidate, no_wait),
         )
-        pending = _PendingRequest(candidate, asking)
+        pending = _PendingRequest(candidate, handle)
         self._pending.append(pending)
         candidate.state.asking += 1
         try:
             async with asyncio.timeout(
                 NEXT_REPLY_TIMEOUT_S if short_timeout else None
             ):
-                await asking.first_reply()
+                await handle.first_reply()
         except TimeoutError:
             pass
         self._record_reply(pending)
-        if asking.reply is not None:
+        if handle.reply is not None:
             return pending
         # A permit granted after the timeout is released for other requests.
         self._pending.remove(pending)
         pending.uncount()
-        asking.end()
+        handle.end()
         return None
 
     def _make_request(self, number, candidate, no_wait):
-        """Return the permit request (`places.PermitRequest`) for a candidate."""
+        """Return the `places.PermitRequest` for a candidate."""
         engine = self.selection.engine_profile()
         job = self.selection.make_job()
         resumed = self.waited_s is None
@@ -271,7 +271,7 @@
 
     def _record_reply(self, pending):
         """Update the state of the upstream from a sidecar's reply."""
-        reply = pending.asking.reply
+        reply = pending.handle.reply
         upstream, state = pending.candidate.upstream, pending.candidate.state
         self.progress.notes.append(_describe(reply, upstream))
         if reply is None:
@@ -291,9 +291,9 @@
     def _rejection(self):
         """Return the error for a request that got no permit."""
         rejected = [
-            pending.asking.reply
+            pending.handle.reply
             for pending in self._pending
-            if isinstance(pending.asking.reply, places.PermitRejected)
+            if isinstance(pending.handle.reply, places.PermitRejected)
         ]
         full = [reply for reply in rejected if not _is_reloading(reply)]
         if rejected and not full:
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -31,16 +31,16 @@
         return True
 
     def request(self, host, make_request):
-        ask = make_request(len(self.requests))
-        self.requests.append(ask)
+        permit_request = make_request(len(self.requests))
+        self.requests.append(permit_request)
         answer = self.answers.pop(0) if self.answers else places.PermitGranted
-        return self.request_class(self, ask, answer)
+        return self.request_class(self, permit_request, answer)
 
 
 class FakePermitRequest:
-    def __init__(self, client, ask, answer):
+    def __init__(self, client, permit_request, answer):
         self.client = client
-        self.request = ask
+        self.request = permit_request
         self.answer = answer
         self.reply = None
 
@@ -189,7 +189,7 @@
     )
     status, _, _ = request_once(client, *engines)
     assert status == 200
-    assert [ask.no_wait for ask in client.requests] == [False, True, True]
+    assert [r.no_wait for r in client.requests] == [False, True, True]
     assert client.in_use == 0
 
 
@@ -455,16 +455,16 @@
     status, _, body = request_once(client, first, second)
     assert status == 200
     assert body.endswith(harness.event(6))
-    assert [ask.resumed for ask in client.requests] == [False, True]
+    assert [r.resumed for r in client.requests] == [False, True]
 
 
 def test_permit_request_has_the_longest_wait():
     client = FakePermitClient()
     request_once(client, make_engine('u1', harness.streaming(3)))
-    (ask,) = client.requests
-    assert not ask.late
-    assert 0 < ask.wait_s < 1.0
-    assert ask.slots == 4
+    (permit_request,) = client.requests
+    assert not permit_request.late
+    assert 0 < permit_request.wait_s < 1.0
+    assert permit_request.slots == 4
 
 
 def test_returning_request_is_late():
@@ -482,4 +482,4 @@
                 )
 
     asyncio.run(main())
-    assert [ask.late for ask in client.requests] == [False, False, True]
+    assert [r.late for r in client.requests] == [False, False, True]
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 
 from catkinshunt.gateway.tests import harness
 from catkinshunt import quarantine
-from catkinshunt.quarantine.tests import entries
+from catkinshunt.quarantine.tests import network
 
 BAD = b'a prompt that no engine survives'
 #: Required bound, in seconds, for the news of a crash to reach all entries.
@@ -73,7 +73,7 @@
     shared = SharedUpstreams()
     async with contextlib.AsyncExitStack() as stack:
         known = await stack.enter_async_context(
-            entries.Entries(count).running()
+            network.GossipNetwork(count).running()
         )
         for gossip in known.gossips.values():
             guard = quarantine.Guard(gossip) if guarded else None
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -11,9 +11,9 @@
 FANOUT = 4
 #: Seconds between two reminders of what is barred, to one entry each, for
 #: those that have started or were out of reach.
-REMIND_S = 1.0
+REMINDER_PERIOD_S = 1.0
 #: Requests that one reminder names at most.
-REMINDED = 16
+MAX_REMINDER_REQUESTS = 16
 
 _log = logs.get_logger('quarantine')
 
@@ -33,12 +33,12 @@
         random: source of random numbers.
     """
 
-    def __init__(self, quarantine, live_entries, name, port, wall, random):
+    def __init__(self, quarantine, live_entries, name, port, clock, random):
         self.quarantine = quarantine
         self.live_entries = live_entries
         self.name = name
         self.port = port
-        self.wall = wall
+        self.clock = clock
         self.random = random
         self._transport = None
         self._timer = None
@@ -62,38 +62,38 @@
     async def run(self):
         """Remind others of what is barred until cancelled."""
         while True:
-            await asyncio.sleep(REMIND_S)
-            now = self.wall()
-            self.quarantine.forget(now)
-            barred = self.quarantine.all_quarantined(now)
-            hosts = self._others()
-            if not barred or not hosts:
+            await asyncio.sleep(REMINDER_PERIOD_S)
+            now = self.clock()
+            self.quarantine.expire(now)
+            quarantined = self.quarantine.all_quarantined(now)
+            hosts = self._other_hosts()
+            if not quarantined or not hosts:
                 continue
             host = self.random.choice(hosts)
-            count = min(REMINDED, len(barred))
-            for request, left_s in self.random.sample(barred, count):
+            count = min(MAX_REMINDER_REQUESTS, len(quarantined))
+            for request, left_s in self.random.sample(quarantined, count):
                 self._send(_messages.Quarantined(request, left_s), host)
 
     def report_crash(self, crash, requests):
         """Note the requests that a crashed upstream had, and tell others."""
-        fresh = self.quarantine.note_crash(crash, requests, self.wall())
-        step = _messages.MOST_REQUESTS
-        for begin in range(0, len(fresh), step):
-            part = tuple(fresh[begin : begin + step])
-            self._tell(_messages.CrashReport(crash, part))
-        if fresh:
-            self._judge_later()
+        new = self.quarantine.record_crash(crash, requests, self.clock())
+        step = _messages.MAX_REQUESTS
+        for begin in range(0, len(new), step):
+            part = tuple(new[begin : begin + step])
+            self._fan_out(_messages.CrashReport(crash, part))
+        if new:
+            self._schedule_evaluation()
 
     def report_completion(self, request):
         """Note that a request ran to its end; tell if it was suspected."""
         if self.quarantine.record_completion(request):
-            self._tell(_messages.Completion(request))
-            self._judge_later()
+            self._fan_out(_messages.Completion(request))
+            self._schedule_evaluation()
 
     def report_quarantine(self, request, for_s):
         """Bar a request; tell others where that is news."""
-        if self.quarantine.add(request, for_s, self.wall()):
-            self._tell(_messages.Quarantined(request, for_s))
+        if self.quarantine.add(request, for_s, self.clock()):
+            self._fan_out(_messages.Quarantined(request, for_s))
 
     def datagram_received(self, data, addr):
         """Take one message of another entry."""
@@ -110,22 +110,22 @@
             left_s = min(message.left_s, _quarantine.QUARANTINE_S)
             self.report_quarantine(message.request, left_s)
 
-    def _judge_later(self):
+    def _schedule_evaluation(self):
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(_quarantine.SETTLE_S, self._judge)
+            self._timer = loop.call_later(_quarantine.SETTLE_S, self._evaluate)
 
-    def _judge(self):
+    def _evaluate(self):
         self._timer = None
-        for request in self.quarantine.judge(self.wall()):
-            self._tell(
+        for request in self.quarantine.evaluate(self.clock()):
+            self._fan_out(
                 _messages.Quarantined(request, _quarantine.QUARANTINE_S)
             )
-        if self.quarantine.is_undecided(self.wall()):
-            self._judge_later()
+        if self.quarantine.has_pending(self.clock()):
+            self._schedule_evaluation()
 
-    def _tell(self, message):
-        hosts = self._others()
+    def _fan_out(self, message):
+        hosts = self._other_hosts()
         for host in self.random.sample(hosts, min(FANOUT, len(hosts))):
             self._send(message, host)
 
@@ -133,6 +133,10 @@
         if self._transport is not None:
             self._transport.sendto(_messages.dump(message), (host, self.port))
 
-    def _others(self):
-        homes = self.live_entries.locations()
-        return [home.host for name, home in homes.items() if name != self.name]
+    def _other_hosts(self):
+        locations = self.live_entries.locations()
+        return [
+            location.host
+            for name, location in locations.items()
+            if name != self.name
+        ]
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -8,11 +8,11 @@
 
 #: Seconds in which the broken requests of one upstream are gathered, and
 #: after which it is looked whether it still listens.
-GATHER_S = 0.05
+CRASH_CHECK_DELAY_S = 0.05
 #: Seconds within which a connection is made or refused.
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 #: Requests that the line of a crash names at most.
-MOST_NAMED = 20
+MAX_LOGGED_REQUESTS = 20
 _DIGEST_BYTES = 8
 
 _log = logs.get_logger('quarantine')
@@ -25,7 +25,7 @@
     the instance may be cut.
     """
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(*address)
     except ConnectionRefusedError:
         return True
@@ -51,7 +51,7 @@
     def __init__(self, gossip, is_down=refuses_connections):
         self.gossip = gossip
         self.is_down = is_down
-        self._broken = {}
+        self._affected = {}
         self._tasks = set()
 
     @property
@@ -61,17 +61,17 @@
 
     def count_quarantined(self):
         """Return the number of requests that are barred."""
-        return len(self.gossip.quarantine.all_quarantined(self.gossip.wall()))
+        return len(self.gossip.quarantine.all_quarantined(self.gossip.clock()))
 
     def check(self, request):
         """Return the seconds for which a request must not run, or 0.
 
         One that is barred and still comes is barred for the whole time again.
         """
-        now = self.gossip.wall()
+        now = self.gossip.clock()
         left_s = self.gossip.quarantine.remaining_s(request, now)
         if left_s == 0:
-            return self.gossip.quarantine.turn_s(request, now)
+            return self.gossip.quarantine.turn_wait_s(request, now)
         if left_s < _quarantine.QUARANTINE_S * _quarantine.RENEW_SHARE:
             self.gossip.report_quarantine(request, _quarantine.QUARANTINE_S)
         return left_s
@@ -87,29 +87,29 @@
             upstream: the `catalog.Upstream` that had the request.
             request: its fingerprint.
         """
-        if upstream.key in self._broken:
-            self._broken[upstream.key].add(request)
+        if upstream.key in self._affected:
+            self._affected[upstream.key].add(request)
             return
-        self._broken[upstream.key] = {request}
-        task = asyncio.ensure_future(self._look(upstream))
+        self._affected[upstream.key] = {request}
+        task = asyncio.ensure_future(self._check_crash(upstream))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _look(self, upstream):
-        await asyncio.sleep(GATHER_S)
-        requests = sorted(self._broken.pop(upstream.key))
+    async def _check_crash(self, upstream):
+        await asyncio.sleep(CRASH_CHECK_DELAY_S)
+        requests = sorted(self._affected.pop(upstream.key))
         if not await self.is_down(upstream.address):
             return
         _log.info(
             'Upstream {} crashed with {} requests.',
             upstream.id,
             len(requests),
-            requests=requests[:MOST_NAMED],
+            requests=requests[:MAX_LOGGED_REQUESTS],
         )
-        self.gossip.report_crash(_name_crash(upstream), requests)
+        self.gossip.report_crash(_crash_id(upstream), requests)
 
 
-def _name_crash(upstream):
+def _crash_id(upstream):
     """Return a text that is equal in all processes for this start."""
     host, port = upstream.address
     text = f'{upstream.id}\0{upstream.started_at_ms}\0{host}:{port}'.encode()
--- a/catkinshunt/quarantine/_messages.py
+++ b/catkinshunt/quarantine/_messages.py
@@ -5,9 +5,9 @@
 from catkinshunt import datagrams
 
 #: Longest datagram that is read.
-MOST_BYTES = 1200
+MAX_BYTES = 1200
 #: Requests that one message names; a fingerprint has 32 characters.
-MOST_REQUESTS = 24
+MAX_REQUESTS = 24
 
 
 @attrs.frozen
@@ -50,7 +50,7 @@
 
 
 _CODEC = datagrams.Codec(
-    (CrashReport, Completion, Quarantined), max_bytes=MOST_BYTES
+    (CrashReport, Completion, Quarantined), max_bytes=MAX_BYTES
 )
 dump = _CODEC.dump
 load = _CODEC.load
--- a/catkinshunt/quarantine/tests/entries.py
+++ b/catkinshunt/quarantine/tests/network.py
@@ -18,7 +18,7 @@
         return sock.getsockname()[1]
 
 
-class Entries:
+class GossipNetwork:
     """Some entries that know of each other.
 
     Attributes:
@@ -72,19 +72,21 @@
             for name in list(self.gossips):
                 self.stop(name)
 
-    def knowing(self, request):
+    def quarantined_at(self, request):
         """Return the names of the entries at which a request is barred."""
         return [
             name
             for name, gossip in self.gossips.items()
-            if gossip.quarantine.remaining_s(request, gossip.wall()) > 0
+            if gossip.quarantine.remaining_s(request, gossip.clock()) > 0
         ]
 
-    async def until_all_know(self, request):
-        await until(lambda: len(self.knowing(request)) == len(self.gossips))
+    async def wait_until_quarantined(self, request):
+        await wait_until(
+            lambda: len(self.quarantined_at(request)) == len(self.gossips)
+        )
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
--- a/catkinshunt/quarantine/tests/test_gossip.py
+++ b/catkinshunt/quarantine/tests/test_gossip.py
@@ -5,7 +5,7 @@
 
 from catkinshunt import quarantine
 from catkinshunt.quarantine import _gossip
-from catkinshunt.quarantine.tests import entries
+from catkinshunt.quarantine.tests import network
 
 #: Seconds within which all entries must know, in the users' deployments.
 CONTACT_S = 3.0
@@ -13,8 +13,8 @@
 
 def run(main, count=5):
     async def inside():
-        async with entries.Entries(count).running() as found:
-            return await main(found)
+        async with network.GossipNetwork(count).running() as entries:
+            return await main(entries)
 
     return asyncio.run(inside())
 
@@ -23,33 +23,35 @@
 def test_crashes_that_no_entry_sees_alone_bar_a_request_everywhere(count):
     """Each try comes to another entry, and each entry sees one crash."""
 
-    async def main(found):
+    async def main(entries):
         began = asyncio.get_running_loop().time()
-        names = list(found.gossips)
+        names = list(entries.gossips)
         for number in range(3):
-            seer = found.gossips[names[number % len(names)]]
-            seer.report_crash(f'engine-{number}', ['bad', f'beside-{number}'])
-        await found.until_all_know('bad')
-        innocent = [found.knowing(f'beside-{n}') for n in range(3)]
-        return asyncio.get_running_loop().time() - began, innocent
+            reporter = entries.gossips[names[number % len(names)]]
+            reporter.report_crash(
+                f'engine-{number}', ['bad', f'beside-{number}']
+            )
+        await entries.wait_until_quarantined('bad')
+        others = [entries.quarantined_at(f'beside-{n}') for n in range(3)]
+        return asyncio.get_running_loop().time() - began, others
 
-    took_s, innocent = run(main, count)
+    took_s, others = run(main, count)
     assert took_s < CONTACT_S
-    assert innocent == [[], [], []]
+    assert others == [[], [], []]
 
 
 def test_an_entry_that_starts_anew_is_told():
     """It knows nothing of before, and the store may be away."""
 
-    async def main(found):
-        found.gossips['entry-1'].report_quarantine('bad', 60.0)
-        await found.until_all_know('bad')
-        await found.start('entry-2')
+    async def main(entries):
+        entries.gossips['entry-1'].report_quarantine('bad', 60.0)
+        await entries.wait_until_quarantined('bad')
+        await entries.start('entry-2')
         began = asyncio.get_running_loop().time()
-        await found.until_all_know('bad')
+        await entries.wait_until_quarantined('bad')
         return asyncio.get_running_loop().time() - began
 
-    assert run(main, count=3) < CONTACT_S + _gossip.REMIND_S
+    assert run(main, count=3) < CONTACT_S + _gossip.REMINDER_PERIOD_S
 
 
 def test_news_reach_all_though_datagrams_are_lost(monkeypatch):
@@ -63,26 +65,30 @@
 
     monkeypatch.setattr(quarantine.Gossip, '_send', lossy)
 
-    async def main(found):
-        names = list(found.gossips)
+    async def main(entries):
+        names = list(entries.gossips)
         for number in range(3):
-            found.gossips[names[number]].report_crash(f'e-{number}', ['bad'])
-        await found.until_all_know('bad')
+            entries.gossips[names[number]].report_crash(f'e-{number}', ['bad'])
+        await entries.wait_until_quarantined('bad')
 
     run(main, count=12)
 
 
 def test_a_request_that_completes_elsewhere_is_cleared_everywhere():
-    async def main(found):
-        names = list(found.gossips)
+    async def main(entries):
+        names = list(entries.gossips)
         for number in range(2):
-            found.gossips[names[number]].report_crash(f'e-{number}', ['often'])
-        gossips = found.gossips.values()
-        await entries.until(
+            entries.gossips[names[number]].report_crash(
+                f'e-{number}', ['often']
+            )
+        gossips = entries.gossips.values()
+        await network.wait_until(
             lambda: all(not g.quarantine.is_idle for g in gossips)
         )
-        found.gossips[names[3]].report_completion('often')
-        await entries.until(lambda: all(g.quarantine.is_idle for g in gossips))
+        entries.gossips[names[3]].report_completion('often')
+        await network.wait_until(
+            lambda: all(g.quarantine.is_idle for g in gossips)
+        )
 
     run(main)
 
@@ -97,29 +103,29 @@
 
     monkeypatch.setattr(quarantine.Gossip, '_send', counting)
 
-    async def main(found):
-        found.gossips['entry-1'].report_crash('engine', ['bad'])
-        gossips = found.gossips.values()
-        await entries.until(
+    async def main(entries):
+        entries.gossips['entry-1'].report_crash('engine', ['bad'])
+        gossips = entries.gossips.values()
+        await network.wait_until(
             lambda: (
                 sum(not g.quarantine.is_idle for g in gossips)
                 > len(gossips) * 0.9
             )
         )
         await asyncio.sleep(0.05)
-        return max(sent.count(name) for name in found.gossips)
+        return max(sent.count(name) for name in entries.gossips)
 
     assert run(main, count=36) <= _gossip.FANOUT
 
 
 def test_nothing_is_sent_while_nothing_is_barred(monkeypatch):
-    monkeypatch.setattr(_gossip, 'REMIND_S', 0.01)
+    monkeypatch.setattr(_gossip, 'REMINDER_PERIOD_S', 0.01)
     sent = []
     monkeypatch.setattr(
         quarantine.Gossip, '_send', lambda *message: sent.append(message)
     )
 
-    async def main(found):
+    async def main(entries):
         await asyncio.sleep(0.1)
 
     run(main)
--- a/catkinshunt/quarantine/tests/test_guard.py
+++ b/catkinshunt/quarantine/tests/test_guard.py
@@ -3,7 +3,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import quarantine
 from catkinshunt.quarantine import _guard
-from catkinshunt.quarantine.tests import entries
+from catkinshunt.quarantine.tests import network
 
 
 class FakeGossip:
@@ -13,7 +13,7 @@
         self.quarantine = quarantine.Quarantine()
         self.crashes = []
 
-    def wall(self):
+    def clock(self):
         return 0.0
 
     def report_crash(self, crash, requests):
@@ -35,11 +35,11 @@
         gossip = FakeGossip()
         guard = quarantine.Guard(gossip)
         guard.record_broken_connection(upstream(port=port), 'a')
-        await asyncio.sleep(2 * _guard.GATHER_S)
+        await asyncio.sleep(2 * _guard.CRASH_CHECK_DELAY_S)
         server.close()
         alive = list(gossip.crashes)
         guard.record_broken_connection(upstream(port=port), 'a')
-        await entries.until(lambda: gossip.crashes)
+        await network.wait_until(lambda: gossip.crashes)
         return alive, gossip.crashes
 
     alive, crashes = asyncio.run(main())
@@ -57,7 +57,7 @@
         gossip = FakeGossip()
         guard = quarantine.Guard(gossip, silent)
         guard.record_broken_connection(upstream(), 'a')
-        await asyncio.sleep(2 * _guard.GATHER_S)
+        await asyncio.sleep(2 * _guard.CRASH_CHECK_DELAY_S)
         return gossip.crashes
 
     assert asyncio.run(main()) == []
@@ -75,7 +75,7 @@
         for request in ('b', 'a', 'b'):
             guard.record_broken_connection(upstream(), request)
         guard.record_broken_connection(upstream(started_at_ms=2), 'a')
-        await entries.until(lambda: len(gossip.crashes) == 2)
+        await network.wait_until(lambda: len(gossip.crashes) == 2)
         return gossip.crashes
 
     (first, requests), (second, _) = asyncio.run(main())
--- a/catkinshunt/quarantine/tests/test_messages.py
+++ b/catkinshunt/quarantine/tests/test_messages.py
@@ -8,10 +8,10 @@
 
 
 def test_the_longest_message_fits_into_a_datagram():
-    requests = (REQUEST,) * _messages.MOST_REQUESTS
+    requests = (REQUEST,) * _messages.MAX_REQUESTS
     message = quarantine.CrashReport('c' * 16, requests)
     data = quarantine.dump(message)
-    assert len(data) <= _messages.MOST_BYTES
+    assert len(data) <= _messages.MAX_BYTES
     assert quarantine.load(data) == message
 
 
