--- a/catkinshunt/quarantine/__init__.py
+++ b/catkinshunt/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash their upstreams from running again."""
+"""Quarantine of requests that crash their upstreams."""
 
 from catkinshunt.quarantine._fingerprint import fingerprint
 from catkinshunt.quarantine._gossip import Gossip
--- a/catkinshunt/quarantine/_fingerprint.py
+++ b/catkinshunt/quarantine/_fingerprint.py
@@ -1,4 +1,4 @@
-"""Names a request by what is the same each time that it comes."""
+"""Fingerprints that are equal for each attempt of a request."""
 
 import hashlib
 
@@ -6,14 +6,14 @@
 
 
 def fingerprint(host, method, target, account, body):
-    """Return a text that is equal for the same request of the same account.
+    """Return a hex digest that identifies a request of an account.
 
     Args:
-        host: host that is asked for.
-        method: such as ``'POST'``.
-        target: path and query.
+        host: requested host.
+        method: HTTP method, such as ``'POST'``.
+        target: path and query string.
         account: name of the account, or ''.
-        body: bytes of the body.
+        body: body as bytes.
 
     Examples:
         >>> first = fingerprint('shop', 'GET', '/stock/7', 'workshop', b'')
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -1,4 +1,4 @@
-"""Spreads among entries what is known of requests that crash upstreams."""
+"""Gossip between entries about requests that crash upstreams."""
 
 import asyncio
 
@@ -7,29 +7,29 @@
 from catkinshunt.quarantine import _messages
 from catkinshunt.quarantine import _quarantine
 
-#: Entries to which each news is passed on, once by each entry that hears it.
+#: Entries to which each entry forwards an update that is new to it.
 FANOUT = 4
-#: Seconds between two reminders of what is barred, to one entry each, for
-#: those that have started or were out of reach.
+#: Interval in seconds of the reminders, each to one random entry. They reach
+#: entries that have restarted or were unreachable.
 REMINDER_PERIOD_S = 1.0
-#: Requests that one reminder names at most.
+#: Most quarantined requests in one reminder.
 MAX_REMINDER_REQUESTS = 16
 
 _log = logs.get_logger('quarantine')
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Tells other entries the news, and passes theirs on.
+    """Sends updates to other entries, and forwards those that it receives.
 
-    Who hears of something new tells a few others chosen at random, so each
-    entry sends as many datagrams as the next one, however many there are.
+    An entry that receives something new forwards it to a few random others,
+    so the datagrams sent per entry do not grow with the number of entries.
 
     Args:
         quarantine: `Quarantine` of this entry.
-        roster: `catalog.LiveEntries` with the homes of the entries.
+        live_entries: `catalog.LiveEntries`, with the addresses to send to.
         name: name of this entry.
-        port: port of all entries.
-        wall: gives seconds on the clock of the quarantine.
+        port: gossip port of all entries.
+        wall: returns seconds on the clock of the quarantine.
         random: source of random numbers.
     """
 
@@ -44,7 +44,7 @@
         self._timer = None
 
     async def start(self, host):
-        """Listen on the address `host`; returns self."""
+        """Listen on the address `host` and return self."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, self.port)
@@ -52,7 +52,7 @@
         return self
 
     def stop(self):
-        """Tell and hear nothing more."""
+        """Stop sending and receiving."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -60,7 +60,7 @@
             self._transport = None
 
     async def run(self):
-        """Remind others of what is barred until cancelled."""
+        """Send reminders of quarantined requests until cancelled."""
         while True:
             await asyncio.sleep(REMINDER_PERIOD_S)
             now = self.clock()
@@ -75,7 +75,7 @@
                 self._send(_messages.Quarantined(request, left_s), host)
 
     def report_crash(self, crash, requests):
-        """Note the requests that a crashed upstream had, and tell others."""
+        """Record the requests of a crashed upstream, and forward new ones."""
         new = self.quarantine.record_crash(crash, requests, self.clock())
         step = _messages.MAX_REQUESTS
         for begin in range(0, len(new), step):
@@ -85,22 +85,22 @@
             self._schedule_evaluation()
 
     def report_completion(self, request):
-        """Note that a request ran to its end; tell if it was suspected."""
+        """Clear a completed request; forward that if it was suspected."""
         if self.quarantine.record_completion(request):
             self._fan_out(_messages.Completion(request))
             self._schedule_evaluation()
 
     def report_quarantine(self, request, for_s):
-        """Bar a request; tell others where that is news."""
+        """Quarantine a request; forward that if it is new."""
         if self.quarantine.add(request, for_s, self.clock()):
             self._fan_out(_messages.Quarantined(request, for_s))
 
     def datagram_received(self, data, addr):
-        """Take one message of another entry."""
+        """Handle a datagram of another entry."""
         try:
             message = _messages.load(data)
         except datagrams.DecodeError as exc:
-            _log.warning('Left aside a datagram of {}: {}.', addr, exc)
+            _log.warning('Ignored an invalid datagram from {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.CrashReport):
             self.report_crash(message.crash, message.requests)
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -1,4 +1,4 @@
-"""Tells crashes of upstreams from broken connections, and who caused them."""
+"""Detects upstream crashes and checks requests against the quarantine."""
 
 import asyncio
 import hashlib
@@ -6,12 +6,12 @@
 from catkinshunt import logs
 from catkinshunt.quarantine import _quarantine
 
-#: Seconds in which the broken requests of one upstream are gathered, and
-#: after which it is looked whether it still listens.
+#: Seconds in which the interrupted requests of one upstream are collected
+#: before it is probed.
 CRASH_CHECK_DELAY_S = 0.05
-#: Seconds within which a connection is made or refused.
+#: Connect timeout of the probe, in seconds.
 CONNECT_TIMEOUT_S = 0.5
-#: Requests that the line of a crash names at most.
+#: Most requests in the log line of a crash.
 MAX_LOGGED_REQUESTS = 20
 _DIGEST_BYTES = 8
 
@@ -19,10 +19,9 @@
 
 
 async def refuses_connections(address):
-    """Return whether nothing listens at (host, port) any more.
+    """Return whether (host, port) refuses connections.
 
-    A connection that is neither made nor refused proves nothing: the path to
-    the instance may be cut.
+    A timeout does not prove a crash: the network path may be interrupted.
     """
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -36,14 +35,15 @@
 
 
 class Guard:
-    """What an entry asks and tells about requests that crash upstreams.
+    """Quarantine as seen by the gateway of one entry.
 
-    A connection may be reset while its upstream goes on; a request that had
-    it must not be suspected. So the upstream is asked for a new connection,
-    once for all requests that broke off at the same moment.
+    A connection can be lost although its upstream is running; its request
+    must not be suspected then. So a crash is reported only if the upstream
+    refuses a new connection. One probe covers all requests that were
+    interrupted at the same time.
 
     Args:
-        gossip: `Gossip` that is told of crashes and completions.
+        gossip: `Gossip` to report crashes and completions to.
         is_down: coroutine function of an address that returns whether its
             process has ended.
     """
@@ -56,17 +56,17 @@
 
     @property
     def is_idle(self):
-        """Whether no request is suspected or barred."""
+        """Whether no request is suspected or quarantined."""
         return self.gossip.quarantine.is_idle
 
     def count_quarantined(self):
-        """Return the number of requests that are barred."""
+        """Return the number of quarantined requests."""
         return len(self.gossip.quarantine.all_quarantined(self.gossip.clock()))
 
     def check(self, request):
         """Return the seconds for which a request must not run, or 0.
 
-        One that is barred and still comes is barred for the whole time again.
+        The quarantine of a request that still arrives is renewed.
         """
         now = self.gossip.clock()
         left_s = self.gossip.quarantine.remaining_s(request, now)
@@ -77,14 +77,14 @@
         return left_s
 
     def record_completion(self, request):
-        """Note that a request ran to its end."""
+        """Report that a request was completed."""
         self.gossip.report_completion(request)
 
     def record_broken_connection(self, upstream, request):
-        """Note that the connection of a request broke off.
+        """Record that the connection of a request was lost.
 
         Args:
-            upstream: the `catalog.Upstream` that had the request.
+            upstream: the `catalog.Upstream` that ran the request.
             request: its fingerprint.
         """
         if upstream.key in self._affected:
@@ -110,7 +110,7 @@
 
 
 def _crash_id(upstream):
-    """Return a text that is equal in all processes for this start."""
+    """Return an id that all entries compute for a crash of this start."""
     host, port = upstream.address
     text = f'{upstream.id}\0{upstream.started_at_ms}\0{host}:{port}'.encode()
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).hexdigest()
--- a/catkinshunt/quarantine/_messages.py
+++ b/catkinshunt/quarantine/_messages.py
@@ -1,21 +1,21 @@
-"""What entries tell each other about requests that crash upstreams."""
+"""Datagrams between entries about requests that crash upstreams."""
 
 import attrs
 
 from catkinshunt import datagrams
 
-#: Longest datagram that is read.
+#: Longest datagram that is decoded.
 MAX_BYTES = 1200
-#: Requests that one message names; a fingerprint has 32 characters.
+#: Most requests in one message; a fingerprint has 32 characters.
 MAX_REQUESTS = 24
 
 
 @attrs.frozen
 class CrashReport:
-    """An upstream crashed while it had these requests.
+    """An upstream crashed while it ran these requests.
 
     Attributes:
-        crash: names the start of the upstream that ended.
+        crash: id of the crash.
         requests: fingerprints.
     """
 
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Completion:
-    """A suspected request ran to its end."""
+    """A suspected request was completed by an upstream."""
 
     kind = 'completion'
 
@@ -36,11 +36,11 @@
 
 @attrs.frozen
 class Quarantined:
-    """A request must not be run.
+    """A request is quarantined.
 
     Attributes:
         request: its fingerprint.
-        left_s: seconds for which that holds.
+        left_s: remaining time of the quarantine, in seconds.
     """
 
     kind = 'quarantined'
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""Decides which requests crash their upstreams."""
+"""Identifies the requests that crash their upstreams."""
 
 import collections
 
@@ -6,25 +6,25 @@
 
 from catkinshunt import logs
 
-#: Upstreams that must have crashed under a request.
+#: Crashes after which a request may be quarantined.
 MIN_CRASHES = 3
-#: Crashes after which a request is barred though others explain them.
+#: Crashes after which it is quarantined even if others could be the cause.
 MAX_CRASHES = 5
-#: Seconds for which one of several requests that were at the same crashes may
-#: run while the others may not. It is to end within that time.
+#: Seconds for which one of several suspects with the same crashes may run,
+#: while the others wait. A sound request should complete within that time.
 TURN_S = 2.0
-#: Seconds after the last of these crashes before a request is judged. Entries
-#: tell of the same crash one after the other, and a request that ran to its
-#: end elsewhere is cleared meanwhile.
+#: Seconds from when a request reaches `MIN_CRASHES` to its evaluation. Reports
+#: of other entries on the same crash, and on completions that clear the
+#: request, arrive in that time.
 SETTLE_S = 0.3
-#: Seconds for which a crash is held against a request.
+#: Seconds after its last crash for which a suspect is kept.
 SUSPECT_TTL_S = 300.0
-#: Seconds for which a request is barred after it was last asked for.
+#: Seconds for which a request is quarantined after its last attempt.
 QUARANTINE_S = 600.0
-#: Share of that time after which another try bars it for the whole again.
+#: An attempt renews the quarantine once less than this share of it is left.
 RENEW_SHARE = 0.5
-#: Most requests that are suspected, crashes that are remembered, requests of
-#: one crash, and requests that are barred. The oldest go first.
+#: Limits of the suspects, the recorded crashes, the requests of one crash and
+#: the quarantined requests. The oldest are dropped first.
 MAX_SUSPECTS = 4096
 MAX_CRASH_RECORDS = 256
 MAX_CRASH_REQUESTS = 64
@@ -35,43 +35,42 @@
 
 @attrs.define
 class _Suspect:
-    """What is held against a request.
+    """Crashes during which a request was running.
 
     Attributes:
-        crashes: those that nothing else explains.
-        explained: number of those that a barred request explains.
-        last_crash_at: when it was last heard of.
-        suspected_at: when it was first known to have been at enough crashes to
-            be judged, or None.
+        crashes: ids of crashes that no quarantined request explains.
+        attributed: number of crashes that a quarantined request explains.
+        last_crash_at: time of its last reported crash.
+        eligible_at: when it reached `MIN_CRASHES`, or None.
     """
 
     last_crash_at: float
     crashes: set = attrs.field(factory=set)
     attributed: int = 0
-    suspected_at: float | None = None
+    eligible_at: float | None = None
 
     @property
     def total(self):
-        """Number of crashes in which the request was there."""
+        """Number of crashes during which the request was running."""
         return len(self.crashes) + self.attributed
 
 
 class Quarantine:
-    """Collects under which requests upstreams crash, and bars offenders.
+    """Correlates crashes with requests, and quarantines the cause.
 
-    A crash ends all requests of its upstream, so each of them is suspected.
-    One that runs to its end anywhere is cleared; of those left the one that
-    was there at more crashes explains what the others were there for. Those
-    that were at the same ones run by turns: the next crash, or the end of a
-    run, tells them apart.
+    A crash ends all requests of its upstream, so each of them is a suspect.
+    A request that completes anywhere is cleared. Of the remaining suspects,
+    the one with the most crashes is the cause, and its crashes are no longer
+    counted for the others. Suspects with the same crashes run one at a time,
+    so that the next crash or completion tells them apart.
 
-    Requests and crashes are named by texts that are equal in all processes.
-    All methods take the present time in seconds on one clock.
+    Requests and crashes are identified by strings that are equal in all
+    processes. `now` is in seconds on one clock.
 
     Examples:
         >>> quarantine = Quarantine()
-        >>> for number, beside in enumerate('abc'):
-        ...     _ = quarantine.record_crash(str(number), ['bad', beside], 1.0)
+        >>> for number, other in enumerate('abc'):
+        ...     _ = quarantine.record_crash(str(number), ['bad', other], 1.0)
         >>> quarantine.evaluate(now=2.0)
         ['bad']
         >>> quarantine.remaining_s('bad', now=2.0)
@@ -87,14 +86,19 @@
 
     @property
     def is_idle(self):
-        """Whether no request is suspected or barred."""
+        """Whether no request is suspected or quarantined."""
         return not self._suspects and not self._quarantined
 
     def record_crash(self, crash, requests, now):
-        """Note which requests an upstream had when it crashed.
+        """Record the requests that an upstream ran when it crashed.
+
+        Args:
+            crash: id of the crash.
+            requests: fingerprints.
+            now: time in seconds.
 
         Returns:
-            Those of `requests` that were not known to have been there.
+            Those of `requests` that were not recorded for it before.
         """
         recorded = self._crashes.setdefault(crash, set())
         while len(self._crashes) > MAX_CRASH_RECORDS:
@@ -110,22 +114,22 @@
         return new
 
     def record_completion(self, request):
-        """Clear a request that ran to its end; return whether it was held."""
+        """Clear a completed request; return whether it was a suspect."""
         return self._suspects.pop(request, None) is not None
 
     def evaluate(self, now):
-        """Bar the requests that crash their upstreams; return those."""
+        """Quarantine and return the requests found to cause crashes."""
         found = [
             request
             for request, suspect in self._suspects.items()
-            if suspect.suspected_at is not None
-            and now - suspect.suspected_at >= SETTLE_S
+            if suspect.eligible_at is not None
+            and now - suspect.eligible_at >= SETTLE_S
             and self._is_culprit(request, suspect)
         ]
         for request in found:
             total = self._suspects[request].total
             _log.warning(
-                'Request {} is not run any more: {} upstreams crashed.',
+                'Quarantined request {} after {} upstream crashes.',
                 request,
                 total,
                 fingerprint=request,
@@ -136,18 +140,18 @@
         return found
 
     def has_pending(self, now):
-        """Return whether a request is still to be judged."""
+        """Return whether a suspect is not due for evaluation yet."""
         return any(
-            suspect.suspected_at is not None
-            and now - suspect.suspected_at < SETTLE_S
+            suspect.eligible_at is not None
+            and now - suspect.eligible_at < SETTLE_S
             for suspect in self._suspects.values()
         )
 
     def add(self, request, for_s, now):
-        """Bar a request for `for_s` seconds at least.
+        """Quarantine a request for at least `for_s` seconds.
 
         Returns:
-            Whether it was not barred before, or for a much shorter time.
+            Whether it was not quarantined before, or for a much shorter time.
         """
         before_s = self.remaining_s(request, now)
         if for_s <= before_s:
@@ -156,7 +160,9 @@
         self._quarantined.move_to_end(request)
         while len(self._quarantined) > MAX_QUARANTINED:
             dropped, _ = self._quarantined.popitem(last=False)
-            _log.warning('Too many requests are barred; {} may run.', dropped)
+            _log.warning(
+                'Too many quarantined requests; released {}.', dropped
+            )
         for crash, recorded in self._crashes.items():
             if request in recorded:
                 self._attribute_crash(crash)
@@ -164,12 +170,12 @@
         return before_s < for_s * RENEW_SHARE
 
     def remaining_s(self, request, now):
-        """Return the seconds for which a request is still barred, or 0."""
+        """Return the remaining quarantine of a request in seconds, or 0."""
         until = self._quarantined.get(request)
         return 0.0 if until is None else max(0.0, until - now)
 
     def turn_wait_s(self, request, now):
-        """Return the seconds until a suspected request may run, or 0."""
+        """Return the seconds until the turn of a suspect to run, or 0."""
         suspect = self._suspects.get(request)
         if suspect is None or len(suspect.crashes) < MIN_CRASHES:
             return 0.0
@@ -180,19 +186,19 @@
         if not tied or len(tied) < len(others):
             return 0.0
         tied[request] = suspect
-        since = min(s.suspected_at for s in tied.values())
+        since = min(s.eligible_at for s in tied.values())
         elapsed_s = now - since
         turns = int(elapsed_s / TURN_S)
         rank = (sorted(tied).index(request) - turns) % len(tied)
         return 0.0 if rank == 0 else (turns + rank) * TURN_S - elapsed_s
 
     def all_quarantined(self, now):
-        """Return pairs of a barred request and the seconds left."""
+        """Return pairs of a quarantined request and its time left."""
         left = [(r, self.remaining_s(r, now)) for r in self._quarantined]
         return [(request, left_s) for request, left_s in left if left_s > 0]
 
     def expire(self, now):
-        """Drop what is no longer held against a request."""
+        """Drop expired quarantines and suspects."""
         for request, until in list(self._quarantined.items()):
             if until <= now:
                 del self._quarantined[request]
@@ -208,11 +214,11 @@
                 self._suspects.popitem(last=False)
         found.last_crash_at = now
         found.crashes.add(crash)
-        if found.suspected_at is None and found.total >= MIN_CRASHES:
-            found.suspected_at = now
+        if found.eligible_at is None and found.total >= MIN_CRASHES:
+            found.eligible_at = now
 
     def _attribute_crash(self, crash):
-        """Hold a crash no longer against those that were beside it."""
+        """Stop counting a crash for its suspects; its cause is known."""
         for request in self._crashes[crash]:
             suspect = self._suspects.get(request)
             if suspect is not None and crash in suspect.crashes:
@@ -224,11 +230,11 @@
             return True
         if len(suspect.crashes) < MIN_CRASHES:
             return False
-        # One that was there at all of these crashes may be the cause instead.
+        # A suspect with all of these crashes may be the cause instead.
         return not self._find_other_causes(request, suspect)
 
     def _find_other_causes(self, request, suspect):
-        """Return the other suspects that were there at the same crashes."""
+        """Return the other suspects that have all crashes of this one."""
         recorded = [
             self._crashes.get(crash, set()) for crash in suspect.crashes
         ]
--- a/catkinshunt/quarantine/tests/network.py
+++ b/catkinshunt/quarantine/tests/network.py
@@ -1,4 +1,4 @@
-"""Entries on loopback that gossip."""
+"""Entries that gossip over loopback."""
 
 import asyncio
 import contextlib
@@ -12,17 +12,17 @@
 
 
 def free_port():
-    """Return a port that no datagrams are taken at."""
+    """Return a free UDP port."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(('127.0.0.1', 0))
         return sock.getsockname()[1]
 
 
 class GossipNetwork:
-    """Some entries that know of each other.
+    """A set of entries that gossip with each other.
 
     Attributes:
-        roster: `catalog.LiveEntries` that all share.
+        live_entries: `catalog.LiveEntries` that all share.
         gossips: `quarantine.Gossip` by name.
     """
 
@@ -39,9 +39,9 @@
         self._tasks = {}
 
     async def start(self, name):
-        """Start an entry, anew where it ran before; return its gossip."""
+        """Start or restart an entry; return its gossip."""
         self.stop(name)
-        # A closed transport gives its port back in the next turn.
+        # A closed transport frees its port in the next loop iteration.
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         gossip = quarantine.Gossip(
@@ -73,7 +73,7 @@
                 self.stop(name)
 
     def quarantined_at(self, request):
-        """Return the names of the entries at which a request is barred."""
+        """Return the names of the entries that quarantine a request."""
         return [
             name
             for name, gossip in self.gossips.items()
--- a/catkinshunt/quarantine/tests/test_gossip.py
+++ b/catkinshunt/quarantine/tests/test_gossip.py
@@ -7,7 +7,7 @@
 from catkinshunt.quarantine import _gossip
 from catkinshunt.quarantine.tests import network
 
-#: Seconds within which all entries must know, in the users' deployments.
+#: Required bound, in seconds, for an update to reach all entries.
 CONTACT_S = 3.0
 
 
@@ -20,8 +20,8 @@
 
 
 @pytest.mark.parametrize('count', [2, 5, 36])
-def test_crashes_that_no_entry_sees_alone_bar_a_request_everywhere(count):
-    """Each try comes to another entry, and each entry sees one crash."""
+def test_crashes_seen_by_different_entries_add_up(count):
+    """Each attempt reaches another entry, so each entry sees one crash."""
 
     async def main(entries):
         began = asyncio.get_running_loop().time()
@@ -40,8 +40,8 @@
     assert others == [[], [], []]
 
 
-def test_an_entry_that_starts_anew_is_told():
-    """It knows nothing of before, and the store may be away."""
+def test_restarted_entry_gets_the_quarantine():
+    """A restarted entry has lost its state, and the store may be down."""
 
     async def main(entries):
         entries.gossips['entry-1'].report_quarantine('bad', 60.0)
@@ -54,8 +54,8 @@
     assert run(main, count=3) < CONTACT_S + _gossip.REMINDER_PERIOD_S
 
 
-def test_news_reach_all_though_datagrams_are_lost(monkeypatch):
-    """Each entry hears of a crash from several others."""
+def test_updates_reach_all_entries_despite_lost_datagrams(monkeypatch):
+    """Each entry gets an update from several others."""
     lost = random.Random(7)
     send = quarantine.Gossip._send
 
@@ -74,7 +74,7 @@
     run(main, count=12)
 
 
-def test_a_request_that_completes_elsewhere_is_cleared_everywhere():
+def test_completion_clears_a_suspect_everywhere():
     async def main(entries):
         names = list(entries.gossips)
         for number in range(2):
@@ -93,7 +93,7 @@
     run(main)
 
 
-def test_the_messages_of_an_entry_do_not_grow_with_their_number(monkeypatch):
+def test_messages_per_entry_do_not_grow_with_the_entries(monkeypatch):
     sent = []
     send = quarantine.Gossip._send
 
@@ -118,7 +118,7 @@
     assert run(main, count=36) <= _gossip.FANOUT
 
 
-def test_nothing_is_sent_while_nothing_is_barred(monkeypatch):
+def test_no_reminders_without_quarantined_requests(monkeypatch):
     monkeypatch.setattr(_gossip, 'REMINDER_PERIOD_S', 0.01)
     sent = []
     monkeypatch.setattr(
--- a/catkinshunt/quarantine/tests/test_guard.py
+++ b/catkinshunt/quarantine/tests/test_guard.py
@@ -7,7 +7,7 @@
 
 
 class FakeGossip:
-    """Remembers what is reported."""
+    """Records the reported crashes."""
 
     def __init__(self):
         self.quarantine = quarantine.Quarantine()
@@ -26,8 +26,8 @@
     )
 
 
-def test_a_reset_connection_is_no_crash():
-    """The upstream goes on; its requests must not be suspected."""
+def test_lost_connection_is_not_a_crash():
+    """The upstream is still running; its requests must not be suspected."""
 
     async def main():
         server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
@@ -47,8 +47,8 @@
     assert [requests for _, requests in crashes] == [['a']]
 
 
-def test_a_path_that_is_cut_is_no_crash():
-    """Then nothing tells whether the upstream still runs."""
+def test_unreachable_upstream_is_not_a_crash():
+    """Without a reply, the state of the upstream is unknown."""
 
     async def silent(address):
         return False
@@ -63,8 +63,8 @@
     assert asyncio.run(main()) == []
 
 
-def test_all_requests_of_a_crash_are_reported_once_by_start():
-    """A crash counts once, and another start of the upstream anew."""
+def test_requests_of_a_crash_are_reported_once_per_start():
+    """Crashes of two starts of one upstream are distinct."""
 
     async def ended(address):
         return True
@@ -83,15 +83,15 @@
     assert first != second
 
 
-def test_a_barred_request_that_still_comes_stays_barred():
-    barred = []
+def test_attempt_renews_the_quarantine():
+    reported = []
     gossip = FakeGossip()
-    gossip.report_quarantine = lambda *told: barred.append(told)
+    gossip.report_quarantine = lambda *args: reported.append(args)
     guard = quarantine.Guard(gossip)
     gossip.quarantine.add('bad', quarantine.QUARANTINE_S * 0.9, 0.0)
     assert guard.check('bad') > 0
-    assert barred == []
+    assert reported == []
     gossip.quarantine = quarantine.Quarantine()
     gossip.quarantine.add('bad', quarantine.QUARANTINE_S * 0.1, 0.0)
     assert guard.check('bad') > 0
-    assert barred == [('bad', quarantine.QUARANTINE_S)]
+    assert reported == [('bad', quarantine.QUARANTINE_S)]
--- a/catkinshunt/quarantine/tests/test_messages.py
+++ b/catkinshunt/quarantine/tests/test_messages.py
@@ -7,7 +7,7 @@
 REQUEST = 'f' * 32
 
 
-def test_the_longest_message_fits_into_a_datagram():
+def test_longest_message_fits_into_a_datagram():
     requests = (REQUEST,) * _messages.MAX_REQUESTS
     message = quarantine.CrashReport('c' * 16, requests)
     data = quarantine.dump(message)
@@ -30,6 +30,6 @@
         b'["completion","' + b'f' * 2000 + b'"]',
     ],
 )
-def test_anything_else_is_left_aside(data):
+def test_invalid_datagram_is_rejected(data):
     with pytest.raises(datagrams.DecodeError):
         quarantine.load(data)
--- a/catkinshunt/quarantine/tests/test_quarantine.py
+++ b/catkinshunt/quarantine/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 
 
 def crash(subject, *crashes, at=0.0):
-    """Note crashes, each a text with a letter for each request there.
+    """Record crashes, each given as a string with a letter per request.
 
     The letter p stands for a request that crashes its upstream.
     """
@@ -19,28 +19,29 @@
     return subject.evaluate(SETTLED)
 
 
-def test_a_request_is_barred_after_three_crashes():
+def test_request_is_quarantined_after_three_crashes():
     assert evaluate('pa', 'pb') == []
     assert evaluate('pa', 'pb', 'pc') == ['p']
 
 
 def test_reports_of_one_crash_count_once():
-    """Each entry that had requests at an upstream reports its crash."""
+    """Each entry with requests at an upstream reports its crash."""
     subject = quarantine.Quarantine()
     for requests in ('p', 'pa', 'pb'):
         subject.record_crash('one', list(requests), 0.0)
     assert subject.evaluate(SETTLED) == []
 
 
-def test_what_was_only_beside_the_crashes_is_not_barred():
-    """Retries of the same caller can be beside the offender again."""
+def test_request_beside_the_cause_is_not_quarantined():
+    """Retries can run at the same upstreams as the cause again."""
     assert evaluate('pa', 'pab', 'pab', 'pab', 'pb') == ['p']
 
 
-def test_two_that_were_at_the_same_crashes_run_by_turns():
-    """With few upstreams all retries are beside the offender each time.
+def test_suspects_with_the_same_crashes_run_in_turn():
+    """With few upstreams, retries run beside the cause at each crash.
 
-    Sound requests would be barred with it, or it would not be barred.
+    Without turns, either sound requests would be quarantined with it, or
+    none would be.
     """
     subject = quarantine.Quarantine()
     crash(subject, 'pa', 'pa', 'pa')
@@ -58,8 +59,8 @@
     assert subject.turn_wait_s('a', 1.5 * turn + SETTLED) == 0
 
 
-def test_the_last_of_those_that_run_by_turns_is_barred():
-    """The others have run to their ends when it was their turn."""
+def test_last_suspect_that_does_not_complete_is_quarantined():
+    """The others completed during their turns."""
     subject = quarantine.Quarantine()
     crash(subject, 'pab', 'pab', 'pab')
     for request in 'ab':
@@ -68,13 +69,13 @@
     assert subject.evaluate(SETTLED) == ['p']
 
 
-def test_two_that_are_always_together_are_barred_in_the_end():
+def test_inseparable_suspects_are_quarantined_after_five_crashes():
     assert evaluate(*['pa'] * 4) == []
     assert sorted(evaluate(*['pa'] * 5)) == ['a', 'p']
 
 
-def test_a_request_that_ran_to_its_end_is_cleared():
-    """A popular request is there whenever an upstream crashes."""
+def test_completion_clears_a_suspect():
+    """A frequent request is running at almost every crash."""
     subject = quarantine.Quarantine()
     crash(subject, 'a', 'a')
     assert subject.record_completion('a')
@@ -82,7 +83,7 @@
     assert subject.evaluate(1.0 + SETTLED) == []
 
 
-def test_a_crash_that_is_explained_is_held_against_nobody():
+def test_attributed_crash_does_not_count_for_other_suspects():
     subject = quarantine.Quarantine()
     crash(subject, 'pa', 'pa', 'pb')
     assert subject.evaluate(SETTLED) == ['p']
@@ -91,20 +92,20 @@
     assert subject.evaluate(2.0 + SETTLED) == []
 
 
-def test_an_explained_request_that_goes_on_crashing_is_barred():
-    """Else one that crashes upstreams could hide behind another one."""
+def test_second_cause_is_quarantined_after_the_first():
+    """Otherwise one that causes crashes could hide behind another one."""
     assert 'q' in evaluate('pq', 'pq', 'pq', 'pq', 'p', 'q')
 
 
-def test_a_request_that_crashes_often_is_judged_all_the_same():
-    """News that come faster than the time to settle put nothing off."""
+def test_frequent_crashes_do_not_defer_the_evaluation():
+    """Crashes more frequent than `SETTLE_S` must not defer evaluation."""
     subject = quarantine.Quarantine()
     for number in range(8):
         subject.record_crash(str(number), ['p'], number * SETTLED / 2)
     assert subject.evaluate(7 * SETTLED / 2) == ['p']
 
 
-def test_a_bar_ends_and_what_was_held_is_forgotten():
+def test_quarantine_and_suspects_expire():
     subject = quarantine.Quarantine()
     crash(subject, 'p', 'p', 'p', 'a')
     subject.evaluate(SETTLED)
@@ -116,7 +117,7 @@
 
 
 def test_memory_is_bounded(monkeypatch):
-    """Crashes of many upstreams come with thousands of requests."""
+    """Many upstreams can crash with thousands of requests."""
     for name in ('MAX_SUSPECTS', 'MAX_CRASH_RECORDS', 'MAX_QUARANTINED'):
         monkeypatch.setattr(_quarantine, name, 10)
     monkeypatch.setattr(_quarantine, 'MAX_CRASH_REQUESTS', 5)
