--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -261,17 +261,15 @@
             least_left_s=MIN_REMAINING_S,
             reserve=self.context.retry_burst * FAILOVER_RESERVE_SHARE,
         )
-        verdict = policy.check(
+        retry = policy.check(
             exc,
             serve.repeatable,
             progress.sends,
             self.deadline,
             self.context.clock(),
         )
-        progress.notes.append(
-            f'{verdict.grounds}, retry {verdict.should_retry}'
-        )
-        if verdict.should_retry:
+        progress.notes.append(f'{retry.grounds}, retry {retry.should_retry}')
+        if retry.should_retry:
             return
         raise self._final_error(exc)
 
@@ -352,7 +350,8 @@
             relay = _relay.Relay(self, conn, candidate, job, pool.peer)
             is_reusable = await relay.run()
         except asyncio.CancelledError:
-            # The client disconnected or the deadline passed.
+            # The client disconnected or the deadline passed. Without a first
+            # byte, the time so far is a lower bound of the delay.
             now = self.context.clock()
             if not job.answering and not candidate.state.is_unresponsive(now):
                 self.record_delay(job, now - sent_at)
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -221,7 +221,7 @@
 
         Args:
             candidate: the one to request a permit for.
-            probe: whether to reject instead of queueing.
+            no_wait: whether the sidecar must reject instead of queueing.
             short_timeout: whether to use the shorter reply timeout.
         """
         handle = self.context.permit_client.request(
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -218,7 +218,7 @@
                 raise errors.OutcomeUnknownError(
                     gap, step='read-reply', peer=self.peer
                 )
-        if splitter.rest:
+        if splitter.remainder:
             raise errors.OutcomeUnknownError(
                 'stream ended within an event',
                 step='read-reply',
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -27,7 +27,7 @@
         """Return the engine profile of the service; None for a plain one."""
         services = self.context.catalog.declaration.services
         service = services.get(self.decision.service)
-        return service.engine_profile if service else None
+        return service.engine if service else None
 
     def find(self, tried, predicate=None):
         """Return the best untried `dispatch.Candidate`, or None.
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -49,9 +49,7 @@
         second = make_engine('u2', harness.streaming(6))
         async with harness.running_gateway(first, second) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(second.entry()).remainder(
-                gateway.context.clock(), 0.5
-            )
+            tracker.state(second.entry()).rest(gateway.context.clock(), 0.5)
             return await chat(gateway), second.heads
 
     (_, head, body), heads = run(main)
@@ -74,9 +72,7 @@
         second = make_engine('u2', harness.streaming(6))
         async with harness.running_gateway(unresponsive, second) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(second.entry()).remainder(
-                gateway.context.clock(), 0.5
-            )
+            tracker.state(second.entry()).rest(gateway.context.clock(), 0.5)
             return await chat(gateway)
 
     assert run(main)[2] == events(6)
@@ -99,9 +95,7 @@
             unresponsive, other, retry_burst=retry_burst
         ) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(other.entry()).remainder(
-                gateway.context.clock(), 0.3
-            )
+            tracker.state(other.entry()).rest(gateway.context.clock(), 0.3)
             sent = [
                 chat(gateway, Request_Id=f'a{n}', Left_Ms='3000')
                 for n in range(count)
@@ -205,9 +199,7 @@
         second = make_engine('u2', harness.streaming(3))
         async with harness.running_gateway(first, second) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(second.entry()).remainder(
-                gateway.context.clock(), 0.5
-            )
+            tracker.state(second.entry()).rest(gateway.context.clock(), 0.5)
             return await chat(gateway)
 
     assert run(main)[2] == events(3)
@@ -288,7 +280,7 @@
             context.catalog.add_named_version(
                 harness.MODEL, 2, context.wall() - 0.5
             )
-            context.tracker.state(new.entry()).remainder(context.clock(), 0.2)
+            context.tracker.state(new.entry()).rest(context.clock(), 0.2)
             found = await chat(gateway)
             await asyncio.wait_for(old.closed.wait(), 2)
             return found, len(old.heads)
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -29,7 +29,7 @@
         live_entries: `catalog.LiveEntries`, with the addresses to send to.
         name: name of this entry.
         port: gossip port of all entries.
-        wall: returns seconds on the clock of the quarantine.
+        clock: returns seconds on the clock of the quarantine.
         random: source of random numbers.
     """
 
