--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -93,7 +93,7 @@
             places.NoPermitError: no permit was granted in time.
             places.ReloadingError: all are about to load another version.
         """
-        answered, waiting, unresponsive = 0, None, []
+        answered, queued, unresponsive = 0, None, []
         any_unanswered = False
         while candidate is not None and answered < MAX_SIDECARS:
             responsive = self._is_responsive(candidate.upstream)
@@ -106,7 +106,7 @@
             if isinstance(reply, places.PermitGranted):
                 return self._keep_only(candidate, pending)
             if isinstance(reply, places.PermitQueued):
-                waiting = pending
+                queued = pending
             if reply is None:
                 any_unanswered |= responsive
                 unresponsive.append(candidate)
@@ -117,15 +117,15 @@
             candidate = self.selection.find_next(
                 self.progress, self._is_responsive
             )
-        if waiting is not None and await self._wait_for_grant(
-            waiting, QUEUED_PREFERENCE_S
+        if queued is not None and await self._wait_for_grant(
+            queued, QUEUED_PREFERENCE_S
         ):
-            return self._keep_only(waiting.candidate, waiting)
+            return self._keep_only(queued.candidate, queued)
         found = await self._find_without_permit(unresponsive)
         if found is not None:
             return self._keep_only(found)
-        if waiting is not None and await self._wait_for_grant(waiting):
-            return self._keep_only(waiting.candidate, waiting)
+        if queued is not None and await self._wait_for_grant(queued):
+            return self._keep_only(queued.candidate, queued)
         raise self._rejection()
 
     async def _wait_for_grant(self, pending, timeout_s=None):
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -65,17 +65,17 @@
     async def run(self):
         """Relay the reply; return whether the connection is reusable."""
         head = await self._read_reply_head()
-        note = self.context.dialect.decode_reply(head)
-        if note.load is not None:
-            self.state.report(note.load, self.context.clock())
-        self._check_head(head, note)
+        reply_info = self.context.dialect.decode_reply(head)
+        if reply_info.load is not None:
+            self.state.report(reply_info.load, self.context.clock())
+        self._check_head(head, reply_info)
         delay_s = self.context.clock() - self.sent_at
         self.exchange.record_delay(self.job, delay_s)
         if self._is_stream(head):
             await self._relay_events(head)
         else:
             await self._relay_buffered(head)
-        return self.conn.sent_whole and not note.closes_connection
+        return self.conn.sent_whole and not reply_info.closes_connection
 
     async def _read_reply_head(self):
         """Return the head of the reply to this request.
@@ -87,8 +87,8 @@
             part = await self._next_part()
             if not isinstance(part, http1.ReplyHead):
                 continue
-            note = self.context.dialect.decode_reply(part)
-            if note.request_id in ('', self.exchange.info.id):
+            reply_info = self.context.dialect.decode_reply(part)
+            if reply_info.request_id in ('', self.exchange.info.id):
                 return part
 
     async def _next_part(self):
@@ -132,17 +132,17 @@
                 'no bytes on any connection', step='read-reply', peer=self.peer
             )
 
-    def _check_head(self, head, note):
+    def _check_head(self, head, reply_info):
         """Raise if the reply must not be relayed."""
-        if note.misdirected:
+        if reply_info.misdirected:
             self.state.rest(self.context.clock(), MISDIRECTED_PAUSE_S)
             raise errors.RefusedError(
                 'unexpected upstream id or version',
                 step='read-reply',
                 peer=self.peer,
             )
-        if note.not_executed:
-            self._back_off(note)
+        if reply_info.not_executed:
+            self._back_off(reply_info)
             raise errors.OverloadedError(
                 f'upstream rejected with {head.status}',
                 step='read-reply',
@@ -164,10 +164,10 @@
                 peer=self.peer,
             )
 
-    def _back_off(self, note):
+    def _back_off(self, reply_info):
         """Send no requests to an upstream for a while after a rejection."""
         now = self.context.clock()
-        load = note.load
+        load = reply_info.load
         if load is not None and load.running < load.slots:
             self.state.rest(now, LOADING_PAUSE_S, self.upstream.versions)
         else:
--- a/catkinshunt/gateway/tests/harness.py
+++ b/catkinshunt/gateway/tests/harness.py
@@ -46,8 +46,8 @@
     def stop(self):
         self._server.close()
 
-    def entry(self, **changes):
-        """Return the `catalog.Upstream` of this one."""
+    def listed(self, **changes):
+        """Return it as a `catalog.Upstream`."""
         fields = {
             'id': self.name,
             'service': self.service,
@@ -231,7 +231,7 @@
     context.catalog.confirm(loop.time())
     for upstream in upstreams:
         await upstream.start()
-        context.catalog.put_upstream(upstream.entry())
+        context.catalog.put_upstream(upstream.listed())
     server = await gateway.Gateway(context).start('127.0.0.1', 0)
     try:
         yield GatewayHarness(context, server)
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -224,8 +224,8 @@
         upstream = harness.FakeUpstream('u1', harness.replying())
         async with harness.running_gateway(upstream) as gateway:
             await gateway.request('/read/1')
-            entry = gateway.context.catalog.find('u1')
-            pool = gateway.context.pool(entry)
+            found = gateway.context.catalog.find('u1')
+            pool = gateway.context.pool(found)
             before = pool.opened
             await gateway.request('/read/2')
             kept = pool.opened - before
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -125,7 +125,7 @@
             context.catalog.add_named_version(
                 harness.MODEL, 2, context.wall() - 7.0
             )
-            context.tracker.state(new.entry()).rest(context.clock(), 0.2)
+            context.tracker.state(new.listed()).rest(context.clock(), 0.2)
             return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
@@ -225,7 +225,7 @@
                 gateway.request('/chat/1', 'POST', b'hello', **CHAT)
             )
             await asyncio.sleep(0.1)
-            changed = only.entry(versions={harness.MODEL: 2})
+            changed = only.listed(versions={harness.MODEL: 2})
             gateway.context.catalog.put_upstream(changed)
             return await task
 
@@ -273,7 +273,7 @@
         async with harness.running_gateway(*engines) as gateway:
             context = gateway.context
             context.permit_client = client
-            changed = first.entry(address=(UNRESPONSIVE_HOST, first.port))
+            changed = first.listed(address=(UNRESPONSIVE_HOST, first.port))
             context.catalog.put_upstream(changed)
             status, _, _ = await gateway.request(
                 '/chat/1', 'POST', b'hello', **CHAT
@@ -286,7 +286,7 @@
 
 def delay_connections(context, upstream, seconds):
     """Delay new connections to an upstream by `seconds`."""
-    pool = context.pool(upstream.entry())
+    pool = context.pool(upstream.listed())
     take = pool.take
 
     async def take_slowly(fresh=False):
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -9,9 +9,9 @@
 
 BAD = b'a prompt that no engine survives'
 #: Required bound, in seconds, for the news of a crash to reach all entries.
-CONTACT_S = 3.0
+PROPAGATION_LIMIT_S = 3.0
 #: Runs allowed after that.
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 
 
 class CrashingUpstream(harness.FakeUpstream):
@@ -52,7 +52,7 @@
         upstream = CrashingUpstream(f'u{number}', self._on_crash)
         self.upstreams.append(await upstream.start())
         for gateway in self.gateways:
-            gateway.context.catalog.put_upstream(upstream.entry())
+            gateway.context.catalog.put_upstream(upstream.listed())
 
     def _on_crash(self, upstream):
         self.crashed_at.append(asyncio.get_running_loop().time())
@@ -118,13 +118,15 @@
     async def main(shared):
         replies = await request_repeatedly(shared)
         third = shared.crashed_at[2]
-        late = [t for t in shared.crashed_at if t > third + CONTACT_S]
+        late = [
+            t for t in shared.crashed_at if t > third + PROPAGATION_LIMIT_S
+        ]
         before = len(shared.crashed_at)
         last = [await shared.request(number) for number in range(3)]
         return replies, late, len(shared.crashed_at) - before, last
 
     replies, late, further, last = run(main)
-    assert len(late) <= MOST_RETRIES
+    assert len(late) <= MAX_RETRIES
     assert further == 0
     for status, head, _ in last:
         assert status == 503
--- a/catkinshunt/quarantine/tests/test_gossip.py
+++ b/catkinshunt/quarantine/tests/test_gossip.py
@@ -8,7 +8,7 @@
 from catkinshunt.quarantine.tests import network
 
 #: Required bound, in seconds, for an update to reach all entries.
-CONTACT_S = 3.0
+PROPAGATION_LIMIT_S = 3.0
 
 
 def run(main, count=5):
@@ -36,7 +36,7 @@
         return asyncio.get_running_loop().time() - began, others
 
     took_s, others = run(main, count)
-    assert took_s < CONTACT_S
+    assert took_s < PROPAGATION_LIMIT_S
     assert others == [[], [], []]
 
 
@@ -51,7 +51,7 @@
         await entries.wait_until_quarantined('bad')
         return asyncio.get_running_loop().time() - began
 
-    assert run(main, count=3) < CONTACT_S + _gossip.REMINDER_PERIOD_S
+    assert run(main, count=3) < PROPAGATION_LIMIT_S + _gossip.REMINDER_PERIOD_S
 
 
 def test_updates_reach_all_entries_despite_lost_datagrams(monkeypatch):
