--- a/catkinshunt/gateway/_events.py
+++ b/catkinshunt/gateway/_events.py
@@ -1,23 +1,23 @@
-"""Splits an event stream into whole events."""
+"""Splits a server-sent event stream into complete events."""
 
 import attrs
 
-#: Longest event; a longer one is not held in memory.
+#: Longest event that is buffered.
 MAX_EVENT_BYTES = 1024 * 1024
-_ENDS = (b'\n\n', b'\r\n\r\n')
+_DELIMITERS = (b'\n\n', b'\r\n\r\n')
 
 
 class BadEventError(Exception):
-    """Bytes that do not continue the stream."""
+    """The stream has an event that is too long or has an invalid id."""
 
 
 @attrs.frozen
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        id: its id, or None where it has none.
-        data: its bytes, the blank line included.
+        id: its numeric id, or None.
+        data: its bytes, including the terminating blank line.
     """
 
     id: int | None
@@ -25,51 +25,53 @@
 
 
 class EventSplitter:
-    """Takes parts of a stream and gives its whole events.
+    """Incremental parser that returns only complete events.
 
-    A part may end anywhere; what is not a whole event yet is held back, so
-    that a caller never gets half an event of an upstream that then fails.
+    An incomplete event stays in `remainder`, so that a client never gets a
+    part of an event from an upstream that then fails.
 
     Examples:
         >>> splitter = EventSplitter()
         >>> splitter.feed(b'id: 1\\ndata: a\\n\\nid: 2\\nda')
         [Event(id=1, data=b'id: 1\\ndata: a\\n\\n')]
-        >>> splitter.rest
+        >>> splitter.remainder
         b'id: 2\\nda'
     """
 
     def __init__(self):
-        self.rest = b''
+        self.remainder = b''
 
     def feed(self, data):
-        """Return the events that `data` makes whole.
+        """Append `data`; return the events that it completes.
 
         Raises:
-            BadEventError: an event is too long or its id is no number.
+            BadEventError: an event is too long or its id is not a number.
         """
-        self.rest += data
+        self.remainder += data
         found = []
         while True:
-            end = _find_end(self.rest)
+            end = _find_end(self.remainder)
             if end < 0:
                 break
-            found.append(_read_event(self.rest[:end]))
-            self.rest = self.rest[end:]
-        if len(self.rest) > MAX_EVENT_BYTES:
-            raise BadEventError('an event is too long')
+            found.append(_parse_event(self.remainder[:end]))
+            self.remainder = self.remainder[end:]
+        if len(self.remainder) > MAX_EVENT_BYTES:
+            raise BadEventError('event exceeds the size limit')
         return found
 
 
 def _find_end(data):
-    ends = [at + len(mark) for mark in _ENDS if (at := data.find(mark)) >= 0]
+    ends = [
+        at + len(mark) for mark in _DELIMITERS if (at := data.find(mark)) >= 0
+    ]
     return min(ends, default=-1)
 
 
-def _read_event(data):
+def _parse_event(data):
     for line in data.splitlines():
         if line.startswith(b'id:'):
             text = line[3:].strip()
             if not text.isdigit():
-                raise BadEventError(f'event id {text[:20]!r} is no number')
+                raise BadEventError(f'event id {text[:20]!r} is not a number')
             return Event(int(text), data)
     return Event(None, data)
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -1,4 +1,4 @@
-"""One request, from its decision to the last byte of its answer."""
+"""Handling of one request, from admission to the end of its reply."""
 
 import asyncio
 
@@ -7,40 +7,40 @@
 from catkinshunt import dispatch
 from catkinshunt import errors
 from catkinshunt.gateway import _admission
+from catkinshunt.gateway import _permit_search
+from catkinshunt.gateway import _quarantine_check
 from catkinshunt.gateway import _relay
-from catkinshunt.gateway import _seat
 from catkinshunt.gateway import _selection
-from catkinshunt.gateway import _suspicion
 from catkinshunt.gateway import base
 from catkinshunt import http1
 from catkinshunt import logs
 from catkinshunt import places
 from catkinshunt import retries
 
-#: Seconds for which a request waits for an upstream that may take it.
-HOLD_S = 1.0
-#: Seconds after which a caller may come back when none was there by then.
+#: Seconds for which a request waits for an eligible upstream.
+UPSTREAM_WAIT_S = 1.0
+#: `Retry-After` in seconds if there was none by then.
 NO_UPSTREAM_RETRY_S = 0.8
-#: Priority at an engine by rank, from 0 (first) to 9; 5 is the usual one.
-PRIORITIES = {
+#: Priority at an engine by rank, from 0 (highest) to 9; 5 is the default.
+PRIORITY_BY_RANK = {
     dispatch.Rank.ON_TIME: 4,
     dispatch.Rank.AT_RISK: 6,
     dispatch.Rank.LATE: 7,
 }
-#: Share of the retry burst that is kept for requests at upstreams that break
-#: or stand still.
-MOVE_SHARE = 0.5
-#: Seconds after the signal to stop in which new requests are still served:
-#: the balancer needs two of its questions, a second apart, to notice.
-STOPPING_SERVES_S = 3.0
-#: Smallest time left that is worth a try, in seconds.
-LEAST_LEFT_S = 0.02
+#: Share of the retry burst reserved for requests at upstreams that fail or
+#: become unresponsive.
+FAILOVER_RESERVE_SHARE = 0.5
+#: Seconds after the stop signal in which new requests are still accepted. The
+#: load balancer needs two health checks, a second apart, to notice.
+STOP_ACCEPT_S = 3.0
+#: Least time to the deadline for an attempt, in seconds.
+MIN_REMAINING_S = 0.02
 
 _log = logs.get_logger('exchange')
 
 
-class LateError(errors.OutcomeUnknownError):
-    """The time of the request is over; it may have run."""
+class DeadlineExceededError(errors.OutcomeUnknownError):
+    """The deadline of the request has passed; it may have run."""
 
     status = 504
     code = 'late'
@@ -48,29 +48,29 @@
 
 @attrs.define
 class Progress:
-    """What was sent to the caller, and what was tried.
+    """Progress of one request.
 
     Attributes:
-        head_sent: the head of the answer is with the caller.
-        last_id: id of the last event passed on, or None.
-        sends: tries whose request was sent.
+        head_sent: the head of the reply was sent to the client.
+        last_event_id: id of the last event relayed, or None.
+        sends: attempts whose request was sent to an upstream.
         may_have_run: one of them may have run.
         tried: keys of the upstreams that were tried.
         reloading: those of them that are about to load another version.
-        hold_until: when it stops waiting for an upstream, or None.
-        notes: one word on each try, for the log.
-        first_s: seconds until the first byte of the answer, or None.
-        waited_s: seconds for which it waited for an upstream.
-        before_s: seconds that its caller had waited before it asked.
+        wait_until: end of the wait for an eligible upstream, or None.
+        notes: short texts on each attempt, for the log.
+        first_s: seconds to the first byte of the reply, or None.
+        waited_s: seconds spent waiting for an upstream or a permit.
+        before_s: seconds that the client had waited before this request.
     """
 
     head_sent: bool = False
-    last_id: int | None = None
+    last_event_id: int | None = None
     sends: int = 0
     may_have_run: bool = False
     tried: set = attrs.field(factory=set)
     reloading: set = attrs.field(factory=set)
-    hold_until: float | None = None
+    wait_until: float | None = None
     notes: list = attrs.field(factory=list)
     first_s: float | None = None
     waited_s: float = 0.0
@@ -78,11 +78,11 @@
 
 
 class Exchange:
-    """Answers one request of a caller.
+    """Answers one request of a client.
 
     Args:
         context: `Context` of the gateway.
-        conn: `http1.ServerConnection` of the caller.
+        conn: `http1.ServerConnection` of the client.
         req: the `http1.Request`.
     """
 
@@ -90,214 +90,214 @@
         self.context = context
         self.conn = conn
         self.req = req
-        self.ask = None
+        self.info = None
         self.decision = None
         self.selection = None
-        self.suspicion = None
+        self.quarantine_check = None
         self.progress = Progress()
-        self.end_at = None
+        self.deadline = None
 
     async def run(self):
-        """Answer the request; return whether the connection stays usable."""
-        outcome, reason = 'left', 'the caller closed the connection'
+        """Answer the request; return whether to keep the connection."""
+        outcome, reason = 'left', 'the client closed the connection'
         try:
             await self._answer()
             outcome, reason = 'answered', None
         except errors.RequestError as exc:
             outcome, reason = exc.code, str(exc)
-            return self._refuse(exc)
+            return self._reply_error(exc)
         finally:
-            self._record(outcome, reason)
-        return self._keeps()
+            self._record_outcome(outcome, reason)
+        return self._keeps_alive()
 
     async def _answer(self):
         now = self.context.clock()
-        self.ask = self.context.dialect.decode_request(self.req)
+        self.info = self.context.dialect.decode_request(self.req)
         stopping = self.context.stopping_since
-        if stopping is not None and now - stopping > STOPPING_SERVES_S:
+        if stopping is not None and now - stopping > STOP_ACCEPT_S:
             raise errors.LeavingError(
-                'this process stops',
+                'this process is stopping',
                 step='admit',
                 retry_after_s=_admission.STOPPING_RETRY_S,
             )
-        await self._wait_for_state(now)
+        await self._wait_for_configuration(now)
         self.decision = _admission.decide(
             self.context.catalog,
-            self.ask,
+            self.info,
             self.context.random.random(),
             self.context.wall(),
         )
         self.selection = _selection.Selection(
-            self.context, self.ask, self.decision
+            self.context, self.info, self.decision
         )
-        self.suspicion = _suspicion.Suspicion(
+        self.quarantine_check = _quarantine_check.QuarantineCheck(
             self.context.guard,
             self.req,
-            self.ask.host,
+            self.info.host,
             self.decision.account,
         )
         limit_s = self.decision.serve.timeout_s
-        if self.ask.deadline_s is not None:
-            limit_s = min(limit_s, self.ask.deadline_s)
+        if self.info.deadline_s is not None:
+            limit_s = min(limit_s, self.info.deadline_s)
             self.progress.before_s = self.context.return_detector.waited_s(
-                self.decision.service, self.ask.deadline_s, now
+                self.decision.service, self.info.deadline_s, now
             )
-        self.end_at = self.req.received_at + limit_s
-        if self.ask.last_event_id:
-            self.progress.last_id = int(self.ask.last_event_id)
+        self.deadline = self.req.received_at + limit_s
+        if self.info.last_event_id:
+            self.progress.last_event_id = int(self.info.last_event_id)
         self.context.retry_budget(self.decision.service).offer()
         try:
-            async with asyncio.timeout(self.end_at - self.context.clock()):
-                await self._try_all()
+            async with asyncio.timeout(self.deadline - self.context.clock()):
+                await self._run_attempts()
         except TimeoutError as exc:
-            raise self._late() from exc
+            raise self._timeout_error() from exc
 
-    async def _wait_for_state(self, now):
-        """Wait for a moment where this process has just started.
+    async def _wait_for_configuration(self, now):
+        """Wait for the first configuration after the start of the process.
 
-        After a loss of power all callers come at once, to entries that will
-        know the configuration in less than a second. Refused, they come back
-        to another one that does not know it either, and have no try left.
+        After a power failure all clients connect at once, to entries that
+        load the configuration within a second. If rejected, a client would
+        retry at another entry without configuration until it gives up.
         """
         catalog = self.context.catalog
         if catalog.is_loaded:
             return
-        hold_s = min(HOLD_S, self.ask.deadline_s or HOLD_S)
-        self.progress.hold_until = now + hold_s
+        wait_s = min(UPSTREAM_WAIT_S, self.info.deadline_s or UPSTREAM_WAIT_S)
+        self.progress.wait_until = now + wait_s
         try:
-            async with asyncio.timeout(hold_s):
+            async with asyncio.timeout(wait_s):
                 while not catalog.is_loaded:
                     await catalog.wait_for_change()
         except TimeoutError:
-            # What is missing is told by the decision that follows.
+            # The admission that follows raises the error.
             return
         finally:
             self.progress.waited_s += self.context.clock() - now
 
-    def _late(self):
+    def _timeout_error(self):
         if not self.progress.sends:
             return errors.OverloadedError(
-                'no upstream took it in time', step='dispatch'
+                'no upstream accepted it in time', step='dispatch'
             )
-        return LateError('the time of the request is over', step='answer')
+        return DeadlineExceededError('deadline exceeded', step='answer')
 
-    # Tries.
+    # Attempts.
 
-    async def _try_all(self):
+    async def _run_attempts(self):
         while True:
             self._check_quarantine()
-            candidate = await self._choose()
-            finder = _seat.SeatFinder(
+            candidate = await self._choose_upstream()
+            search = _permit_search.PermitSearch(
                 self.context,
                 self.selection,
                 self.progress,
-                self._waited_s(),
+                self._client_wait_s(),
                 self.decision.serve.goal_s,
             )
             try:
-                await self._send(await self._find_seat(finder, candidate))
+                await self._run_attempt(
+                    await self._acquire_permit(search, candidate)
+                )
                 return
             except places.ReloadingError as exc:
                 self.progress.notes.append(str(exc))
             except errors.RequestError as exc:
                 self.progress.notes.append(str(exc))
-                self._judge(exc)
+                self._check_retry(exc)
             finally:
-                finder.close()
+                search.close()
 
     def _check_quarantine(self):
         try:
-            self.suspicion.check()
-        except _suspicion.QuarantinedError as exc:
-            raise self._final(exc) from exc
+            self.quarantine_check.check()
+        except _quarantine_check.QuarantinedError as exc:
+            raise self._final_error(exc) from exc
 
-    async def _find_seat(self, finder, candidate):
-        """Return the candidate that has a place; any where none is needed."""
-        if self.selection.engine() is None:
+    async def _acquire_permit(self, search, candidate):
+        """Return a candidate with a permit, or any if none is needed."""
+        if self.selection.engine_profile() is None:
             return candidate
         if not self.context.permit_client.is_started:
             return candidate
         began = self.context.clock()
         try:
-            found = await finder.find(candidate)
+            found = await search.find(candidate)
             self._check_version(found)
             return found
         except places.NoPermitError:
             if not self.progress.head_sent:
                 raise
-            # Its caller is reading; the engine takes it before others.
+            # The client is reading the stream; engines give it precedence.
             return candidate
         finally:
             self.progress.waited_s += self.context.clock() - began
 
     def _check_version(self, candidate):
-        """Refuse an engine whose time ran out while a place was waited for.
+        """Reject an engine whose version expired while a permit was awaited.
 
         Raises:
-            places.ReloadingError: no request may begin there any more.
+            places.ReloadingError: its version is too old to begin on.
         """
         if not self.selection.is_outdated(candidate.upstream, 0.0):
             return
         self.progress.reloading.add(candidate.upstream.key)
         raise places.ReloadingError(
-            f'{candidate.upstream.id}: its version is too old by now',
+            f'{candidate.upstream.id}: version became too old',
             step='take-place',
         )
 
-    def _judge(self, exc):
-        """Raise what the request ends with unless it may be tried again."""
+    def _check_retry(self, exc):
+        """Raise the final error unless the request may be retried."""
         progress = self.progress
         serve = self.decision.serve
         if isinstance(exc, places.NoPermitError):
-            raise self._final(exc)
+            raise self._final_error(exc)
         progress.may_have_run |= exc.ran != 'no'
         policy = retries.RetryPolicy(
             self.context.retry_budget(self.decision.service)
             if progress.sends
             else None,
             max_tries=serve.max_tries,
-            least_left_s=LEAST_LEFT_S,
-            reserve=self.context.retry_burst * MOVE_SHARE,
+            least_left_s=MIN_REMAINING_S,
+            reserve=self.context.retry_burst * FAILOVER_RESERVE_SHARE,
         )
-        verdict = policy.check(
+        retry = policy.check(
             exc,
             serve.repeatable,
             progress.sends,
-            self.end_at,
+            self.deadline,
             self.context.clock(),
         )
-        progress.notes.append(
-            f'{verdict.grounds}, again {verdict.should_retry}'
-        )
-        if verdict.should_retry:
+        progress.notes.append(f'{retry.grounds}, retry {retry.should_retry}')
+        if retry.should_retry:
             return
-        raise self._final(exc)
+        raise self._final_error(exc)
 
-    def _final(self, exc):
+    def _final_error(self, exc):
         if self.progress.may_have_run and exc.ran == 'no':
             return errors.OutcomeUnknownError(
-                'an earlier try may have run', step='dispatch'
+                'an earlier attempt may have run', step='dispatch'
             )
         return exc
 
-    async def _choose(self):
-        """Return the `dispatch.Candidate` for the next try.
+    async def _choose_upstream(self):
+        """Return the `dispatch.Candidate` for the next attempt.
 
-        Where no upstream can take the request yet, such as while all load
-        the version that is due, it waits for one for a moment.
+        If no upstream is eligible, such as while all of them load a version
+        that is due, waits for one for up to `UPSTREAM_WAIT_S`.
         """
         progress = self.progress
-        if progress.hold_until is None:
-            progress.hold_until = self.context.clock() + HOLD_S
+        if progress.wait_until is None:
+            progress.wait_until = self.context.clock() + UPSTREAM_WAIT_S
         while True:
             candidate = self.selection.find_next(progress)
             if candidate is not None:
                 return candidate
-            left_s = progress.hold_until - self.context.clock()
+            left_s = progress.wait_until - self.context.clock()
             if left_s <= 0 or not self._may_wait():
-                raise self._final(
+                raise self._final_error(
                     errors.OverloadedError(
-                        'no upstream is there',
+                        'no upstream is available',
                         step='choose-upstream',
                         retry_after_s=NO_UPSTREAM_RETRY_S,
                     )
@@ -305,29 +305,31 @@
             began = self.context.clock()
             await self.selection.wait_for_change(left_s)
             progress.waited_s += self.context.clock() - began
-            # What loaded a version may take the request now.
+            # Upstreams that finished loading are eligible again.
             progress.tried -= progress.reloading
             progress.reloading.clear()
 
     def _may_wait(self):
-        return not self.progress.sends and self.selection.is_worth_waiting()
+        return (
+            not self.progress.sends and self.selection.may_become_available()
+        )
 
-    async def _send(self, candidate):
-        """Make one try; raises an `errors.RequestError` where it failed."""
-        # It may have been barred while it waited for a place.
-        self.suspicion.check()
+    async def _run_attempt(self, candidate):
+        """Make one attempt; raise an `errors.RequestError` if it fails."""
+        # It may have been quarantined while it waited for a permit.
+        self.quarantine_check.check()
         state = candidate.state
         job = state.begin(self.selection.make_job(), self.context.clock())
         job.predicted_s = candidate.delay_s
         job.rank = self._rank(candidate)
         try:
-            await self._send_job(candidate, job)
+            await self._send_attempt(candidate, job)
             state.record_success(self.context.clock())
-            self.suspicion.note_completion()
+            self.quarantine_check.record_completion()
         except errors.RefusedError:
             raise
-        except _relay.BrokenOffError:
-            self.suspicion.note_break(candidate.upstream)
+        except _relay.ConnectionLostError:
+            self.quarantine_check.record_broken_connection(candidate.upstream)
             state.record_failure(self.context.clock())
             raise
         except errors.RequestError:
@@ -336,33 +338,35 @@
         finally:
             state.end(job)
 
-    async def _send_job(self, candidate, job):
+    async def _send_attempt(self, candidate, job):
         pool = self.context.pool(candidate.upstream)
         conn = await self._connect(pool, candidate.state)
         self.progress.notes.append(f'sent as {job.rank.name.lower()}')
         self.progress.sends += 1
         sent_at = self.context.clock()
-        whole = False
+        is_reusable = False
         try:
             conn.send(*self._request_bytes(candidate.upstream, job))
             relay = _relay.Relay(self, conn, candidate, job, pool.peer)
-            whole = await relay.run()
+            is_reusable = await relay.run()
         except asyncio.CancelledError:
-            # The caller left, or its time is over, before the first byte.
+            # The client disconnected or the deadline passed. Without a first
+            # byte, the time so far is a lower bound of the delay.
             now = self.context.clock()
             if not job.answering and not candidate.state.is_unresponsive(now):
-                self.learn_delay(job, now - sent_at)
+                self.record_delay(job, now - sent_at)
             raise
         finally:
-            if whole:
+            if is_reusable:
                 pool.give_back(conn)
             else:
                 conn.reset()
 
     async def _connect(self, pool, state):
         """Return a connection to an upstream."""
-        # On a connection that lay idle a request can be lost without a sign
-        # whether it ran; what must not run twice takes a new one.
+        # An upstream may close an idle connection as the request arrives, and
+        # whether it ran is then unknown. Requests that must not run twice use
+        # a new connection.
         fresh = not self.decision.serve.repeatable
         try:
             return await pool.take(fresh=fresh)
@@ -371,17 +375,17 @@
             raise
 
     def _request_bytes(self, upstream, job):
-        left_s = self.end_at - self.context.clock()
-        last_id = self.progress.last_id
-        forward = base.AttemptInfo(
+        left_s = self.deadline - self.context.clock()
+        last_event_id = self.progress.last_event_id
+        attempt = base.AttemptInfo(
             upstream.id,
             left_s,
             self.decision.account,
-            '' if last_id is None else str(last_id),
+            '' if last_event_id is None else str(last_event_id),
             self._priority(job),
         )
         items = self.context.dialect.upstream_headers(
-            self.req, self.ask, forward
+            self.req, self.info, attempt
         )
         if self.req.body or self.req.method in ('POST', 'PUT', 'PATCH'):
             items.append(('Content-Length', str(len(self.req.body))))
@@ -389,88 +393,94 @@
         return http1.dump_head(first, items), self.req.body
 
     def _rank(self, candidate):
-        """Return the `dispatch.Rank` of the request at an upstream."""
+        """Return the `dispatch.Rank` of the request in the engine's queue."""
         if self.progress.head_sent:
-            # The caller is reading, and leaves where the stream stands still
-            # for long; late ones wait for seconds in a burst.
+            # The client is reading the stream and disconnects if it stalls;
+            # requests of a lower rank wait for seconds in a burst.
             return dispatch.Rank.ON_TIME
         now = self.context.clock()
-        return self.context.forecast(self.decision.service).rank(
+        return self.context.delay_corrector(self.decision.service).rank(
             now - self.req.received_at + self.progress.before_s,
             candidate.delay_s,
             self.decision.serve.goal_s,
             now,
         )
 
-    def _waited_s(self):
-        """Return for how long the caller has waited since it first asked.
+    def _client_wait_s(self):
+        """Return the seconds since the client first sent the request.
 
-        None for one that is reading already.
+        None if the client is already reading the reply.
         """
         if self.progress.head_sent:
             return None
-        held_s = self.context.clock() - self.req.received_at
-        return held_s + self.progress.before_s
+        elapsed_s = self.context.clock() - self.req.received_at
+        return elapsed_s + self.progress.before_s
 
-    def learn_delay(self, job, delay_s):
-        """Take in the seconds that a try took to its first byte."""
+    def record_delay(self, job, delay_s):
+        """Record the time to the first byte of an attempt, in seconds."""
         if job.rank == dispatch.Rank.ON_TIME:
-            forecast = self.context.forecast(self.decision.service)
-            forecast.observe(job.predicted_s, delay_s, self.context.clock())
+            delay_corrector = self.context.delay_corrector(
+                self.decision.service
+            )
+            delay_corrector.observe(
+                job.predicted_s, delay_s, self.context.clock()
+            )
 
     def _priority(self, job):
-        """Return the rank of the request at an engine, or None."""
-        if self.selection.engine() is None:
+        """Return the priority at an engine; None for a plain service."""
+        if self.selection.engine_profile() is None:
             return None
-        return PRIORITIES[job.rank]
+        return PRIORITY_BY_RANK[job.rank]
 
-    def can_move(self):
-        """Return whether a try may be given up for one elsewhere."""
+    def can_fail_over(self):
+        """Return whether to abandon the attempt and retry elsewhere."""
         if not self.decision.serve.repeatable:
             return False
         if self.progress.sends >= self.decision.serve.max_tries:
             return False
-        # With the budget spent the request would end here, while the
-        # upstream that it waits for may still answer.
+        # With the retry budget spent the request would fail, while the
+        # current upstream may still answer.
         if not self.context.retry_budget(self.decision.service).has_token():
             return False
-        return self.selection.has_other(self.progress.tried)
+        return self.selection.has_untried(self.progress.tried)
 
-    # What the caller gets.
+    # Replies to the client.
 
-    def _keeps(self):
+    def _keeps_alive(self):
         return self.req.keep_alive and self.context.stopping_since is None
 
-    def closing_items(self):
-        """Return the headers that tell whether the connection stays."""
-        return [] if self._keeps() else [('Connection', 'close')]
+    def connection_headers(self):
+        """Return the header items on the state of the connection."""
+        return [] if self._keeps_alive() else [('Connection', 'close')]
 
-    def note_first(self):
-        """Note that the answer has begun."""
+    def record_first_byte(self):
+        """Record the time to the first byte of the reply."""
         if self.progress.first_s is None:
             self.progress.first_s = self.context.clock() - self.req.received_at
 
-    def _refuse(self, exc):
-        """Answer with an error of our own; return whether to go on."""
+    def _reply_error(self, exc):
+        """Send an error reply; return whether to keep the connection."""
         if self.progress.head_sent:
-            # A proper end would make the broken answer look whole.
+            # A regular end would make the truncated reply look complete.
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
             self.context.return_detector.record_rejection(self.context.clock())
-        items = self.context.dialect.reply_headers(self.ask)
+        items = self.context.dialect.reply_headers(self.info)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
-        keeps = self._keeps() and not isinstance(exc, _admission.StaleError)
-        if not keeps:
+        keeps_alive = self._keeps_alive() and not isinstance(
+            exc, _admission.StaleError
+        )
+        if not keeps_alive:
             items.append(('Connection', 'close'))
         body = f'{exc.code}: {exc.message}\n'.encode()
         items.append(('Content-Type', 'text/plain'))
         self.conn.write(http1.dump_reply(exc.status, items, body))
-        return keeps
+        return keeps_alive
 
-    def _record(self, outcome, reason):
-        """Count the request and write the line on it."""
+    def _record_outcome(self, outcome, reason):
+        """Update the metrics and log the outcome of the request."""
         now = self.context.clock()
         decision = self.decision
         service = decision.service if decision else ''
@@ -480,9 +490,9 @@
         age_s = self.context.catalog.age_s(self.context.wall())
         _log.info(
             'Request {} ended as {}.',
-            self.ask.id if self.ask else '?',
+            self.info.id if self.info else '?',
             outcome,
-            request=self.ask.id if self.ask else None,
+            request=self.info.id if self.info else None,
             outcome=outcome,
             reason=reason,
             service=service,
@@ -494,13 +504,13 @@
             waited_s=_rounded(self.progress.waited_s),
             tries=self.progress.notes,
             sends=self.progress.sends,
-            events_to=self.progress.last_id,
+            events_to=self.progress.last_event_id,
             first_s=_rounded(self.progress.first_s),
             took_s=_rounded(now - self.req.received_at),
         )
 
     def _revision(self):
-        """Return the revision that decided, also on a refused request."""
+        """Return the revision in force, also for a rejected request."""
         if self.decision is not None:
             return self.decision.revision
         declaration = self.context.catalog.declaration
--- /dev/null
+++ b/catkinshunt/gateway/_permit_search.py
@@ -0,0 +1,328 @@
+"""Finds an engine with a permit for one attempt of a request."""
+
+import asyncio
+
+import attrs
+
+from catkinshunt import dispatch
+from catkinshunt import errors
+from catkinshunt import places
+
+#: Most sidecars that answer a permit request. The first one may queue it, the
+#: others grant or reject at once, since an entry cannot see the load that
+#: other entries put on an engine. Each one costs a round trip.
+MAX_SIDECARS = 3
+#: Reply timeout in seconds after a sidecar did not answer. It bounds the delay
+#: if no sidecar answers; on most links a running one has answered by then.
+NEXT_REPLY_TIMEOUT_S = 0.05
+#: Seconds to wait for a queued permit before an engine with an unresponsive
+#: sidecar is used.
+QUEUED_PREFERENCE_S = 0.05
+#: Seconds within which an engine with an unresponsive sidecar must accept a
+#: connection to get a request; as long as a permit request may take. A request
+#: sent over a saturated link cannot be cancelled, and arrives after its client
+#: has left.
+PROBE_TIMEOUT_S = places.REPLY_TIMEOUT_S * places.MAX_SENDS
+#: Most such engines that are probed.
+MAX_PROBES = 2
+#: Share of an engine's slots that one entry uses without permits while the
+#: sidecar is unresponsive; other entries do the same.
+NO_PERMIT_SLOT_SHARE = 0.25
+#: Seconds before a version is due from which an engine with the previous one
+#: and an unresponsive sidecar gets no request: no sidecar rejects requests
+#: that come too late, and a saturated link that delays its replies delays
+#: them too.
+NO_PERMIT_VERSION_LEAD_S = 1.5
+#: Seconds for which an interrupted stream waits for a permit elsewhere; after
+#: a longer pause the client disconnects.
+FAILOVER_WAIT_S = 0.2
+#: Back-off in seconds of an engine that is about to load another version. It
+#: ends early when the engine lists other versions.
+RELOAD_PAUSE_S = 2.5
+
+
+@attrs.define(eq=False)
+class _PendingRequest:
+    """A permit request at the sidecar of one candidate.
+
+    Attributes:
+        is_counted: it counts as waiting in the state of the upstream.
+    """
+
+    candidate: dispatch.Candidate
+    handle: places.PermitHandle
+    is_counted: bool = True
+
+    def uncount(self):
+        """Stop counting it as waiting."""
+        if self.is_counted:
+            self.candidate.state.asking -= 1
+            self.is_counted = False
+
+
+class PermitSearch:
+    """Requests permits from sidecars until one is granted.
+
+    The permit is held until `close`.
+
+    Args:
+        context: `Context` of the gateway.
+        selection: the `Selection` of the request.
+        progress: the `Progress` of the request.
+        waited_s: seconds that the client has waited; None for a stream that
+            is resumed elsewhere.
+        goal_s: target for the time to the first token, in seconds.
+    """
+
+    def __init__(self, context, selection, progress, waited_s, goal_s):
+        self.context = context
+        self.selection = selection
+        self.progress = progress
+        self.waited_s = waited_s
+        self.goal_s = goal_s
+        self._began = context.clock()
+        self._pending = []
+
+    async def find(self, candidate):
+        """Return the `dispatch.Candidate` to send the request to.
+
+        Args:
+            candidate: the first one to request a permit for.
+
+        Raises:
+            places.NoPermitError: no permit was granted in time.
+            places.ReloadingError: all are about to load another version.
+        """
+        answered, queued, unresponsive = 0, None, []
+        any_unanswered = False
+        while candidate is not None and answered < MAX_SIDECARS:
+            responsive = self._is_responsive(candidate.upstream)
+            pending = None
+            if responsive:
+                pending = await self._request_permit(
+                    candidate, answered > 0, any_unanswered
+                )
+            reply = pending.handle.reply if pending is not None else None
+            if isinstance(reply, places.PermitGranted):
+                return self._keep_only(candidate, pending)
+            if isinstance(reply, places.PermitQueued):
+                queued = pending
+            if reply is None:
+                any_unanswered |= responsive
+                unresponsive.append(candidate)
+                if len(unresponsive) >= MAX_PROBES:
+                    break
+            elif not _is_reloading(reply):
+                answered += 1
+            candidate = self.selection.find_next(
+                self.progress, self._is_responsive
+            )
+        if queued is not None and await self._wait_for_grant(
+            queued, QUEUED_PREFERENCE_S
+        ):
+            return self._keep_only(queued.candidate, queued)
+        found = await self._find_without_permit(unresponsive)
+        if found is not None:
+            return self._keep_only(found)
+        if queued is not None and await self._wait_for_grant(queued):
+            return self._keep_only(queued.candidate, queued)
+        raise self._rejection()
+
+    async def _wait_for_grant(self, pending, timeout_s=None):
+        """Return whether a queued permit is granted within `timeout_s` s."""
+        try:
+            async with asyncio.timeout(timeout_s):
+                reply = await pending.handle.final_reply()
+        except TimeoutError:
+            return False
+        return isinstance(reply, places.PermitGranted)
+
+    def _is_responsive(self, upstream):
+        return self.context.permit_client.is_responsive(upstream.address[0])
+
+    def _is_unresponsive(self, upstream):
+        return not self._is_responsive(upstream)
+
+    async def _find_without_permit(self, unresponsive):
+        """Return a candidate with an unresponsive sidecar, or None.
+
+        A sidecar may be starting, or be behind a saturated link. In the
+        latter case the engine does not accept a connection soon either.
+
+        Args:
+            unresponsive: candidates whose sidecars just did not answer.
+        """
+        probed = 0
+        while probed < MAX_PROBES:
+            if unresponsive:
+                candidate = unresponsive.pop(0)
+            else:
+                candidate = self.selection.find_next(
+                    self.progress, self._is_unresponsive
+                )
+            if candidate is None:
+                return None
+            probed += 1
+            if not self._may_send_without_permit(candidate):
+                continue
+            accepts = await self._accepts_connection(candidate)
+            # Other requests may have been sent there during the probe.
+            if accepts and self._may_send_without_permit(candidate):
+                return candidate
+        return None
+
+    async def _accepts_connection(self, candidate):
+        """Return whether an engine accepts a connection in time."""
+        pool = self.context.pool(candidate.upstream)
+        try:
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
+                conn = await pool.take(fresh=True)
+        except TimeoutError:
+            self._add_note(candidate, 'connect timed out')
+            return False
+        except errors.RefusedError as exc:
+            self._add_note(candidate, str(exc))
+            candidate.state.back_off(self.context.clock())
+            return False
+        pool.give_back(conn)
+        self._add_note(candidate, 'accepted a connection')
+        return True
+
+    def _add_note(self, candidate, text):
+        self.progress.notes.append(f'{candidate.upstream.id}: {text}')
+
+    def _may_send_without_permit(self, candidate):
+        """Return whether to use an engine with an unresponsive sidecar.
+
+        No sidecar counts the requests of all entries there. Without a limit,
+        an overload would send it everything that others reject.
+        """
+        upstream = candidate.upstream
+        if self.selection.is_outdated(upstream, NO_PERMIT_VERSION_LEAD_S):
+            return False
+        max_jobs = upstream.slots * NO_PERMIT_SLOT_SHARE
+        return len(candidate.state.jobs) < max(1, max_jobs)
+
+    def close(self):
+        """Release the permit and withdraw all requests for one."""
+        self._keep_only(None)
+
+    def _keep_only(self, candidate, kept=None):
+        """End all permit requests but one; return the candidate."""
+        for pending in self._pending:
+            pending.uncount()
+            if pending is not kept:
+                pending.handle.end()
+        self._pending = [kept] if kept is not None else []
+        return candidate
+
+    async def _request_permit(self, candidate, no_wait, short_timeout):
+        """Return a `_PendingRequest` with its first reply, or None.
+
+        Args:
+            candidate: the one to request a permit for.
+            no_wait: whether the sidecar must reject instead of queueing.
+            short_timeout: whether to use the shorter reply timeout.
+        """
+        handle = self.context.permit_client.request(
+            _host(candidate),
+            lambda number: self._make_request(number, candidate, no_wait),
+        )
+        pending = _PendingRequest(candidate, handle)
+        self._pending.append(pending)
+        candidate.state.asking += 1
+        try:
+            async with asyncio.timeout(
+                NEXT_REPLY_TIMEOUT_S if short_timeout else None
+            ):
+                await handle.first_reply()
+        except TimeoutError:
+            pass
+        self._record_reply(pending)
+        if handle.reply is not None:
+            return pending
+        # A permit granted after the timeout is released for other requests.
+        self._pending.remove(pending)
+        pending.uncount()
+        handle.end()
+        return None
+
+    def _make_request(self, number, candidate, no_wait):
+        """Return the `places.PermitRequest` for a candidate."""
+        engine = self.selection.engine_profile()
+        job = self.selection.make_job()
+        resumed = self.waited_s is None
+        if resumed:
+            wait_s = FAILOVER_WAIT_S
+        else:
+            elapsed_s = self.context.clock() - self._began
+            wait_s = self.goal_s - self.waited_s - elapsed_s
+            wait_s -= dispatch.first_token_s(engine, job)
+        return places.PermitRequest(
+            number=number,
+            wait_s=round(max(0.0, wait_s), 3),
+            occupancy_s=round(dispatch.occupancy_s(engine, job), 3),
+            prefill_s=round(dispatch.prefill_s(engine, job), 4),
+            slots=candidate.upstream.slots,
+            no_wait=no_wait,
+            late=wait_s <= 0,
+            resumed=resumed,
+        )
+
+    def _record_reply(self, pending):
+        """Update the state of the upstream from a sidecar's reply."""
+        reply = pending.handle.reply
+        upstream, state = pending.candidate.upstream, pending.candidate.state
+        self.progress.notes.append(_describe(reply, upstream))
+        if reply is None:
+            return
+        if _is_reloading(reply):
+            self.progress.reloading.add(upstream.key)
+            now = self.context.clock()
+            state.rest(now, RELOAD_PAUSE_S, upstream.versions)
+            return
+        slots = upstream.slots
+        if isinstance(reply, places.PermitGranted):
+            load = dispatch.Load(reply.in_use, 0, slots)
+        else:
+            load = dispatch.Load(slots, 1, slots)
+        state.report(load, self.context.clock())
+
+    def _rejection(self):
+        """Return the error for a request that got no permit."""
+        rejected = [
+            pending.handle.reply
+            for pending in self._pending
+            if isinstance(pending.handle.reply, places.PermitRejected)
+        ]
+        full = [reply for reply in rejected if not _is_reloading(reply)]
+        if rejected and not full:
+            return places.ReloadingError(
+                'all engines are about to reload', step='take-place'
+            )
+        return places.NoPermitError(
+            f'no engine has a free permit ({len(full)} full)',
+            step='take-place',
+            peer=', '.join(
+                _host(pending.candidate) for pending in self._pending
+            ),
+            retry_after_s=full[0].retry_after_s if full else None,
+        )
+
+
+def _host(candidate):
+    return candidate.upstream.address[0]
+
+
+def _is_reloading(reply):
+    rejected = isinstance(reply, places.PermitRejected)
+    return rejected and reply.reason == places.RELOADING
+
+
+def _describe(reply, upstream):
+    """Return a log note on a reply."""
+    if reply is None:
+        return f'{upstream.id}: sidecar unresponsive'
+    if isinstance(reply, places.PermitRejected):
+        return f'{upstream.id}: rejected, {reply.reason}'
+    return f'{upstream.id}: {reply.kind}'
--- a/catkinshunt/gateway/tests/scene.py
+++ b/catkinshunt/gateway/tests/harness.py
@@ -1,4 +1,4 @@
-"""A gateway between callers and fake upstreams, in one event loop."""
+"""Gateway between clients and fake upstreams, in one event loop."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,14 @@
 
 
 class FakeUpstream:
-    """Answers requests as told, and remembers them.
+    """Answers requests with a given function, and records their heads.
 
     Args:
         name: its id.
-        answer: coroutine function of (head, writer, upstream).
+        answer: coroutine function of (head, writer, upstream); it returns
+            'close' to close the connection.
+        service: name of its service.
+        versions: served version by model, or None.
     """
 
     def __init__(self, name, answer, service='plain', versions=None):
@@ -43,8 +46,8 @@
     def stop(self):
         self._server.close()
 
-    def entry(self, **changes):
-        """Return the `catalog.Upstream` that stands for this one."""
+    def listed(self, **changes):
+        """Return it as a `catalog.Upstream`."""
         fields = {
             'id': self.name,
             'service': self.service,
@@ -59,13 +62,13 @@
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = (await reader.readuntil(b'\r\n\r\n')).decode()
-                length = field(head, 'Content-Length')
+                length = header(head, 'Content-Length')
                 if length:
                     await reader.readexactly(int(length))
                 self.heads.append(head)
                 work = asyncio.ensure_future(self.answer(head, writer, self))
                 gone = asyncio.ensure_future(reader.read(1))
-                # An exception that nobody takes is printed at any moment.
+                # Retrieves the exception, which would be logged otherwise.
                 gone.add_done_callback(
                     lambda f: f.cancelled() or f.exception()
                 )
@@ -84,7 +87,7 @@
                     return
 
 
-def field(head, name):
+def header(head, name):
     """Return the value of a header in `head`, or ''."""
     for line in head.split('\r\n'):
         key, _, value = line.partition(':')
@@ -96,15 +99,15 @@
 def reply(head, status=200, body=b'done', items=()):
     """Return the bytes of an upstream's own reply."""
     items = [
-        ('Request-Id', field(head, 'Request-Id')),
+        ('Request-Id', header(head, 'Request-Id')),
         ('Stamp', 'stamp'),
         *items,
     ]
     return http1.dump_reply(status, items, body)
 
 
-def answering(status=200, body=b'done', items=()):
-    """Return an answer that replies at once."""
+def replying(status=200, body=b'done', items=()):
+    """Return an answer function that replies at once."""
 
     async def answer(head, writer, upstream):
         writer.write(reply(head, status, body, items))
@@ -112,9 +115,9 @@
     return answer
 
 
-def refusing():
-    """Return an answer that says that the request was not run."""
-    return answering(503, b'', [('Not-Run', '1')])
+def rejecting():
+    """Return an answer function that rejects with `Not-Run`."""
+    return replying(503, b'', [('Not-Run', '1')])
 
 
 def event(number):
@@ -122,32 +125,32 @@
 
 
 def streaming(last, breaks_after=None, hangs=False):
-    """Return an answer that sends events up to `last`.
+    """Return an answer function that sends events up to `last`.
 
     Args:
         last: number of the last event.
-        breaks_after: event after which the connection ends, or None.
-        hangs: whether it falls silent there instead.
+        breaks_after: event after which the connection is closed, or None.
+        hangs: whether the stream stalls there instead.
     """
 
     async def answer(head, writer, upstream):
-        begin = int(field(head, 'Last-Event-Id') or 0) + 1
+        first = int(header(head, 'Last-Event-Id') or 0) + 1
         writer.write(
             http1.dump_head(
                 http1.status_line(200),
                 [
-                    ('Request-Id', field(head, 'Request-Id')),
+                    ('Request-Id', header(head, 'Request-Id')),
                     ('Stamp', upstream.name),
                     ('Content-Type', 'text/event-stream'),
                     ('Transfer-Encoding', 'chunked'),
                 ],
             )
         )
-        for number in range(begin, last + 1):
+        for number in range(first, last + 1):
             writer.write(http1.dump_chunk(event(number)))
             await writer.drain()
             if number == breaks_after:
-                # Half an event comes too; the caller must not get it.
+                # The client must not get this incomplete event.
                 writer.write(http1.dump_chunk(event(number + 1)[:9]))
                 await writer.drain()
                 if hangs:
@@ -159,7 +162,7 @@
 
 
 def make_rules(**changes):
-    """Return rules for a plain, a booking and a streaming path."""
+    """Return rules for idempotent, booking, public and streaming paths."""
     plain = {'shares': [catalogs.Share('plain', 1)], 'timeout_s': 2.0}
     model = {'shares': [catalogs.Share('model', 1)], 'timeout_s': 6.0}
     kinds = {
@@ -190,7 +193,7 @@
     ]
 
 
-def declare(**changes):
+def make_declaration(**changes):
     """Return a declaration with an account and two services."""
     fields = {
         'revision': 1,
@@ -208,8 +211,8 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(*upstreams, retry_burst=10.0, guard=None, **changes):
-    """Start a gateway before `upstreams`; yields a `Scene`."""
+async def running_gateway(*upstreams, retry_burst=10.0, guard=None, **changes):
+    """Start a gateway for `upstreams`; yield a `GatewayHarness`."""
     loop = asyncio.get_running_loop()
     context = gateway.Context(
         catalog=catalogs.Catalog(key_trust_s=3.0),
@@ -224,43 +227,43 @@
         permit_client=places.PermitClient(0, loop.time, random.Random(3)),
         guard=guard,
     )
-    context.catalog.declare(declare(**changes))
+    context.catalog.declare(make_declaration(**changes))
     context.catalog.confirm(loop.time())
     for upstream in upstreams:
         await upstream.start()
-        context.catalog.put_upstream(upstream.entry())
+        context.catalog.put_upstream(upstream.listed())
     server = await gateway.Gateway(context).start('127.0.0.1', 0)
     try:
-        yield Scene(context, server)
+        yield GatewayHarness(context, server)
     finally:
         for upstream in upstreams:
             upstream.stop()
 
 
-class Scene:
+class GatewayHarness:
     """A running gateway."""
 
     def __init__(self, context, server):
         self.context = context
         self.server = server
 
-    async def open(self):
+    async def connect(self):
         """Return (reader, writer) of a new connection."""
         return await asyncio.open_connection('127.0.0.1', self.server.port)
 
     async def request(self, path, method='GET', body=b'', **headers):
         """Send one request; return (status, head, bytes of the body).
 
-        The body is None where the reply broke off.
+        The body is None if the reply was cut off.
         """
-        reader, writer = await self.open()
-        await send(writer, path, method, body, **headers)
+        reader, writer = await self.connect()
+        await send_request(writer, path, method, body, **headers)
         found = await read_reply(reader)
         writer.close()
         return found
 
 
-async def send(writer, path, method='GET', body=b'', **headers):
+async def send_request(writer, path, method='GET', body=b'', **headers):
     """Send one request."""
     fields = {
         'Host': HOST,
@@ -276,7 +279,7 @@
 
 
 async def read_reply(reader):
-    """Return (status, head, body) of a reply; the body None if broken."""
+    """Return (status, head, body); the body is None if cut off."""
     async with asyncio.timeout(10):
         try:
             head = (await reader.readuntil(b'\r\n\r\n')).decode()
@@ -290,8 +293,8 @@
 
 
 async def _read_body(reader, head):
-    if field(head, 'Transfer-Encoding') != 'chunked':
-        return await reader.readexactly(int(field(head, 'Content-Length')))
+    if header(head, 'Transfer-Encoding') != 'chunked':
+        return await reader.readexactly(int(header(head, 'Content-Length')))
     body = b''
     while True:
         size = int(await reader.readuntil(b'\r\n'), 16)
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -3,59 +3,59 @@
 import loguru
 import pytest
 
-from catkinshunt.gateway.tests import scene as scenes
+from catkinshunt.gateway.tests import harness
 
-field = scenes.field
+header = harness.header
 
 
 def run(main):
     return asyncio.run(main())
 
 
-def test_an_answer_comes_back_unchanged():
+def test_reply_is_relayed_unchanged():
     async def main():
-        upstream = scenes.FakeUpstream(
-            'u1', scenes.answering(201, b'booked', [('X-Own', 'kept')])
+        upstream = harness.FakeUpstream(
+            'u1', harness.replying(201, b'booked', [('X-Own', 'kept')])
         )
-        async with scenes.scene(upstream) as scene:
-            reply = await scene.request('/book/9', 'POST', b'die 4')
+        async with harness.running_gateway(upstream) as gateway:
+            reply = await gateway.request('/book/9', 'POST', b'die 4')
             return reply, upstream.heads
 
     (status, head, body), heads = run(main)
     assert (status, body) == (201, b'booked')
-    assert field(head, 'Stamp') == 'stamp'
-    assert field(head, 'X-Own') == 'kept'
+    assert header(head, 'Stamp') == 'stamp'
+    assert header(head, 'X-Own') == 'kept'
     assert len(heads) == 1
 
 
-def test_an_upstream_gets_the_account_and_never_the_key():
-    """The key of an account opens everything that the account may do.
+def test_upstream_gets_the_account_and_never_the_key():
+    """An upstream that got the API key could act as the account.
 
-    An upstream that got it could act as the account; and one that believed
-    the account named by the caller would serve anybody as anybody.
+    An account header sent by the client must not reach the upstream either,
+    or any client could act as any account.
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            await scene.request('/read/1', Account='somebody-else')
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            await gateway.request('/read/1', Account='somebody-else')
         return upstream.heads[0]
 
     head = run(main)
-    assert field(head, 'Account') == 'workshop'
+    assert header(head, 'Account') == 'workshop'
     assert 'k1' not in head
     assert 'somebody-else' not in head
 
 
-def test_an_upstream_is_told_less_time_than_the_caller_has():
-    """An upstream with more time than the caller works for nobody."""
+def test_upstream_deadline_is_shorter_than_the_clients():
+    """An upstream must not work on beyond the deadline of its client."""
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            await scene.request('/book/1', Left_Ms='700')
-            await scene.request('/book/1', Left_Ms='60000')
-        return [int(field(h, 'Left-Ms')) for h in upstream.heads]
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            await gateway.request('/book/1', Left_Ms='700')
+            await gateway.request('/book/1', Left_Ms='60000')
+        return [int(header(h, 'Left-Ms')) for h in upstream.heads]
 
     short, long = run(main)
     assert 600 <= short <= 700
@@ -72,52 +72,52 @@
         ('/open/1', '', 200),
     ],
 )
-def test_rules_and_keys_decide_who_is_served(path, key, status):
+def test_admission_by_rule_and_key(path, key, status):
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            found = await scene.request(path, Api_Key=key)
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            found = await gateway.request(path, Api_Key=key)
             return found[0], len(upstream.heads)
 
     assert run(main) == (status, 1 if status == 200 else 0)
 
 
-def test_keys_are_not_trusted_once_they_are_old():
-    """A key can be taken away while the store is out of reach.
+def test_stale_keys_are_not_accepted():
+    """A key can be revoked while the store is unreachable.
 
-    After a while without word from the store the process refuses requests
-    with keys, says when to come back, and closes the connection, so that the
-    caller reaches another process. Public paths go on.
+    Once the configuration is stale, requests with keys are rejected with
+    `Retry-After` and the connection is closed, so that the client reaches
+    another process. Public paths are still served.
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            base = scene.context.wall
-            scene.context.wall = lambda: base() + 3.5
-            ready = scene.server.is_ready()
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            base = gateway.context.wall
+            gateway.context.wall = lambda: base() + 3.5
+            ready = gateway.server.is_ready()
             return (
                 ready,
-                await scene.request('/read/1'),
-                await scene.request('/open/1', Api_Key=''),
+                await gateway.request('/read/1'),
+                await gateway.request('/open/1', Api_Key=''),
             )
 
     ready, (status, head, _), public = run(main)
     assert not ready
     assert status == 503
-    assert float(field(head, 'Retry-After')) > 0
-    assert field(head, 'Connection') == 'close'
+    assert float(header(head, 'Retry-After')) > 0
+    assert header(head, 'Connection') == 'close'
     assert public[0] == 200
 
 
-def test_the_line_of_a_refused_request_names_the_revision_in_force():
-    """Without it a 404 by an old configuration looks like a wrong path."""
+def test_log_line_of_a_rejected_request_has_the_revision():
+    """It tells a 404 by an outdated configuration from a wrong path."""
     records = []
     sink = loguru.logger.add(lambda line: records.append(line.record))
 
     async def main():
-        async with scenes.scene() as scene:
-            return await scene.request('/unknown/1')
+        async with harness.running_gateway() as gateway:
+            return await gateway.request('/unknown/1')
 
     try:
         status = run(main)[0]
@@ -132,201 +132,204 @@
 @pytest.mark.parametrize(
     ('path', 'key'), [('/unknown/1', 'k1'), ('/read/1', 'k9')]
 )
-def test_an_old_configuration_is_no_reason_to_deny(path, key):
-    """A newer one may have the path or the key; a denied caller is lost."""
+def test_stale_configuration_does_not_deny(path, key):
+    """A newer one may have the path or key; clients do not retry denials."""
 
     async def main():
-        async with scenes.scene() as scene:
-            base = scene.context.wall
-            early = await scene.request(path, Api_Key=key)
-            scene.context.wall = lambda: base() + 2.5
-            return early, await scene.request(path, Api_Key=key)
+        async with harness.running_gateway() as gateway:
+            base = gateway.context.wall
+            early = await gateway.request(path, Api_Key=key)
+            gateway.context.wall = lambda: base() + 2.5
+            return early, await gateway.request(path, Api_Key=key)
 
     early, (status, head, _) = run(main)
     assert early[0] in (401, 404)
     assert status == 503
-    assert float(field(head, 'Retry-After')) > 0
+    assert float(header(head, 'Retry-After')) > 0
 
 
-def test_nothing_known_is_no_reason_to_deny():
-    """A process that has just started knows no rule and no key.
+def test_missing_configuration_does_not_deny():
+    """A process that has just started has no rules and keys yet.
 
-    Denying for good would turn away callers that are in the right; it says
-    that the request was not run, and when to come back.
+    It must reject requests as retriable; a 404 or 401 would be final for
+    clients with a valid path and key.
     """
 
     async def main():
-        async with scenes.scene() as scene:
-            scene.context.catalog.declaration = None
-            return await scene.request('/read/1')
+        async with harness.running_gateway() as gateway:
+            gateway.context.catalog.declaration = None
+            return await gateway.request('/read/1')
 
     assert run(main)[0] == 503
 
 
-def test_a_request_waits_for_the_first_configuration():
-    """After a loss of power all come to entries that know nothing yet."""
+def test_request_waits_for_the_first_configuration():
+    """After a power failure all entries start without configuration."""
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            catalog = scene.context.catalog
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            catalog = gateway.context.catalog
             known, catalog.declaration = catalog.declaration, None
-            asked = asyncio.ensure_future(scene.request('/read/1'))
+            sent = asyncio.ensure_future(gateway.request('/read/1'))
             await asyncio.sleep(0.1)
-            early = asked.done()
+            early = sent.done()
             catalog.declare(known)
-            return early, (await asked)[0]
+            return early, (await sent)[0]
 
     assert run(main) == (False, 200)
 
 
-def test_a_refused_request_goes_to_another_upstream():
+def test_rejected_request_is_retried_at_another_upstream():
     async def main():
-        full = scenes.FakeUpstream('u1', scenes.refusing())
-        free = scenes.FakeUpstream('u2', scenes.answering())
-        async with scenes.scene(full, free) as scene:
-            found = [await scene.request('/read/1') for _ in range(4)]
+        full = harness.FakeUpstream('u1', harness.rejecting())
+        free = harness.FakeUpstream('u2', harness.replying())
+        async with harness.running_gateway(full, free) as gateway:
+            found = [await gateway.request('/read/1') for _ in range(4)]
             return [reply[0] for reply in found], len(full.heads)
 
-    statuses, refused = run(main)
+    statuses, rejected = run(main)
     assert statuses == [200] * 4
-    assert refused <= 1
+    assert rejected <= 1
 
 
-def test_a_booking_is_sent_once_when_its_answer_is_lost():
-    """An upstream runs a booking and its connection breaks.
+def test_non_idempotent_request_is_not_retried_after_a_lost_reply():
+    """The connection is lost while an upstream runs a booking.
 
-    Nobody can tell whether it ran. Sent again it could be booked twice, so
-    the caller is told that the outcome is open, and not that it did not run.
+    Whether it ran is unknown, and a retry could book twice. The client must
+    get an unknown outcome, not a rejection.
     """
 
     async def lose(head, writer, upstream):
         return 'close'
 
     async def main():
-        first = scenes.FakeUpstream('u1', lose)
-        second = scenes.FakeUpstream('u2', lose)
-        async with scenes.scene(first, second) as scene:
-            found = await scene.request('/book/1', 'POST', b'x')
+        first = harness.FakeUpstream('u1', lose)
+        second = harness.FakeUpstream('u2', lose)
+        async with harness.running_gateway(first, second) as gateway:
+            found = await gateway.request('/book/1', 'POST', b'x')
         return found[0], len(first.heads) + len(second.heads)
 
     assert run(main) == (502, 1)
 
 
-def test_a_booking_takes_a_new_connection():
-    """A kept connection can be closed by the upstream as a request arrives.
+def test_non_idempotent_request_uses_a_new_connection():
+    """An upstream can close an idle connection as a request arrives.
 
-    Whether the request ran is then unknown; a new connection is known not
-    to be idle.
+    Whether the request ran is then unknown, so requests that must not run
+    twice never reuse a connection.
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering())
-        async with scenes.scene(upstream) as scene:
-            await scene.request('/read/1')
-            entry = scene.context.catalog.find('u1')
-            pool = scene.context.pool(entry)
+        upstream = harness.FakeUpstream('u1', harness.replying())
+        async with harness.running_gateway(upstream) as gateway:
+            await gateway.request('/read/1')
+            found = gateway.context.catalog.find('u1')
+            pool = gateway.context.pool(found)
             before = pool.opened
-            await scene.request('/read/2')
+            await gateway.request('/read/2')
             kept = pool.opened - before
-            await scene.request('/book/1', 'POST', b'x')
+            await gateway.request('/book/1', 'POST', b'x')
             return kept, pool.opened - before
 
     assert run(main) == (0, 1)
 
 
 @pytest.mark.parametrize('status', [408, 429, 503])
-def test_a_refusal_is_passed_on_only_if_it_is_true(status):
-    """Some statuses promise that a request did not run.
+def test_rejection_status_without_not_run_header_is_not_relayed(status):
+    """Clients take these statuses as a statement that nothing was run.
 
-    A faulty upstream can send one after it ran a booking. Without its word
-    that it was not run, the caller must not be told so: it would book again.
+    A faulty upstream can send one after it ran a booking. Without `Not-Run`
+    the status is not relayed, or the client would book again.
     """
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', scenes.answering(status, b''))
-        async with scenes.scene(upstream) as scene:
-            return await scene.request('/book/1', 'POST', b'x')
+        upstream = harness.FakeUpstream('u1', harness.replying(status, b''))
+        async with harness.running_gateway(upstream) as gateway:
+            return await gateway.request('/book/1', 'POST', b'x')
 
     status, head, _ = run(main)
     assert status == 502
-    assert not field(head, 'Retry-After')
-    assert not field(head, 'Stamp')
+    assert not header(head, 'Retry-After')
+    assert not header(head, 'Stamp')
 
 
-def test_a_refusal_after_a_try_that_may_have_run_does_not_promise():
-    """The first upstream breaks off, the second refuses.
+def test_rejection_after_an_attempt_that_may_have_run():
+    """The first attempt loses its connection; there is no other upstream.
 
-    The second did not run it, but the first may have; so the answer must
-    not say that it did not run.
+    That attempt may have run, so the reply must not state that the request
+    was not run.
     """
 
     async def lose(head, writer, upstream):
         return 'close'
 
     async def main():
-        first = scenes.FakeUpstream('u1', lose)
-        async with scenes.scene(first) as scene:
-            return await scene.request('/read/1')
+        first = harness.FakeUpstream('u1', lose)
+        async with harness.running_gateway(first) as gateway:
+            return await gateway.request('/read/1')
 
     assert run(main)[0] == 502
 
 
-def test_retries_stay_within_their_budget():
-    """With all upstreams failing, each request could be sent twice.
+def test_retries_stay_within_the_budget():
+    """If all upstreams fail, retries would double the load.
 
-    That doubles the load at the worst moment. With the budget spent, a
-    failed request ends at once.
+    Once the retry budget is spent, a failed request ends at once.
     """
 
     async def lose(head, writer, upstream):
         return 'close'
 
     async def main():
-        upstreams = [scenes.FakeUpstream(f'u{i}', lose) for i in range(2)]
-        async with scenes.scene(*upstreams, retry_burst=1.0) as scene:
+        upstreams = [harness.FakeUpstream(f'u{i}', lose) for i in range(2)]
+        async with harness.running_gateway(
+            *upstreams, retry_burst=1.0
+        ) as gateway:
             for _ in range(10):
-                await scene.request('/read/1')
+                await gateway.request('/read/1')
         return sum(len(upstream.heads) for upstream in upstreams)
 
     assert run(main) <= 12
 
 
-def test_a_late_answer_to_another_request_is_dropped():
-    """An upstream answers an earlier request twice, late.
+def test_late_reply_to_another_request_is_dropped():
+    """An upstream sends a second, late reply to an earlier request.
 
-    The extra answer stands where the next one is expected. Its id belongs
-    to another request, so it is skipped, and the caller gets its own.
+    It arrives where the next reply is expected, and is skipped by its
+    request id.
     """
 
     async def answer(head, writer, upstream):
         other = head.replace('Request-Id: a1', 'Request-Id: a0')
-        writer.write(scenes.reply(other, body=b'not yours'))
-        writer.write(scenes.reply(head, body=b'yours'))
+        writer.write(harness.reply(other, body=b'not yours'))
+        writer.write(harness.reply(head, body=b'yours'))
 
     async def main():
-        async with scenes.scene(scenes.FakeUpstream('u1', answer)) as scene:
-            return await scene.request('/read/1')
+        async with harness.running_gateway(
+            harness.FakeUpstream('u1', answer)
+        ) as gateway:
+            return await gateway.request('/read/1')
 
     assert run(main)[2] == b'yours'
 
 
-def test_a_caller_that_leaves_ends_the_work_at_the_upstream():
-    """A caller gives up before its answer has come.
+def test_client_disconnect_resets_the_upstream_connection():
+    """The client disconnects before the reply.
 
-    The upstream would go on for nobody; its connection is closed at once,
-    and by a reset: a request that is still on its way, such as to an instance
-    that stands still, is dropped then and not run when it wakes.
+    The upstream must not go on for it. The connection is reset at once, so
+    that a request still buffered for a suspended instance is dropped, and
+    not run when the instance resumes.
     """
 
     async def slow(head, writer, upstream):
         await asyncio.sleep(60)
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', slow)
-        async with scenes.scene(upstream) as scene:
-            _, writer = await scene.open()
-            await scenes.send(writer, '/read/1')
+        upstream = harness.FakeUpstream('u1', slow)
+        async with harness.running_gateway(upstream) as gateway:
+            _, writer = await gateway.connect()
+            await harness.send_request(writer, '/read/1')
             while not upstream.heads:
                 await asyncio.sleep(0.01)
             writer.close()
@@ -336,18 +339,18 @@
     assert run(main)
 
 
-def test_a_request_gets_its_final_answer_when_its_time_is_over():
-    """An upstream that hangs must not hold its caller beyond the limit."""
+def test_request_ends_at_its_deadline():
+    """An upstream that hangs must not delay the reply past the deadline."""
 
     async def slow(head, writer, upstream):
         await asyncio.sleep(60)
 
     async def main():
-        upstream = scenes.FakeUpstream('u1', slow)
-        async with scenes.scene(upstream) as scene:
+        upstream = harness.FakeUpstream('u1', slow)
+        async with harness.running_gateway(upstream) as gateway:
             clock = asyncio.get_running_loop().time
             began = clock()
-            found = await scene.request('/book/1', Left_Ms='300')
+            found = await gateway.request('/book/1', Left_Ms='300')
             return found[0], clock() - began
 
     status, took_s = run(main)
@@ -355,11 +358,11 @@
     assert took_s < 0.8
 
 
-def test_a_request_nobody_can_take_is_refused_in_time():
+def test_request_without_an_upstream_is_rejected():
     async def main():
-        async with scenes.scene() as scene:
-            return await scene.request('/book/1')
+        async with harness.running_gateway() as gateway:
+            return await gateway.request('/book/1')
 
     status, head, _ = run(main)
     assert status == 429
-    assert float(field(head, 'Retry-After')) > 0
+    assert float(header(head, 'Retry-After')) > 0
--- /dev/null
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -0,0 +1,485 @@
+import asyncio
+import time
+
+import pytest
+
+from catkinshunt.gateway.tests import harness
+from catkinshunt import places
+
+#: Address of an engine whose sidecar is marked unresponsive.
+UNRESPONSIVE_HOST = '127.0.0.2'
+CHAT = {'Model': harness.MODEL, 'Tokens': '100,20'}
+
+
+class FakePermitClient:
+    """Permit client whose requests get the given replies in order.
+
+    A reply is a message class, the reason of a rejection, or None for no
+    reply. After the last one, permits are granted.
+    """
+
+    is_started = True
+
+    def __init__(self, *answers):
+        self.answers = list(answers)
+        self.requests = []
+        self.in_use = 0
+        self.granted = 0
+        self.request_class = FakePermitRequest
+
+    def is_responsive(self, host):
+        return True
+
+    def request(self, host, make_request):
+        permit_request = make_request(len(self.requests))
+        self.requests.append(permit_request)
+        answer = self.answers.pop(0) if self.answers else places.PermitGranted
+        return self.request_class(self, permit_request, answer)
+
+
+class FakePermitRequest:
+    def __init__(self, client, permit_request, answer):
+        self.client = client
+        self.request = permit_request
+        self.answer = answer
+        self.reply = None
+
+    async def first_reply(self):
+        if self.answer is places.PermitGranted:
+            self.client.in_use += 1
+            self.client.granted += 1
+            self.reply = places.PermitGranted(self.request.number, 1)
+        elif self.answer is places.PermitQueued:
+            self.reply = places.PermitQueued(self.request.number)
+        elif self.answer is not None:
+            self.reply = places.PermitRejected(
+                self.request.number, self.answer, 1.7
+            )
+        return self.reply
+
+    async def final_reply(self):
+        self.answer = places.PermitGranted
+        return await self.first_reply()
+
+    def end(self):
+        self.client.in_use -= isinstance(self.reply, places.PermitGranted)
+
+
+def make_engine(name, answer, version=1):
+    return harness.FakeUpstream(
+        name, answer, 'model', {harness.MODEL: version}
+    )
+
+
+def request_once(client, *engines, **headers):
+    """Send one request through a gateway; return the reply."""
+
+    async def main():
+        async with harness.running_gateway(*engines) as gateway:
+            gateway.context.permit_client = client
+            return await gateway.request(
+                '/chat/1', 'POST', b'hello', **CHAT, **headers
+            )
+
+    return asyncio.run(main())
+
+
+def test_permit_is_held_until_the_reply_ends():
+    client = FakePermitClient()
+    held = []
+
+    async def answer(head, writer, upstream):
+        held.append(client.in_use)
+        return await harness.streaming(3)(head, writer, upstream)
+
+    status, _, _ = request_once(client, make_engine('u1', answer))
+    assert (status, held, client.in_use) == (200, [1], 0)
+
+
+def test_permit_is_released_when_the_engine_fails():
+    client = FakePermitClient()
+
+    async def answer(head, writer, upstream):
+        return 'close'
+
+    status, _, _ = request_once(client, make_engine('u1', answer))
+    assert status == 502
+    assert client.in_use == 0
+
+
+def test_unresponsive_sidecar_expires_the_old_version_early():
+    """A version is about to be due while a link between regions is saturated.
+
+    The sidecar of an engine with the old version does not answer in time. A
+    request sent there without a permit arrived 0.95 s later, and began on
+    weights that must no longer serve.
+    """
+    old = make_engine('a', harness.streaming(3), version=1)
+    new = make_engine('b', harness.streaming(3), version=2)
+
+    async def main():
+        async with harness.running_gateway(old, new) as gateway:
+            context = gateway.context
+            context.permit_client = FakePermitClient(None, None)
+            context.version_grace_s = 8.0
+            context.catalog.add_named_version(
+                harness.MODEL, 2, context.wall() - 7.0
+            )
+            context.tracker.state(new.listed()).rest(context.clock(), 0.2)
+            return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+
+    status, _, _ = asyncio.run(main())
+    assert status == 200
+    assert not old.heads
+
+
+def test_version_is_checked_after_waiting_for_a_permit():
+    """The version becomes outdated while a request waits for its permit."""
+    old = make_engine('a', harness.streaming(3), version=1)
+    client = FakePermitClient(places.PermitQueued)
+
+    async def main():
+        async with harness.running_gateway(old) as gateway:
+            context = gateway.context
+            context.permit_client = client
+            context.version_grace_s = 8.0
+
+            class Waiting(FakePermitRequest):
+                async def final_reply(self):
+                    now = context.wall()
+                    context.catalog.add_named_version(
+                        harness.MODEL, 2, now - 9.0
+                    )
+                    return await super().final_reply()
+
+            client.request_class = Waiting
+            return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+
+    status, _, _ = asyncio.run(main())
+    assert status == 429
+    assert not old.heads
+    assert client.in_use == 0
+
+
+def test_request_is_rejected_when_all_engines_are_full():
+    """In overload every engine is full of requests of all entries.
+
+    A request sent there anyway would wait for seconds, be late, and delay
+    others. It is rejected at once, as not run, with `Retry-After`.
+    """
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
+    status, head, _ = request_once(
+        FakePermitClient(*[places.NO_ROOM] * 3), *engines
+    )
+    assert status == 429
+    assert harness.header(head, 'Retry-After') == '1.7'
+    assert not any(one.heads for one in engines)
+
+
+def test_another_engine_is_tried_when_one_is_full():
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    status, _, _ = request_once(FakePermitClient(places.NO_ROOM), *engines)
+    assert status == 200
+
+
+def test_queued_permit_is_used_when_other_engines_are_full():
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
+    client = FakePermitClient(
+        places.PermitQueued, places.NO_ROOM, places.NO_ROOM
+    )
+    status, _, _ = request_once(client, *engines)
+    assert status == 200
+    assert [r.no_wait for r in client.requests] == [False, True, True]
+    assert client.in_use == 0
+
+
+def test_free_engine_is_preferred_to_a_queued_permit():
+    """An entry does not see the load that other entries put on an engine.
+
+    The engine it prefers can be full while others are idle.
+    """
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abc']
+    client = FakePermitClient(
+        places.PermitQueued, places.NO_ROOM, places.PermitGranted
+    )
+    status, _, _ = request_once(client, *engines)
+    assert status == 200
+    assert client.in_use == 0
+
+
+def test_reloading_engine_is_skipped():
+    """Some engines load a version while the others serve."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abcd']
+    client = FakePermitClient(*[places.RELOADING] * 3)
+    status, _, _ = request_once(client, *engines)
+    assert status == 200
+    assert len(client.requests) == 4
+
+
+def test_request_waits_for_a_reloading_engine():
+    async def main():
+        only = make_engine('u1', harness.streaming(3))
+        async with harness.running_gateway(only) as gateway:
+            gateway.context.permit_client = FakePermitClient(places.RELOADING)
+            task = asyncio.ensure_future(
+                gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+            )
+            await asyncio.sleep(0.1)
+            changed = only.listed(versions={harness.MODEL: 2})
+            gateway.context.catalog.put_upstream(changed)
+            return await task
+
+    status, _, _ = asyncio.run(main())
+    assert status == 200
+
+
+def test_unresponsive_sidecar_does_not_block_requests():
+    client = FakePermitClient(None)
+    status, _, _ = request_once(
+        client, make_engine('u1', harness.streaming(3))
+    )
+    assert status == 200
+
+
+def test_queued_permit_is_preferred_to_an_unresponsive_sidecar():
+    """Over a slow link a request arrives after its client has left."""
+    first, second = (make_engine(name, harness.streaming(3)) for name in 'ab')
+    client = FakePermitClient(places.PermitQueued, None)
+    status, _, _ = request_once(client, first, second)
+    heads = sorted(len(each.heads) for each in (first, second))
+    assert (status, heads) == (200, [0, 1])
+    assert client.in_use == 0
+    assert client.granted == 1
+
+
+def test_responsive_sidecar_is_preferred():
+    """The first sidecar is behind a saturated link, other engines are free."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(None)
+    status, _, _ = request_once(client, *engines)
+    assert status == 200
+    assert (client.granted, client.in_use) == (1, 0)
+
+
+@pytest.mark.parametrize('unresponsive', ['a', 'b'])
+def test_sidecar_known_as_unresponsive_is_tried_last(unresponsive):
+    """Its sidecar did not answer recently, and gets no permit request."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    (first,) = [each for each in engines if each.name == unresponsive]
+    client = FakePermitClient()
+    client.is_responsive = lambda host: host != UNRESPONSIVE_HOST
+
+    async def main():
+        async with harness.running_gateway(*engines) as gateway:
+            context = gateway.context
+            context.permit_client = client
+            changed = first.listed(address=(UNRESPONSIVE_HOST, first.port))
+            context.catalog.put_upstream(changed)
+            status, _, _ = await gateway.request(
+                '/chat/1', 'POST', b'hello', **CHAT
+            )
+            return status, context.tracker.state(changed).failures_in_row
+
+    assert asyncio.run(main()) == (200, 0)
+    assert client.granted == 1
+
+
+def delay_connections(context, upstream, seconds):
+    """Delay new connections to an upstream by `seconds`."""
+    pool = context.pool(upstream.listed())
+    take = pool.take
+
+    async def take_slowly(fresh=False):
+        await asyncio.sleep(seconds)
+        return await take(fresh)
+
+    pool.take = take_slowly
+
+
+def test_no_request_is_sent_over_a_saturated_link():
+    """The link to a sidecar and its engine is saturated.
+
+    A request sent over it would arrive and run after its client has left.
+    """
+    only = make_engine('u1', harness.streaming(3))
+
+    async def main():
+        async with harness.running_gateway(only) as gateway:
+            context = gateway.context
+            context.permit_client = FakePermitClient(None)
+            delay_connections(context, only, 0.4)
+            began = context.clock()
+            reply = await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+            return reply, context.clock() - began
+
+    (status, head, _), took_s = asyncio.run(main())
+    assert status == 429
+    assert harness.header(head, 'Retry-After')
+    assert not only.heads
+    assert took_s < 0.4
+
+
+def test_queued_permit_is_kept_while_probing_a_saturated_link():
+    """Withdrawing it for that engine would lose its position in the queue."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(places.PermitQueued, None)
+
+    class Waiting(FakePermitRequest):
+        async def final_reply(self):
+            await asyncio.sleep(0.2)
+            return await super().final_reply()
+
+    client.request_class = Waiting
+
+    async def main():
+        async with harness.running_gateway(*engines) as gateway:
+            gateway.context.permit_client = client
+            for each in engines:
+                delay_connections(gateway.context, each, 0.3)
+            return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+
+    status, _, _ = asyncio.run(main())
+    assert (status, client.granted, client.in_use) == (200, 1, 0)
+
+
+def test_engine_with_a_dead_sidecar_is_used_when_others_are_full():
+    """The engine of that sidecar works, and all others are full."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(places.PermitQueued, None)
+
+    class Rejecting(FakePermitRequest):
+        async def final_reply(self):
+            await asyncio.sleep(2.0)
+            return places.PermitRejected(
+                self.request.number, places.NO_ROOM, 1.7
+            )
+
+    client.request_class = Rejecting
+    began = time.monotonic()
+    status, _, _ = request_once(client, *engines)
+    assert status == 200
+    assert time.monotonic() - began < 1.0
+    assert sum(len(each.heads) for each in engines) == 1
+    assert client.granted == 0
+
+
+def test_requests_are_served_while_all_sidecars_start():
+    """After a power failure no sidecar answers for some seconds."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'abcdef']
+    client = FakePermitClient(*[None] * 20)
+
+    class Slow(FakePermitRequest):
+        async def first_reply(self):
+            await asyncio.sleep(0.5)
+            return await super().first_reply()
+
+    client.request_class = Slow
+
+    async def main():
+        async with harness.running_gateway(*engines) as gateway:
+            gateway.context.permit_client = client
+            began = gateway.context.clock()
+            reply = await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+            return reply[0], gateway.context.clock() - began
+
+    status, took_s = asyncio.run(main())
+    assert status == 200
+    assert took_s < 0.9
+    assert len(client.requests) <= 2
+
+
+def test_unanswered_permit_request_is_withdrawn_before_waiting():
+    """A late grant would occupy a permit that no request uses."""
+    engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
+    client = FakePermitClient(None, places.PermitQueued)
+    ended = []
+
+    class Recording(FakePermitRequest):
+        async def final_reply(self):
+            ended.append(len(ends))
+            return await super().final_reply()
+
+        def end(self):
+            ends.append(self.request.number)
+            super().end()
+
+    ends = []
+    client.request_class = Recording
+    status, _, _ = request_once(client, *engines)
+    assert (status, ended) == (200, [1])
+    assert sorted(ends) == [0, 1]
+
+
+def test_engine_without_permits_is_not_overloaded():
+    """The sidecar of one engine is dead, and all other engines are full.
+
+    No sidecar counts the requests at that engine. If it got all that others
+    reject, its queue would grow to seconds, and its answers would be late.
+    """
+
+    async def main():
+        hangs = harness.streaming(3, breaks_after=1, hangs=True)
+        hanging = make_engine('u1', hangs)
+        async with harness.running_gateway(hanging) as gateway:
+            gateway.context.permit_client = FakePermitClient(*[None] * 20)
+            tasks = [
+                asyncio.ensure_future(
+                    gateway.request('/chat/1', 'POST', b'hello', **CHAT)
+                )
+                for _ in range(5)
+            ]
+            done, waiting = await asyncio.wait(tasks, timeout=0.5)
+            for task in waiting:
+                task.cancel()
+            return [task.result()[0] for task in done], len(hanging.heads)
+
+    statuses, sent = asyncio.run(main())
+    assert sent == 1
+    assert statuses == [429] * 4
+
+
+def test_interrupted_stream_resumes_when_all_engines_are_full():
+    """The client is reading; a rejection would waste what it has got."""
+    first = make_engine('u1', harness.streaming(6, breaks_after=3))
+    second = make_engine('u2', harness.streaming(6, breaks_after=3))
+    client = FakePermitClient(places.PermitGranted, *[places.NO_ROOM] * 3)
+
+    async def answer(head, writer, upstream):
+        if harness.header(head, 'Last-Event-Id'):
+            return await harness.streaming(6)(head, writer, upstream)
+        return await harness.streaming(6, breaks_after=3)(
+            head, writer, upstream
+        )
+
+    first.answer = second.answer = answer
+    status, _, body = request_once(client, first, second)
+    assert status == 200
+    assert body.endswith(harness.event(6))
+    assert [r.resumed for r in client.requests] == [False, True]
+
+
+def test_permit_request_has_the_longest_wait():
+    client = FakePermitClient()
+    request_once(client, make_engine('u1', harness.streaming(3)))
+    (permit_request,) = client.requests
+    assert not permit_request.late
+    assert 0 < permit_request.wait_s < 1.0
+    assert permit_request.slots == 4
+
+
+def test_returning_request_is_late():
+    """It was rejected before, and can no longer be in time."""
+    client = FakePermitClient()
+
+    async def main():
+        async with harness.running_gateway(
+            make_engine('u1', harness.streaming(3))
+        ) as gateway:
+            gateway.context.permit_client = client
+            for left_ms in ('5000', '5000', '3000'):
+                await gateway.request(
+                    '/chat/1', 'POST', b'hello', Left_Ms=left_ms, **CHAT
+                )
+
+    asyncio.run(main())
+    assert [r.late for r in client.requests] == [False, False, True]
--- a/catkinshunt/quarantine/tests/test_messages.py
+++ b/catkinshunt/quarantine/tests/test_messages.py
@@ -7,11 +7,11 @@
 REQUEST = 'f' * 32
 
 
-def test_the_longest_message_fits_into_a_datagram():
-    requests = (REQUEST,) * _messages.MOST_REQUESTS
+def test_longest_message_fits_into_a_datagram():
+    requests = (REQUEST,) * _messages.MAX_REQUESTS
     message = quarantine.CrashReport('c' * 16, requests)
     data = quarantine.dump(message)
-    assert len(data) <= _messages.MOST_BYTES
+    assert len(data) <= _messages.MAX_BYTES
     assert quarantine.load(data) == message
 
 
@@ -30,6 +30,6 @@
         b'["completion","' + b'f' * 2000 + b'"]',
     ],
 )
-def test_anything_else_is_left_aside(data):
+def test_invalid_datagram_is_rejected(data):
     with pytest.raises(datagrams.DecodeError):
         quarantine.load(data)
