--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -67,7 +67,7 @@
 def _plan_ms(upstreams):
     members = [spread.Member(u.address[0], u.data_centre) for u in upstreams]
     began = time.process_time()
-    plan = spread.Plan(members[0], members, {}, 'drafts', 2, CHUNKS)
+    plan = spread.SourcePlan(members[0], members, {}, 'drafts', 2, CHUNKS)
     for index in range(CHUNKS):
         plan.sources(index)
     return (time.process_time() - began) * 1e3
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -213,13 +213,13 @@
     ),
     Mutation(
         'who-begins-late-says-so',
-        'catkinshunt/spread/_peers.py',
+        'catkinshunt/spread/_chunk_server.py',
         "[(UNABLE, '1')]",
         '[]',
     ),
     Mutation(
         'narrow-links-give-nothing',
-        'catkinshunt/spread/_speeds.py',
+        'catkinshunt/spread/_source_speeds.py',
         'return usual >= LEAST_SHARE and share < SLOW_PART * usual',
         'return False',
     ),
@@ -305,7 +305,7 @@
     ),
     Mutation(
         'various-chunks-go-out-first',
-        'catkinshunt/spread/_holding.py',
+        'catkinshunt/spread/_chunk_store.py',
         'index = min(here, key=lambda index: self._given[index])',
         'index = here[0]',
     ),
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -204,8 +204,9 @@
     document = load(value)
     return spread.EngineReport(
         versions=_read_versions(document) or {},
-        busy=bool(document.get('busy')),
-        present=_whole(document, 'active', 0) + _whole(document, 'queued', 0),
+        is_loading=bool(document.get('busy')),
+        request_count=_whole(document, 'active', 0)
+        + _whole(document, 'queued', 0),
     )
 
 
--- a/catkinshunt/platform/_outlook.py
+++ b/catkinshunt/platform/_outlook.py
@@ -26,7 +26,7 @@
 _log = logs.get_logger('store')
 
 
-class StoreOutlook(spread.BaseOutlook):
+class StoreOutlook(spread.BaseClusterView):
     """Follows the named versions, and lists members when asked.
 
     Args:
@@ -88,7 +88,7 @@
         self._revision = page.revision
 
     def now(self):
-        """See `spread.BaseOutlook.now`."""
+        """See `spread.BaseClusterView.now`."""
         return self.wall()
 
     async def origin(self):
@@ -138,7 +138,7 @@
         return declaration.origin if declaration else None
 
     async def origin_connections(self):
-        """See `spread.BaseOutlook.origin_connections`.
+        """See `spread.BaseClusterView.origin_connections`.
 
         Read from the key of the origin only: a large configuration that all
         members read at once would fill the links between regions.
@@ -151,22 +151,22 @@
         return self._origin.max_connections if self._origin else None
 
     def origin_copy_s(self, size):
-        """See `spread.BaseOutlook.origin_copy_s`."""
+        """See `spread.BaseClusterView.origin_copy_s`."""
         # An origin that is not known yet is taken to be as fast as this link.
         known = self.cfg if self._origin is None else self._origin
         mbps = known.link_mbps
         return size / (mbps * spread.BYTES_PER_MBIT)
 
-    def hear_of(self, model, version):
-        """See `spread.BaseOutlook.hear_of`."""
+    def note_version(self, model, version):
+        """See `spread.BaseClusterView.note_version`."""
         self.catalog.name_version(model, version, self.wall())
 
-    async def wanted(self, report):
-        """See `spread.BaseOutlook.wanted`."""
+    async def target_version(self, report):
+        """See `spread.BaseClusterView.target_version`."""
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
             due_at = named.since + self.due_s
-            return spread.Wanted(model, named.version, due_at)
+            return spread.TargetVersion(model, named.version, due_at)
         # Before the store has told what is named, what others are listed with
         # may be a version that is no longer wanted. After a loss of power all
         # members fetched that one first, and the named one two seconds later.
@@ -188,19 +188,19 @@
         if not served:
             return None
         version, model = max(served)
-        return spread.Wanted(model, version, self.wall())
+        return spread.TargetVersion(model, version, self.wall())
 
     async def wait_for_version(self):
-        """See `spread.BaseOutlook.wait_for_version`."""
+        """See `spread.BaseClusterView.wait_for_version`."""
         await self.catalog.wait_for_change()
 
-    def due_after(self, model, version):
-        """See `spread.BaseOutlook.due_after`."""
+    def superseded_at(self, model, version):
+        """See `spread.BaseClusterView.superseded_at`."""
         newer = self.catalog.first_after(model, version)
         return self.wall() if newer is None else newer.since + self.due_s
 
     def expires_at(self, model, version):
-        """See `spread.BaseOutlook.expires_at`."""
+        """See `spread.BaseClusterView.expires_at`."""
         newer = self.catalog.first_after(model, version)
         # How long ago a version was named that stood in the store at the
         # start is not known; others may still use the one before.
@@ -209,7 +209,7 @@
         return newer.since + self.due_s - EXPIRY_MARGIN_S
 
     async def members(self):
-        """See `spread.BaseOutlook.members`."""
+        """See `spread.BaseClusterView.members`."""
         now = self.wall()
         if self._listed_at is None or now - self._listed_at > MEMBERS_S:
             await self._list_members(now)
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -37,8 +37,8 @@
     """Start what looks after the engine; return its tasks."""
     if cfg.engine is None:
         return []
-    shelf = spread.Shelf()
-    moved = make_metrics(registry, shelf)
+    version_store = spread.VersionStore()
+    moved = make_metrics(registry, version_store)
     outlook = _outlook.StoreOutlook(
         cfg,
         _process.make_store_client(cfg, registry),
@@ -55,14 +55,18 @@
         _engine.PlatformEngine(cfg.engine, _clocks.steady),
         _engine.PlatformOrigin(outlook.origin, _clocks.steady),
         spread.PeerClient(chunk_port, _clocks.steady, name=cfg.ip),
-        shelf,
+        version_store,
         _clocks.steady,
         cfg.link_mbps,
         moved,
         door,
     )
     server = spread.ChunkServer(
-        shelf, _clocks.steady, cfg.link_mbps, moved, agent.note_asked
+        version_store,
+        _clocks.steady,
+        cfg.link_mbps,
+        moved,
+        agent.on_chunk_request,
     )
     await server.start(cfg.ip, chunk_port)
     return [
@@ -71,18 +75,18 @@
     ]
 
 
-def make_metrics(registry, shelf):
+def make_metrics(registry, version_store):
     """Show what is on the shelf; return the counter of moved bytes."""
     registry.gauge(
         'versions_whole',
         'Newest version that is here whole, by model.',
-        shelf.newest_whole,
+        version_store.newest_complete,
         ('model',),
     )
     registry.gauge(
         'chunks_missing',
         'Chunks that are missing, by model and version.',
-        shelf.missing,
+        version_store.missing,
         ('model', 'version'),
     )
     return registry.counter(
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -27,9 +27,9 @@
 
 def sidecar_registry():
     registry = metrics.Registry()
-    shelf = spread.Shelf()
-    shelf.holding('drafts', 2)
-    _sidecar.make_metrics(registry, shelf)
+    version_store = spread.VersionStore()
+    version_store.chunk_store('drafts', 2)
+    _sidecar.make_metrics(registry, version_store)
     cfg = platform.read_node_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
