--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -202,31 +202,31 @@
     Mutation(
         'one-member-stands-in',
         'catkinshunt/spread/_fetcher.py',
-        'return self._vain[index] >= members * self._most_vain',
+        'return self._failed_attempts[index] >= members * self._max_attempts',
         'return True',
     ),
     Mutation(
         'owners-pass-on-less',
         'catkinshunt/spread/_plan.py',
-        'gives = {m.name: owned[m.name] * to_give for m in there}',
-        'gives = {m.name: 0 for m in there}',
+        'uploads = {m.name: owned[m.name] * per_owned for m in residents}',
+        'uploads = {m.name: 0 for m in residents}',
     ),
     Mutation(
         'who-begins-late-says-so',
         'catkinshunt/spread/_chunk_server.py',
-        "[(UNABLE, '1')]",
+        "[(UNAVAILABLE_HEADER, '1')]",
         '[]',
     ),
     Mutation(
         'narrow-links-give-nothing',
         'catkinshunt/spread/_source_speeds.py',
-        'return usual >= LEAST_SHARE and share < SLOW_PART * usual',
+        'return median >= MIN_MEDIAN_SHARE and share < NARROW_RATIO * median',
         'return False',
     ),
     Mutation(
         'idle-sources-relieve',
         'catkinshunt/spread/_fetcher.py',
-        'return longest if len(longest) >= LEAST_RELIEVED else []',
+        'return longest if len(longest) >= MIN_STEALABLE else []',
         'return []',
     ),
     Mutation(
@@ -238,13 +238,13 @@
     Mutation(
         'failed-transfer-pauses',
         'catkinshunt/spread/_agent.py',
-        'elif self.clock() < self._again_at:',
+        'elif self.clock() < self._retry_at:',
         'elif False:',
     ),
     Mutation(
         'dead-sources-are-asked-after-a-pause',
         'catkinshunt/spread/_fetcher.py',
-        """if self._health.is_away(source):
+        """if self._health.is_excluded(source):
             # Where""",
         """if False:
             # Where""",
@@ -306,13 +306,13 @@
     Mutation(
         'various-chunks-go-out-first',
         'catkinshunt/spread/_chunk_store.py',
-        'index = min(here, key=lambda index: self._given[index])',
+        'index = min(here, key=lambda index: self._served_counts[index])',
         'index = here[0]',
     ),
     Mutation(
         'door-closes-sooner-behind-chunks',
         'catkinshunt/spread/_agent.py',
-        'expires_in_s -= BUSY_LINK_S',
+        'expires_in_s -= LINK_QUEUE_S',
         'pass',
     ),
     Mutation(
@@ -330,14 +330,14 @@
     Mutation(
         'waiting-in-a-circle-ends',
         'catkinshunt/spread/_fetcher.py',
-        'if self._break_loops(source, asked):',
+        'if self._break_wait_cycles(source, queue):',
         'if False:',
     ),
     Mutation(
         'first-source-keeps-its-chunks',
         'catkinshunt/spread/_fetcher.py',
-        'if source != sources[0] or self._may_ask_origin(',
-        'if True or self._may_ask_origin(',
+        'if source != sources[0] or self._may_use_origin(',
+        'if True or self._may_use_origin(',
     ),
     Mutation(
         'deletions-are-handed-on',
--- a/benchmarks/spread_cases.py
+++ b/benchmarks/spread_cases.py
@@ -53,7 +53,7 @@
     '12 of 31 dead': Case(LARGE, tuple(range(0, 31, 3)), away_s=0.8),
     '8 of 43 late': Case(
         test_swarm.GROWN,
-        test_swarm.LATE,
+        test_swarm.LATE_MEMBERS,
         away_s=LARGE.copy_s,
         answering=True,
     ),
@@ -71,21 +71,21 @@
 def play(case):
     """Return (link times of the last sound member, copies of the origin)."""
 
-    async def day():
+    async def scenario():
         fault = test_swarm.Fault(case.scale, case.members)
         fault.narrow(case.narrow)
         rng = random.Random(SEED)
         names = [member.name for member in fault.swarm.members]
-        fault.swarm.missed = {
+        fault.swarm.unlisted = {
             name: rng.sample(names, case.missed) for name in names
         }
         origin = asyncio.ensure_future(_take_origin(fault.swarm, case))
-        await fault.name(case.away_s, case.answering)
+        await fault.announce(case.away_s, case.answering)
         await fault.swarm.wait(MOST_TIMES * case.scale.copy_s)
         origin.cancel()
         return fault
 
-    fault = swarm.play(day)
+    fault = swarm.run_in_virtual_time(scenario)
     instances = [
         b for b in fault.swarm.instances.values() if b not in fault.instances
     ]
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -17,21 +17,21 @@
 
 #: Pause between looks at the engine, in seconds, and while it is being
 #: emptied or loads: it stands idle until its end is seen.
-LOOK_S = 0.25
-LOADING_LOOK_S = 0.05
+POLL_S = 0.25
+LOADING_POLL_S = 0.05
 #: Pause after a transfer that failed, in seconds. Without it one that cannot
 #: begin, since the list of members cannot be read, is tried 20 times a second
 #: by all members, for as long as the store is away.
-AGAIN_S = 0.4
+RETRY_S = 0.4
 #: Seconds for which the manifest of a newer version is asked for before the
 #: other one goes on without it, to be asked again at the next look.
-ASK_S = 2.0
+MANIFEST_TIMEOUT_S = 2.0
 #: Time of one copy over the time that the link alone would need: heads,
 #: checks and other traffic share it.
 COPY_OVERHEAD = 1.2
 #: Seconds for which a request may wait on its way here behind the chunks of a
 #: transfer. It would begin on a version that is too old by then.
-BUSY_LINK_S = 0.5
+LINK_QUEUE_S = 0.5
 
 _log = logs.get_logger('agent')
 
@@ -53,7 +53,7 @@
     """Fetches wanted versions, gives them to peers, and orders loads.
 
     Args:
-        me: `Member` of this sidecar.
+        local_member: `Member` of this sidecar.
         outlook: `BaseClusterView` on the operator's wishes and the members.
         engine: `base.BaseEngine`.
         origin: `base.BaseOrigin`.
@@ -66,29 +66,29 @@
     """
 
     def __init__(
-        self, me, outlook, engine, origin, peers, version_store, clock,
-        link_mbps, counter, door,
+        self, local_member, cluster_view, engine, origin, peers,
+        version_store, clock, link_mbps, byte_counter, door,
     ):  # fmt: skip
-        self.me = me
-        self.outlook = outlook
+        self.local_member = local_member
+        self.cluster_view = cluster_view
         self.engine = engine
         self.origin = origin
         self.peers = peers
         self.version_store = version_store
         self.clock = clock
         self.link_mbps = link_mbps
-        self.counter = counter
+        self.byte_counter = byte_counter
         self.door = door
         self._transfer = None
-        self._again_at = -math.inf
-        self._asking = None
-        self._fetching = None
-        self._providing = set()
+        self._retry_at = -math.inf
+        self._manifest_probe = None
+        self._transfer_target = None
+        self._offering = set()
         self._progress = {}
-        self._news = asyncio.Event()
-        self._stage_turn = asyncio.Lock()
+        self._wakeup = asyncio.Event()
+        self._staging_lock = asyncio.Lock()
         self._loader = _loader.Loader(
-            engine, outlook, door, clock, self._stage_turn
+            engine, cluster_view, door, clock, self._staging_lock
         )
         self._outage = logs.Outage(
             _log, 'The engine is lost: {}.', 'The engine is back.'
@@ -98,7 +98,7 @@
         """Keep the engine at the wanted version until cancelled."""
         while True:
             try:
-                await self._look()
+                await self._reconcile()
             except errors.CatkinshuntError as exc:
                 self._outage.begin(exc)
             except Exception:
@@ -109,73 +109,75 @@
 
     async def _pause(self):
         """Wait until the next look, a new version, or a whole one."""
-        named = asyncio.ensure_future(self.outlook.wait_for_version())
-        news = asyncio.ensure_future(self._news.wait())
+        named = asyncio.ensure_future(self.cluster_view.wait_for_version())
+        news = asyncio.ensure_future(self._wakeup.wait())
         try:
             await asyncio.wait(
                 (named, news),
-                timeout=LOADING_LOOK_S if self._loader.is_busy else LOOK_S,
+                timeout=LOADING_POLL_S
+                if self._loader.is_load_near
+                else POLL_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
             named.cancel()
             news.cancel()
-            self._news.clear()
+            self._wakeup.clear()
 
     def on_chunk_request(self, model, version):
         """Learn of a version from a peer that asks for it.
 
         A sidecar that is cut off from the store hears of new versions so.
         """
-        self.outlook.note_version(model, version)
+        self.cluster_view.note_version(model, version)
         chunk_store = self.version_store.find(model, version)
-        if chunk_store is None and (model, version) not in self._providing:
-            self._providing.add((model, version))
-            asyncio.ensure_future(self._provide(model, version))
+        if chunk_store is None and (model, version) not in self._offering:
+            self._offering.add((model, version))
+            asyncio.ensure_future(self._offer_staged(model, version))
 
-    async def _look(self):
+    async def _reconcile(self):
         report = await self.engine.report()
         self._outage.end()
         self.door.correct(report.request_count)
         self._loader.note(report)
-        self._expire(report)
-        wanted = await self.outlook.target_version(report)
+        self._update_expiry(report)
+        wanted = await self.cluster_view.target_version(report)
         if wanted is None:
             return
         if report.versions.get(wanted.model) == wanted.version:
             return
-        if not self._holding_of(wanted).is_complete:
-            self._fetch(wanted)
-        await self._move(report, wanted)
+        if not self._chunk_store_of(wanted).is_complete:
+            self._start_transfer(wanted)
+        await self._advance(report, wanted)
 
-    def _expire(self, report):
+    def _update_expiry(self, report):
         """Let no request begin once the engine's version is too old."""
         times = [
-            self.outlook.expires_at(model, version)
+            self.cluster_view.expires_at(model, version)
             for model, version in report.versions.items()
         ]
-        expires_in_s = min(times, default=math.inf) - self.outlook.now()
-        if self._is_fetching():
-            expires_in_s -= BUSY_LINK_S
+        expires_in_s = min(times, default=math.inf) - self.cluster_view.now()
+        if self._is_transferring():
+            expires_in_s -= LINK_QUEUE_S
         self.door.expire(expires_in_s)
 
-    async def _move(self, report, wanted):
+    async def _advance(self, report, wanted):
         """Bring the engine to the next version that it can have."""
-        ready = self._newest_whole(report, wanted)
-        newest = self._holding_of(wanted)
-        if ready is None and self._fetching is not None:
-            ready = self._holding_of(self._fetching)
+        ready = self._newest_complete(report, wanted)
+        newest = self._chunk_store_of(wanted)
+        if ready is None and self._transfer_target is not None:
+            ready = self._chunk_store_of(self._transfer_target)
         serves = report.versions.get(wanted.model, 0)
         if ready is None or ready.manifest is None or ready.version <= serves:
             return
         newer_s = math.inf
         if ready is not newest:
-            newer_s = self._whole_in_s(newest)
+            newer_s = self._complete_in_s(newest)
         await self._loader.step(
-            report, ready, self._whole_in_s(ready), newer_s
+            report, ready, self._complete_in_s(ready), newer_s
         )
 
-    def _whole_in_s(self, chunk_store):
+    def _complete_in_s(self, chunk_store):
         """Return in how many seconds a version is likely to be whole."""
         if chunk_store.manifest is None:
             return math.inf
@@ -187,11 +189,13 @@
             (chunk_store.model, chunk_store.version), _progress.Progress()
         )
         now = self.clock()
-        progress.see(chunk_store.left_share, now)
+        progress.add_sample(chunk_store.missing_share, now)
         copy_s = self._copy_s(chunk_store.manifest.size_bytes)
-        return max(chunk_store.left_share * copy_s, progress.end_in_s(now))
+        return max(
+            chunk_store.missing_share * copy_s, progress.remaining_s(now)
+        )
 
-    def _newest_whole(self, report, wanted):
+    def _newest_complete(self, report, wanted):
         """Return the newest whole `ChunkStore` that the engine lacks, or None.
 
         A version that was named before the wanted one counts too: requests
@@ -200,7 +204,7 @@
         serves = report.versions.get(wanted.model, 0)
         whole = [
             chunk_store
-            for chunk_store in self.version_store.of(wanted.model)
+            for chunk_store in self.version_store.of_model(wanted.model)
             if chunk_store.is_complete
             and serves < chunk_store.version <= wanted.version
         ]
@@ -208,30 +212,34 @@
 
     # Transfers.
 
-    def _is_fetching(self):
+    def _is_transferring(self):
         return self._transfer is not None and not self._transfer.done()
 
-    def _fetch(self, wanted):
+    def _start_transfer(self, wanted):
         """Begin a transfer unless another one goes first."""
-        if self._is_fetching():
-            if self._fetching.version == wanted.version:
+        if self._is_transferring():
+            if self._transfer_target.version == wanted.version:
                 return
-            if self._finishes_first(wanted) or not self._can_be_had(wanted):
+            if self._finishes_older_first(wanted) or not self._is_available(
+                wanted
+            ):
                 return
             _log.info(
                 'Dropped version {} for version {}.',
-                self._fetching.version,
+                self._transfer_target.version,
                 wanted.version,
-                left_share=self._holding_of(self._fetching).left_share,
+                left_share=self._chunk_store_of(
+                    self._transfer_target
+                ).missing_share,
             )
             self._transfer.cancel()
-        elif self.clock() < self._again_at:
+        elif self.clock() < self._retry_at:
             return
-        self._fetching = wanted
-        self._forget_progress()
+        self._transfer_target = wanted
+        self._prune_progress()
         self._transfer = asyncio.ensure_future(self._run_transfer(wanted))
 
-    def _can_be_had(self, newer):
+    def _is_available(self, newer):
         """Return whether a source gives the newer version.
 
         The origin may be away. Dropped for a version that cannot be had, the
@@ -239,45 +247,49 @@
         origin is back and the newer one has come: eight seconds instead of
         three.
         """
-        if self._holding_of(newer).manifest is not None:
+        if self._chunk_store_of(newer).manifest is not None:
             return True
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.ensure_future(self._ask_for(newer))
+        if self._manifest_probe is None or self._manifest_probe.done():
+            self._manifest_probe = asyncio.ensure_future(
+                self._probe_manifest(newer)
+            )
         return False
 
-    async def _ask_for(self, newer):
+    async def _probe_manifest(self, newer):
         """Fetch the manifest of a version while another is on its way."""
         try:
             plan = await self._plan(newer.model, newer.version)
-            fetcher = self._fetcher(self._holding_of(newer), plan)
-            async with asyncio.timeout(ASK_S):
+            fetcher = self._fetcher(self._chunk_store_of(newer), plan)
+            async with asyncio.timeout(MANIFEST_TIMEOUT_S):
                 await fetcher.fetch_manifest()
-            self._news.set()
+            self._wakeup.set()
         except (errors.CatkinshuntError, TimeoutError) as exc:
             _log.warning(
                 'Version {} cannot be had yet: {!r}.', newer.version, exc
             )
 
-    def _forget_progress(self):
+    def _prune_progress(self):
         """Drop the progress of versions that are not kept any more."""
         kept = {
             (chunk_store.model, chunk_store.version)
-            for chunk_store in self.version_store.of(self._fetching.model)
+            for chunk_store in self.version_store.of_model(
+                self._transfer_target.model
+            )
         }
         for key in set(self._progress) - kept:
             del self._progress[key]
 
-    def _holding_of(self, wanted):
+    def _chunk_store_of(self, wanted):
         return self.version_store.chunk_store(wanted.model, wanted.version)
 
-    def _finishes_first(self, newer):
-        older = self._fetching
-        chunk_store = self._holding_of(older)
+    def _finishes_older_first(self, newer):
+        older = self._transfer_target
+        chunk_store = self._chunk_store_of(older)
         if chunk_store.manifest is None:
             return False
-        now = self.outlook.now()
+        now = self.cluster_view.now()
         return _plan.finish_older_first(
-            chunk_store.left_share,
+            chunk_store.missing_share,
             self._copy_s(chunk_store.manifest.size_bytes),
             _loader.LOAD_S,
             older.due_at - now,
@@ -288,10 +300,10 @@
         return size / (self.link_mbps * base.BYTES_PER_MBIT) * COPY_OVERHEAD
 
     async def _run_transfer(self, wanted):
-        chunk_store = self._holding_of(wanted)
+        chunk_store = self._chunk_store_of(wanted)
         chunk_store.begin()
         try:
-            await self._bring(wanted, chunk_store)
+            await self._fetch_version(wanted, chunk_store)
             return
         except errors.CatkinshuntError as exc:
             _log.warning('A transfer failed: {}.', exc, version=wanted.version)
@@ -305,9 +317,9 @@
             _log.exception('A transfer failed.')
         finally:
             chunk_store.end()
-        self._again_at = self.clock() + AGAIN_S
+        self._retry_at = self.clock() + RETRY_S
 
-    async def _bring(self, wanted, chunk_store):
+    async def _fetch_version(self, wanted, chunk_store):
         """Fetch a version until it is whole."""
         began = self.clock()
         plan = await self._plan(wanted.model, wanted.version)
@@ -317,7 +329,7 @@
         # After a restart most chunks may lie beside the engine already.
         restored = await _staging.restore_staged(chunk_store, self.engine)
         await fetcher.run()
-        self._news.set()
+        self._wakeup.set()
         _log.info(
             'Version {} of {} is whole.',
             wanted.version,
@@ -328,20 +340,20 @@
 
     async def _plan(self, model, version):
         members, connections = await asyncio.gather(
-            self.outlook.members(), self.outlook.origin_connections()
+            self.cluster_view.members(), self.cluster_view.origin_connections()
         )
         return _plan.SourcePlan(
-            self.me,
+            self.local_member,
             members,
-            self.outlook.regions,
+            self.cluster_view.regions,
             model,
             version,
             connections=connections or _plan.UNKNOWN_CONNECTIONS,
         )
 
     def _fetcher(self, chunk_store, plan):
-        async def keep(index, data):
-            async with self._stage_turn:
+        async def stage_chunk(index, data):
+            async with self._staging_lock:
                 await self.engine.put_chunk(chunk_store.model, index, data)
 
         return _fetcher.Fetcher(
@@ -350,15 +362,15 @@
             self.peers,
             self.origin,
             self.clock,
-            keep,
-            self.counter,
+            stage_chunk,
+            self.byte_counter,
             self._copy_s,
-            self.outlook.origin_copy_s,
+            self.cluster_view.origin_copy_s,
         )
 
     # Giving to peers what the engine has.
 
-    async def _provide(self, model, version):
+    async def _offer_staged(self, model, version):
         """Put what is staged beside the engine within reach of peers."""
         try:
             report = await self.engine.report()
@@ -373,4 +385,4 @@
         except errors.CatkinshuntError as exc:
             _log.warning('Cannot give version {}: {}.', version, exc)
         finally:
-            self._providing.discard((model, version))
+            self._offering.discard((model, version))
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -18,7 +18,7 @@
         manifest: `weights.Manifest` of the version.
         chunks: bytes by index.
         filled: a transfer fills it now.
-        is_slow: far less comes here than elsewhere, so nothing is given.
+        is_upload_disabled: the own link is too narrow to give chunks.
         waits: who waits for whom.
     """
 
@@ -26,10 +26,14 @@
     version: int
     manifest: object = None
     chunks: dict = attrs.field(factory=dict)
-    filled: bool = False
-    is_slow: bool = False
-    waits: _wait_graph.Waits = attrs.field(factory=_wait_graph.Waits)
-    _given: collections.Counter = attrs.field(factory=collections.Counter)
+    is_filling: bool = False
+    is_upload_disabled: bool = False
+    wait_graph: _wait_graph.WaitGraph = attrs.field(
+        factory=_wait_graph.WaitGraph
+    )
+    _served_counts: collections.Counter = attrs.field(
+        factory=collections.Counter
+    )
     _changes: changes.Changes = attrs.field(factory=changes.Changes)
 
     @property
@@ -46,7 +50,7 @@
         return self.manifest is not None and not self.missing
 
     @property
-    def left_share(self):
+    def missing_share(self):
         """Share of the chunks that is missing, from 0 to 1."""
         if self.manifest is None:
             return 1.0
@@ -66,7 +70,7 @@
         self.manifest = manifest
         self._changes.announce()
 
-    def awaits(self, indices):
+    def is_expecting(self, indices):
         """Return whether one of these comes here soon, to be passed on.
 
         The manifest comes before the transfer begins: a newer version takes
@@ -74,23 +78,23 @@
         """
         if MANIFEST_INDEX in indices:
             return True
-        return self.filled and not self.is_slow
+        return self.is_filling and not self.is_upload_disabled
 
     def begin(self):
         """Note that a transfer fills it from now on."""
-        self.filled = True
+        self.is_filling = True
 
     def end(self):
         """Note that no transfer fills it any more."""
-        self.filled = False
+        self.is_filling = False
         self._changes.announce()
 
-    def give_nothing(self):
+    def disable_upload(self):
         """Let others take all chunks elsewhere from now on."""
-        self.is_slow = True
+        self.is_upload_disabled = True
         self._changes.announce()
 
-    def forget(self):
+    def clear(self):
         """Drop the manifest and all chunks that were checked by it."""
         self.manifest = None
         self.chunks.clear()
@@ -106,7 +110,9 @@
         """
         try:
             async with asyncio.timeout(wait_s):
-                while self.find_any(indices) is None and self.awaits(indices):
+                while self.find_any(indices) is None and self.is_expecting(
+                    indices
+                ):
                     await self._changes.wait()
         except TimeoutError:
             return False
@@ -118,17 +124,17 @@
         One that was given least often: members that get various chunks can
         pass them on to each other.
         """
-        if self.is_slow:
+        if self.is_upload_disabled:
             return None
         here = [index for index in indices if self._find(index) is not None]
         if not here:
             return None
-        index = min(here, key=lambda index: self._given[index])
+        index = min(here, key=lambda index: self._served_counts[index])
         return index, self._find(index)
 
-    def note_given(self, index):
+    def count_served(self, index):
         """Note that a chunk was given to a member."""
-        self._given[index] += 1
+        self._served_counts[index] += 1
 
     def _find(self, index):
         if index == MANIFEST_INDEX:
@@ -147,37 +153,39 @@
         kept: versions of a model that are kept.
     """
 
-    def __init__(self, kept=2):
-        self.kept = kept
-        self._holdings = {}
+    def __init__(self, max_versions=2):
+        self.max_versions = max_versions
+        self._chunk_stores = {}
 
     def chunk_store(self, model, version):
         """Return the `ChunkStore`, a new one at first."""
         key = (model, version)
-        if key not in self._holdings:
-            self._holdings[key] = ChunkStore(model, version)
-            self._shorten(model)
-        return self._holdings[key]
+        if key not in self._chunk_stores:
+            self._chunk_stores[key] = ChunkStore(model, version)
+            self._evict_old(model)
+        return self._chunk_stores[key]
 
     def add(self, chunk_store):
         """Keep `chunk_store` unless its version is here already."""
-        self._holdings.setdefault(
+        self._chunk_stores.setdefault(
             (chunk_store.model, chunk_store.version), chunk_store
         )
-        self._shorten(chunk_store.model)
+        self._evict_old(chunk_store.model)
 
-    def of(self, model):
+    def of_model(self, model):
         """Return the holdings of a model."""
-        return [h for (name, _), h in self._holdings.items() if name == model]
+        return [
+            h for (name, _), h in self._chunk_stores.items() if name == model
+        ]
 
     def find(self, model, version):
         """Return the `ChunkStore`, or None."""
-        return self._holdings.get((model, version))
+        return self._chunk_stores.get((model, version))
 
     def newest_complete(self):
         """Return the newest whole version by label values of its model."""
         found = {}
-        for (model, version), chunk_store in self._holdings.items():
+        for (model, version), chunk_store in self._chunk_stores.items():
             if chunk_store.is_complete:
                 found[(model,)] = max(version, found.get((model,), 0))
         return found
@@ -186,14 +194,14 @@
         """Return the chunks that are missing by (model, version)."""
         return {
             key: len(chunk_store.missing)
-            for key, chunk_store in self._holdings.items()
+            for key, chunk_store in self._chunk_stores.items()
             if chunk_store.manifest is not None
         }
 
-    def _shorten(self, model):
-        versions = sorted(v for m, v in self._holdings if m == model)
-        for version in versions[: -self.kept]:
-            del self._holdings[(model, version)]
+    def _evict_old(self, model):
+        versions = sorted(v for m, v in self._chunk_stores if m == model)
+        for version in versions[: -self.max_versions]:
+            del self._chunk_stores[(model, version)]
 
 
 def check_manifest(manifest, model, version):
--- a/catkinshunt/spread/_manifests.py
+++ b/catkinshunt/spread/_manifests.py
@@ -49,11 +49,11 @@
             _chunk_store.check_manifest(found, model, version)
         )
     except errors.SourceUnableError as exc:
-        health.blame(source, exc)
+        health.record_failure(source, exc)
         return False
     except errors.SourceBusyError:
         return False
     except errors.TransferError as exc:
-        health.blame(source, exc)
+        health.record_failure(source, exc)
         return False
     return True
--- a/catkinshunt/spread/_peer_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -9,7 +9,7 @@
 
 #: Seconds within which a connection must be made. The first packets wait
 #: behind all else on a link between regions, over 0.6 s after a cold start.
-CONNECT_S = 1.5
+CONNECT_TIMEOUT_S = 1.5
 
 _log = logs.get_logger('chunks')
 
@@ -30,16 +30,16 @@
         self.clock = clock
         self.timeout_s = timeout_s
         self._pools = {}
-        self._shares = {}
+        self._reported_shares = {}
 
-    def share(self, peer, model, version):
+    def reported_share(self, peer, model, version):
         """Return the share of a version that a peer had, or None.
 
         As its last reply told it.
         """
-        return self._shares.get((peer, model, version))
+        return self._reported_shares.get((peer, model, version))
 
-    async def chunk(self, peer, model, version, indices, relays=False):
+    async def chunk(self, peer, model, version, indices, relay=False):
         """Return (index, bytes) of one of these chunks, unchecked.
 
         Args:
@@ -54,27 +54,29 @@
             errors.SourceBusyError: the peer does not have it yet.
             errors.TransferError: the peer gave no answer.
         """
-        items = [(_chunk_server.RELAY, '1')] if relays else []
+        items = [(_chunk_server.RELAY_HEADER, '1')] if relay else []
         if self.name:
-            items.append((_chunk_server.ASKER, self.name))
+            items.append((_chunk_server.REQUESTER_HEADER, self.name))
         return await self._fetch(peer, model, version, indices, items)
 
-    async def spare_chunk(self, peer, model, version, indices):
+    async def chunk_if_idle(self, peer, model, version, indices):
         """Return (index, bytes) of one of these if the peer is idle.
 
         Raises:
             errors.SourceBusyError: it has none, or gives to others.
             errors.TransferError: the peer gave no answer.
         """
-        items = [(_chunk_server.SPARE, '1')]
+        items = [(_chunk_server.IDLE_ONLY_HEADER, '1')]
         return await self._fetch(peer, model, version, indices, items)
 
     async def _fetch(self, peer, model, version, indices, items):
         pool = self._pools.get(peer)
         if pool is None:
-            pool = http1.Pool(peer, self.port, self.clock, connect_s=CONNECT_S)
+            pool = http1.Pool(
+                peer, self.port, self.clock, connect_s=CONNECT_TIMEOUT_S
+            )
             self._pools[peer] = pool
-        names = ','.join(map(str, indices[: _chunk_server.MOST_NAMED]))
+        names = ','.join(map(str, indices[: _chunk_server.MAX_INDICES]))
         target = f'/chunks/{model}/{version}/{names}'
         try:
             head, body = await http1.exchange(
@@ -88,7 +90,7 @@
             raise errors.TransferError(
                 exc.message, step='fetch chunk', peer=peer
             ) from exc
-        if head.headers.get(_chunk_server.UNABLE):
+        if head.headers.get(_chunk_server.UNAVAILABLE_HEADER):
             raise errors.SourceUnableError(
                 'will not have it soon', step='fetch chunk', peer=peer
             )
@@ -99,10 +101,10 @@
                 peer=peer,
                 chains=_read_chains(head, peer),
             )
-        share = head.headers.get(_chunk_server.SHARE, '')
+        share = head.headers.get(_chunk_server.SHARE_HEADER, '')
         if share.isdigit():
-            self._shares[(peer, model, version)] = int(share) / 1000
-        index = head.headers.get(_chunk_server.INDEX, '')
+            self._reported_shares[(peer, model, version)] = int(share) / 1000
+        index = head.headers.get(_chunk_server.INDEX_HEADER, '')
         if not index.removeprefix('-').isdigit() or int(index) not in indices:
             raise errors.TransferError(
                 f'sent chunk {index!r}', step='fetch chunk', peer=peer
@@ -118,7 +120,7 @@
 
 def _read_chains(head, peer):
     """Return the chains that a reply tells; none where they are unreadable."""
-    text = head.headers.get(_chunk_server.CHAINS)
+    text = head.headers.get(_chunk_server.WAIT_CHAINS_HEADER)
     if not text:
         return {}
     try:
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -30,9 +30,9 @@
 UNKNOWN_CONNECTIONS = 20
 #: Members that are asked for a chunk when the best one has nothing, before
 #: the origin. Those nearby wait for this member themselves.
-MOST_FALLBACKS = 2
+MAX_FALLBACKS = 2
 #: Owners that are asked for the manifest before the origin.
-MOST_ASKED = 3
+MAX_MANIFEST_OWNERS = 3
 
 
 @attrs.frozen
@@ -54,8 +54,8 @@
     """The sources of each chunk of one version, for one member.
 
     Args:
-        me: the `Member` that asks.
-        members: all members that stay, `me` among them or not.
+        local_member: the `Member` that fetches.
+        members: all members that stay, `local_member` among them or not.
         regions: region by data centre.
         model: name of the model.
         version: its version.
@@ -71,39 +71,41 @@
     """
 
     def __init__(
-        self, me, members, regions, model, version, chunks=0,
+        self, local_member, members, regions, model, version, chunks=0,
         connections=UNKNOWN_CONNECTIONS,
     ):  # fmt: skip
-        self.me = me
+        self.local_member = local_member
         # An engine that started again can be listed twice for a while.
         named = {member.name: member for member in members}
-        self.members = list({**named, me.name: me}.values())
+        self.members = list(
+            {**named, local_member.name: local_member}.values()
+        )
         self.regions = regions
         self.model = model
         self.version = version
         self.chunks = chunks
         self._ranked = {}
-        most = max(1, int(OWNER_SHARE * connections))
-        self._owners = self._rank('owners')[:most]
-        self._receivers = None
+        max_owners = max(1, int(OWNER_SHARE * connections))
+        self._owners = self._rank('owners')[:max_owners]
+        self._first_receivers = None
         self._sources = {}
-        self._away = frozenset()
+        self._excluded = frozenset()
 
-    def leave_out(self, names):
+    def set_excluded(self, names):
         """Take nothing from members that cannot be reached.
 
         Args:
             names: frozenset of their names, instead of those before; this
                 member is among them where others do not wait for it.
         """
-        if names != self._away:
-            self._away = names
+        if names != self._excluded:
+            self._excluded = names
             self._sources.clear()
 
     def describe(self, chunks):
         """Share out `chunks` chunks among the members."""
         self.chunks = chunks
-        self._receivers = None
+        self._first_receivers = None
         self._sources.clear()
 
     def sources(self, index):
@@ -118,56 +120,60 @@
         return found
 
     def _order_sources(self, index):
-        receivers = self._receivers_of(index)
-        home = receivers[0]
-        before = self._before_me(receivers, index)
-        owners = self._owners_for(home, index, before)
+        receivers = self._first_receivers_of(index)
+        owner = receivers[0]
+        earlier = self._earlier_members(receivers, index)
+        owners = self._remote_sources(owner, index, earlier)
         order = [
-            *self._holders_near(index),
-            *([] if before else self._holders_far(index)),
-            *before[:1],
+            *self._local_holders(index),
+            *([] if earlier else self._remote_holders(index)),
+            *earlier[:1],
             *owners[:1],
-            *before[1:],
+            *earlier[1:],
             *owners[1:],
         ]
-        names = [member.name for member in order if member is not self.me]
-        return [*list(dict.fromkeys(names))[: 1 + MOST_FALLBACKS], ORIGIN]
+        names = [
+            member.name for member in order if member is not self.local_member
+        ]
+        return [*list(dict.fromkeys(names))[: 1 + MAX_FALLBACKS], ORIGIN]
 
-    def _before_me(self, receivers, index):
+    def _earlier_members(self, receivers, index):
         """Return who is to get a chunk sooner in this data centre."""
         ranked = [*receivers, *self._rank(index)]
-        line = self._line(next(filter(self._is_near, ranked)), index)
-        if self.me.name in self._away:
+        order = self._receive_order(
+            next(filter(self._is_local, ranked)), index
+        )
+        if self.local_member.name in self._excluded:
             # Nobody waits for what passes through here.
-            line.remove(self.me)
-            return self._reachable(line)
-        return self._reachable(line[: line.index(self.me)])
+            order.remove(self.local_member)
+            return self._reachable(order)
+        return self._reachable(order[: order.index(self.local_member)])
 
-    def _owners_for(self, home, index, before):
+    def _remote_sources(self, owner, index, earlier):
         """Return who gives a chunk to this data centre.
 
         The first of them is asked by whoever stands first here, and by the
         others where that one has nothing.
         """
-        if self._is_near(home):
+        if self._is_local(owner):
             return []
-        line = self._reachable(self._line(home, index))
-        return line[: 1 if before else 2]
+        order = self._reachable(self._receive_order(owner, index))
+        return order[: 1 if earlier else 2]
 
-    def _line(self, head, index):
+    def _receive_order(self, first, index):
         """Return the members of a data centre by who gets a chunk first."""
-        place = head.data_centre
+        data_centre = first.data_centre
         return [
-            head,
+            first,
             *(
                 member
                 for member in self._rank(index)
-                if member.data_centre == place and member is not head
+                if member.data_centre == data_centre and member is not first
             ),
         ]
 
     def _reachable(self, members):
-        return [m for m in members if m.name not in self._away]
+        return [m for m in members if m.name not in self._excluded]
 
     def manifest_sources(self):
         """Return the names of sources for the manifest, best first.
@@ -175,25 +181,28 @@
         It is small, and all wait for it, so each owner takes it from the
         origin, and the others from an owner.
         """
-        if self.me in self._owners:
+        if self.local_member in self._owners:
             return [ORIGIN]
-        ranked = self._reachable(self._rank(self.me.name))
+        ranked = self._reachable(self._rank(self.local_member.name))
         owners = [member for member in ranked if member in self._owners]
-        near = [member for member in owners if self._is_near(member)]
-        names = [member.name for member in [*near[:1], *owners[:MOST_ASKED]]]
+        local = [member for member in owners if self._is_local(member)]
+        names = [
+            member.name
+            for member in [*local[:1], *owners[:MAX_MANIFEST_OWNERS]]
+        ]
         return [*dict.fromkeys(names), ORIGIN]
 
-    def is_far(self, name):
+    def is_remote(self, name):
         """Return whether a member stands in another data centre."""
         return any(
-            m.name == name and not self._is_near(m) for m in self.members
+            m.name == name and not self._is_local(m) for m in self.members
         )
 
     def wave(self, waves):
         """Return in which of `waves` groups this member loads, from 0."""
         names = sorted(member.name for member in self.members)
         order = rendezvous.rank(f'{self.model}/{self.version}', names)
-        return order.index(self.me.name) % waves
+        return order.index(self.local_member.name) % waves
 
     def _rank(self, key):
         found = self._ranked.get(key)
@@ -204,40 +213,40 @@
             self._ranked[key] = found
         return found
 
-    def _holds(self, member):
+    def _serves_version(self, member):
         return member.versions.get(self.model) == self.version
 
-    def _is_near(self, member):
-        return member.data_centre == self.me.data_centre
+    def _is_local(self, member):
+        return member.data_centre == self.local_member.data_centre
 
-    def _holders_near(self, index):
+    def _local_holders(self, index):
         return [
             member
             for member in self._reachable(self._rank(index))
-            if member is not self.me
-            and self._holds(member)
-            and self._is_near(member)
+            if member is not self.local_member
+            and self._serves_version(member)
+            and self._is_local(member)
         ]
 
-    def _holders_far(self, index):
-        far = [
+    def _remote_holders(self, index):
+        remote = [
             member
             for member in self._reachable(self._rank(index))
-            if self._holds(member) and not self._is_near(member)
+            if self._serves_version(member) and not self._is_local(member)
         ]
-        return sorted(far, key=self._distance)
+        return sorted(remote, key=self._distance)
 
     def _distance(self, member):
-        here = self.regions.get(self.me.data_centre)
+        here = self.regions.get(self.local_member.data_centre)
         return 0 if self.regions.get(member.data_centre) == here else 1
 
-    def _receivers_of(self, index):
-        if self._receivers is None:
-            self._receivers = self._share_out()
-        found = self._receivers.get(index)
+    def _first_receivers_of(self, index):
+        if self._first_receivers is None:
+            self._first_receivers = self._assign_receivers()
+        found = self._first_receivers.get(index)
         return found or self._rank(index)[:1]
 
-    def _share_out(self):
+    def _assign_receivers(self):
         """Return by chunk its owner, then one member of each other place."""
         found = {}
         bound = math.ceil(self.chunks / len(self._owners))
@@ -250,13 +259,15 @@
             )
             owned[owner.name] += 1
             found[index] = [owner]
-        places = collections.Counter(m.data_centre for m in self.members)
-        for place in sorted(places):
-            self._add_receivers(found, place, places, owned)
+        member_counts = collections.Counter(
+            m.data_centre for m in self.members
+        )
+        for data_centre in sorted(member_counts):
+            self._add_receivers(found, data_centre, member_counts, owned)
         return found
 
-    def _add_receivers(self, found, place, places, owned):
-        """Add a member of `place` to each chunk that is owned elsewhere.
+    def _add_receivers(self, found, data_centre, member_counts, owned):
+        """Add a member of `data_centre` to each chunk that is owned elsewhere.
 
         Owners have much to give already: each chunk to all nearby and to one
         member of each other place. With as many to pass on as the others,
@@ -268,28 +279,38 @@
             places: members by data centre.
             owned: chunks by the name of their owner.
         """
-        there = [m for m in self.members if m.data_centre == place]
-        entering = [
+        residents = [m for m in self.members if m.data_centre == data_centre]
+        incoming = [
             index
             for index, (owner, *_) in found.items()
-            if owner.data_centre != place
+            if owner.data_centre != data_centre
         ]
-        to_pass_on = max(1, len(there) - 1)
-        to_give = len(there) - 1 + len(places) - 1
-        gives = {m.name: owned[m.name] * to_give for m in there}
-        mean = (sum(gives.values()) + len(entering) * to_pass_on) / len(there)
-        for index in entering:
-            near = [m for m in self._rank(index) if m.data_centre == place]
+        per_relayed = max(1, len(residents) - 1)
+        per_owned = len(residents) - 1 + len(member_counts) - 1
+        uploads = {m.name: owned[m.name] * per_owned for m in residents}
+        mean = (sum(uploads.values()) + len(incoming) * per_relayed) / len(
+            residents
+        )
+        for index in incoming:
+            local = [
+                m for m in self._rank(index) if m.data_centre == data_centre
+            ]
             # Where owners alone give more than the mean, whoever gives least.
             receiver = next(
-                (m for m in near if gives[m.name] + to_pass_on / 2 <= mean),
-                min(near, key=lambda m: gives[m.name]),
+                (
+                    m
+                    for m in local
+                    if uploads[m.name] + per_relayed / 2 <= mean
+                ),
+                min(local, key=lambda m: uploads[m.name]),
             )
-            gives[receiver.name] += to_pass_on
+            uploads[receiver.name] += per_relayed
             found[index].append(receiver)
 
 
-def finish_older_first(left_share, copy_s, load_s, older_due_s, newer_due_s):
+def finish_older_first(
+    missing_share, copy_s, load_s, older_due_s, newer_due_s
+):
     """Return whether a transfer goes on although a newer version was named.
 
     From the moment a version is due until one at least as new is loaded, no
@@ -297,7 +318,7 @@
     older version is dropped where that is no worse.
 
     Args:
-        left_share: share of the older version that is missing, 0 to 1.
+        missing_share: share of the older version that is missing, 0 to 1.
         copy_s: seconds that a whole copy takes.
         load_s: seconds that an engine takes to load it.
         older_due_s: seconds until requests need the older version.
@@ -311,8 +332,8 @@
     """
     newer_alone_s = copy_s + load_s
     dropped_gap_s = max(0.0, newer_alone_s - max(0.0, older_due_s))
-    older_s = left_share * copy_s + load_s
-    newer_s = left_share * copy_s + copy_s + load_s
+    older_s = missing_share * copy_s + load_s
+    newer_s = missing_share * copy_s + copy_s + load_s
     finished_gap_s = max(0.0, older_s - max(0.0, older_due_s))
     finished_gap_s += max(0.0, newer_s - newer_due_s)
     return finished_gap_s < dropped_gap_s
--- a/catkinshunt/spread/_progress.py
+++ b/catkinshunt/spread/_progress.py
@@ -5,7 +5,7 @@
 from catkinshunt import base
 
 #: Seconds over which the speed of a transfer is measured.
-SPAN_S = 1.0
+WINDOW_S = 1.0
 
 
 class Progress(base.ParamsMixin):
@@ -14,21 +14,21 @@
     Examples:
         >>> progress = Progress()
         >>> for now, left in ((0.0, 0.5), (0.5, 0.4), (1.0, 0.3)):
-        ...     progress.see(left, now)
-        >>> round(progress.end_in_s(now=1.0), 2)
+        ...     progress.add_sample(left, now)
+        >>> round(progress.remaining_s(now=1.0), 2)
         1.5
     """
 
     def __init__(self):
         self._seen = collections.deque()
 
-    def see(self, left_share, now):
+    def add_sample(self, missing_share, now):
         """Note the share that is missing, from 0 to 1."""
-        self._seen.append((now, left_share))
-        while self._seen[0][0] < now - SPAN_S and len(self._seen) > 2:
+        self._seen.append((now, missing_share))
+        while self._seen[0][0] < now - WINDOW_S and len(self._seen) > 2:
             self._seen.popleft()
 
-    def end_in_s(self, now):
+    def remaining_s(self, now):
         """Return the seconds until nothing is missing, by its speed lately.
 
         It is infinite where nothing has come for a while, and 0 as long as
@@ -38,7 +38,7 @@
             return 0.0
         began, before = self._seen[0]
         _, left = self._seen[-1]
-        if now - began < SPAN_S / 2:
+        if now - began < WINDOW_S / 2:
             return 0.0
         if left <= 0:
             return 0.0
--- a/catkinshunt/spread/_source_speeds.py
+++ b/catkinshunt/spread/_source_speeds.py
@@ -6,24 +6,24 @@
 from catkinshunt.spread import _plan
 
 #: Share of the time of a copy after which the speed of sources is judged.
-JUDGE_AFTER = 0.9
+MIN_ELAPSED_SHARE = 0.9
 #: A source is slow that would end after this many times the time of a copy,
 #: where most others end within the second number. Usual delays at the begin
 #: must not count as slow: the chunks would be taken from the origin again.
-SLOW_END = 2.0
-USUAL_END = 1.4
+SLOW_END_RATIO = 2.0
+MEDIAN_END_RATIO = 1.4
 #: A member gives nothing of a version where it has less than this part of what
 #: most others have, and less than this part of what its link should have
 #: brought; with a quarter of the link it has 0.25 of both.
-SLOW_PART = 0.45
+NARROW_RATIO = 0.45
 #: Peers that must have told what they have, the share of a version that most
 #: must have, and the seconds after the begin from which on that is judged.
-LEAST_TOLD = 3
-LEAST_SHARE = 0.12
-JUDGE_LINK_S = 1.0
+MIN_REPORTS = 3
+MIN_MEDIAN_SHARE = 0.12
+LINK_CHECK_AFTER_S = 1.0
 
 
-class Speeds:
+class SourceSpeeds:
     """Follows what each source gives in one transfer.
 
     Args:
@@ -62,24 +62,25 @@
             source: the source.
             left: chunks that are left to each source.
         """
-        if self._elapsed_s() < JUDGE_AFTER * self.copy_s:
+        if self._elapsed_s() < MIN_ELAPSED_SHARE * self.copy_s:
             return False
         if left[source] < 2 or source == _plan.ORIGIN:
             return False
         others = sorted(
-            self._end_s(other, left[other])
+            self._estimated_end_s(other, left[other])
             for other in left
             if other != source
         )
         if not others:
             return False
-        usual_s = others[len(others) // 2]
+        median_s = others[len(others) // 2]
         return (
-            self._end_s(source, left[source]) > SLOW_END * self.copy_s
-            and usual_s < USUAL_END * self.copy_s
+            self._estimated_end_s(source, left[source])
+            > SLOW_END_RATIO * self.copy_s
+            and median_s < MEDIAN_END_RATIO * self.copy_s
         )
 
-    def _end_s(self, source, left):
+    def _estimated_end_s(self, source, left):
         """Return when a source ends at its speed, in seconds from the begin.
 
         The time of its last chunk where nothing is left to it.
@@ -99,15 +100,15 @@
             shares: what other members told of theirs.
         """
         elapsed_s = self._elapsed_s()
-        if not JUDGE_LINK_S <= elapsed_s <= self.copy_s:
+        if not LINK_CHECK_AFTER_S <= elapsed_s <= self.copy_s:
             return False
         # One that began later than the others is no reason to leave it out.
-        if share >= SLOW_PART * elapsed_s / self.copy_s:
+        if share >= NARROW_RATIO * elapsed_s / self.copy_s:
             return False
-        if len(shares) < LEAST_TOLD:
+        if len(shares) < MIN_REPORTS:
             return False
-        usual = sorted(shares)[len(shares) // 2]
-        return usual >= LEAST_SHARE and share < SLOW_PART * usual
+        median = sorted(shares)[len(shares) // 2]
+        return median >= MIN_MEDIAN_SHARE and share < NARROW_RATIO * median
 
     def _elapsed_s(self):
         return self.clock() - self._began
--- a/catkinshunt/spread/_wait_graph.py
+++ b/catkinshunt/spread/_wait_graph.py
@@ -10,59 +10,61 @@
 from catkinshunt import checks
 
 #: Seconds for which whoever asked for a chunk counts as one that waits.
-ASKED_S = 1.5
+REQUEST_TTL_S = 1.5
 #: Members of a chain that are told, and chunks whose chain is told at once.
-MOST_LINKS = 8
-MOST_TOLD = 16
+MAX_CHAIN_LENGTH = 8
+MAX_REPORTED_CHAINS = 16
 
 
-class Waits:
+class WaitGraph:
     """Who waits for this member, and for whom it waits, by chunk.
 
     Examples:
-        >>> waits = Waits()
-        >>> waits.ask(7, 'b')
-        >>> waits.note_asker(7, 'c', now=1.0)
-        >>> waits.hear(7, 'b', ('c', 'a'))
-        >>> sorted(waits.loop(7, 'a', now=1.1))
+        >>> wait_graph = WaitGraph()
+        >>> wait_graph.set_source(7, 'b')
+        >>> wait_graph.note_requester(7, 'c', now=1.0)
+        >>> wait_graph.extend_chain(7, 'b', ('c', 'a'))
+        >>> sorted(wait_graph.find_cycle(7, 'a', now=1.1))
         ['a', 'b', 'c']
     """
 
     def __init__(self):
         self._chains = {}
-        self._askers = {}
+        self._requesters = {}
 
-    def ask(self, index, source):
+    def set_source(self, index, source):
         """Note that a chunk is asked of a source from now on."""
         self._chains[index] = (source,)
 
-    def hear(self, index, source, chain):
+    def extend_chain(self, index, source, chain):
         """Note for whom a source waits itself for a chunk."""
         known = self._chains.get(index)
         if known is not None and known[0] == source:
-            self._chains[index] = (source, *chain)[:MOST_LINKS]
+            self._chains[index] = (source, *chain)[:MAX_CHAIN_LENGTH]
 
-    def note_asker(self, index, asker, now):
-        """Note that `asker` waits for a chunk from here."""
-        self._askers.setdefault(index, {})[asker] = now
+    def note_requester(self, index, requester, now):
+        """Note that `requester` waits for a chunk from here."""
+        self._requesters.setdefault(index, {})[requester] = now
 
     def chains(self, indices):
         """Return the chains of some of these chunks, to be told."""
         known = [index for index in indices if index in self._chains]
-        return {index: self._chains[index] for index in known[:MOST_TOLD]}
+        return {
+            index: self._chains[index] for index in known[:MAX_REPORTED_CHAINS]
+        }
 
-    def loop(self, index, me, now):
-        """Return the names of those that wait for each other, with `me`.
+    def find_cycle(self, index, local_name, now):
+        """Return the names of the members of a wait cycle with `local_name`.
 
         It is empty where the chunk comes from somewhere.
         """
         chain = self._chains.get(index, ())
-        askers = self._askers.get(index, {})
-        for place, name in enumerate(chain):
-            if name == me:
-                return {*chain[:place], me}
-            if now - askers.get(name, -ASKED_S) < ASKED_S:
-                return {*chain[: place + 1], me}
+        requesters = self._requesters.get(index, {})
+        for position, name in enumerate(chain):
+            if name == local_name:
+                return {*chain[:position], local_name}
+            if now - requesters.get(name, -REQUEST_TTL_S) < REQUEST_TTL_S:
+                return {*chain[: position + 1], local_name}
         return set()
 
 
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -47,8 +47,8 @@
     """Gives chunks; some of them bad."""
 
     def __init__(self):
-        self.given = []
-        self.asks = 0
+        self.sent_chunks = []
+        self.requests = 0
         self.corrupt = set()
         self.bad_manifests = 0
         self.down = False
@@ -64,11 +64,11 @@
         return manifest(version, model)
 
     async def chunk(self, model, version, index):
-        self.asks += 1
+        self.requests += 1
         await asyncio.sleep(0)
         if self.down:
             raise errors.TransferError('down', step='chunk')
-        self.given.append(index)
+        self.sent_chunks.append(index)
         if index in self.corrupt:
             self.corrupt.discard(index)
             return b'spoilt'
@@ -81,25 +81,25 @@
 class FakePeers:
     """Holdings of other members, by name."""
 
-    def __init__(self, **shelves):
-        self.shelves = shelves
-        self.asked = []
+    def __init__(self, **stores):
+        self.stores = stores
+        self.requested = []
         self.dead = set()
         self.corrupt = set()
-        self.shares = {}
+        self.reported_shares = {}
 
-    def share(self, peer, model, version):
-        return self.shares.get(peer)
+    def reported_share(self, peer, model, version):
+        return self.reported_shares.get(peer)
 
-    async def spare_chunk(self, peer, model, version, indices):
+    async def chunk_if_idle(self, peer, model, version, indices):
         return await self.chunk(peer, model, version, indices)
 
-    async def chunk(self, peer, model, version, indices, relays=False):
+    async def chunk(self, peer, model, version, indices, relay=False):
         await asyncio.sleep(0)
-        self.asked.append((peer, tuple(indices)))
+        self.requested.append((peer, tuple(indices)))
         if peer in self.dead:
             raise errors.TransferError('gone', step='chunk', peer=peer)
-        held = self.shelves.get(peer, {})
+        held = self.stores.get(peer, {})
         for index in indices:
             if index in held.get(version, ()):
                 data = chunk(version, index)
@@ -114,17 +114,17 @@
     """Notes what it is told."""
 
     def __init__(self):
-        self.told = []
+        self.calls = []
         self.expires_in_s = None
 
     def correct(self, present):
-        self.told.append(('correct', present))
+        self.calls.append(('correct', present))
 
     def close(self, closes_in_s, opens_in_s):
-        self.told.append(('close', closes_in_s))
+        self.calls.append(('close', closes_in_s))
 
     def open(self):
-        self.told.append(('open',))
+        self.calls.append(('open',))
 
     def expire(self, expires_in_s):
         self.expires_in_s = expires_in_s
@@ -173,18 +173,18 @@
             raise spread.LoadOutcomeUnknownError('lost', step='load')
 
 
-class FakeOutlook(spread.BaseClusterView):
+class FakeClusterView(spread.BaseClusterView):
     """Names versions as the test wants them."""
 
     regions = {}
 
     def __init__(self, members=()):
         self.versions = []
-        self.heard = []
+        self.noted = []
         self.listed = list(members)
         self._named = asyncio.Event()
 
-    def name(self, version, due_s=8.0):
+    def announce(self, version, due_s=8.0):
         due_at = self.now() + due_s
         self.versions.append(_agent.TargetVersion(MODEL, version, due_at))
         self._named.set()
@@ -216,4 +216,4 @@
         return 0.0
 
     def note_version(self, model, version):
-        self.heard.append((model, version))
+        self.noted.append((model, version))
--- a/catkinshunt/spread/tests/swarm.py
+++ b/catkinshunt/spread/tests/swarm.py
@@ -22,13 +22,13 @@
 from catkinshunt import weights
 
 #: Time on the way between two machines, in seconds.
-DELAY_S = 0.001
+LATENCY_S = 0.001
 #: Seconds after which a peer that sends nothing is given up.
-SILENT_S = 3.0
+PEER_TIMEOUT_S = 3.0
 #: The same for the origin.
-ORIGIN_SILENT_S = 4.0
+ORIGIN_TIMEOUT_S = 4.0
 #: Pause of a member before a transfer that failed is begun again.
-AGAIN_S = 0.25
+RETRY_S = 0.25
 
 
 class _Selector(selectors.SelectSelector):
@@ -46,12 +46,12 @@
     """An event loop whose clock jumps to the next timer."""
 
     def __init__(self):
-        self._passing = _Selector()
-        super().__init__(self._passing)
+        self._selector = _Selector()
+        super().__init__(self._selector)
 
     def time(self):
         """Return the virtual seconds since the begin."""
-        return self._passing.now
+        return self._selector.now
 
 
 class Link:
@@ -60,11 +60,11 @@
     def __init__(self, mbps):
         self.bytes_per_s = mbps * spread.BYTES_PER_MBIT
         self.sent = 0
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
-    async def carry(self, size):
+    async def send(self, size):
         """Return when `size` bytes have passed."""
-        async with self._turn:
+        async with self._lock:
             self.sent += size
             await asyncio.sleep(size / self.bytes_per_s)
 
@@ -73,7 +73,7 @@
 class Scale:
     """Sizes of a deployment; speeds in Mbit/s, sizes in bytes."""
 
-    places: dict
+    member_counts: dict
     chunks: int = 96
     chunk_bytes: int = 24_576
     link_mbps: float = 3.65
@@ -92,34 +92,34 @@
         return self.copy_bytes / (self.link_mbps * spread.BYTES_PER_MBIT)
 
 
-class Box:
+class SimulatedInstance:
     """One instance with its sidecar, which can die and start again."""
 
     def __init__(self, swarm, member):
         self.swarm = swarm
         self.member = member
-        self.up = Link(swarm.scale.link_mbps)
-        self.down = Link(swarm.scale.link_mbps)
+        self.uplink = Link(swarm.scale.link_mbps)
+        self.downlink = Link(swarm.scale.link_mbps)
         self.stage = {}
         self.alive = True
         self.frozen = False
         self.completed_at = None
         self.chunk_store = None
-        self.turns = None
+        self.send_lock = None
         self._task = None
 
     def start(self, version):
         """Fetch a version; what lies staged of it is taken first."""
         self.alive = True
-        self.turns = _chunk_server.PriorityLock()
+        self.send_lock = _chunk_server.PriorityLock()
         self.chunk_store = spread.ChunkStore(fakes.MODEL, version)
         self.chunk_store.begin()
         self._task = asyncio.ensure_future(self._fetch())
 
-    def stay_idle(self):
+    def run_without_transfer(self):
         """Answer others, without a transfer of the version."""
         self.alive = True
-        self.turns = _chunk_server.PriorityLock()
+        self.send_lock = _chunk_server.PriorityLock()
 
     def kill(self):
         """End the sidecar; what it staged stays."""
@@ -127,7 +127,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def give_up(self):
+    def cancel_transfer(self):
         """Fetch this version no more, but give what is here."""
         self._task.cancel()
         self.chunk_store.end()
@@ -141,14 +141,14 @@
                     self.chunk_store.put(index, data)
                 await fetcher.run()
                 break
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_S)
         self.completed_at = asyncio.get_running_loop().time()
 
     def _make_fetcher(self):
         swarm = self.swarm
         plan = spread.SourcePlan(
             self.member,
-            swarm.listed_at(self.member),
+            swarm.members_listed_by(self.member),
             {},
             fakes.MODEL,
             self.chunk_store.version,
@@ -163,22 +163,22 @@
             SwarmPeers(self),
             origin,
             asyncio.get_running_loop().time,
-            self._keep,
+            self._stage_chunk,
             fakes.Counter(),
             lambda size: copy_s,
             lambda size: origin_s,
         )
 
-    async def _keep(self, index, data):
+    async def _stage_chunk(self, index, data):
         self.stage[index] = data
 
 
 class SwarmOrigin(spread.BaseOrigin):
     """The origin as one member sees it."""
 
-    def __init__(self, box):
-        self.box = box
-        self.swarm = box.swarm
+    def __init__(self, instance):
+        self.instance = instance
+        self.swarm = instance.swarm
 
     async def manifest(self, model, version):
         """See `spread.BaseOrigin.manifest`."""
@@ -195,47 +195,47 @@
         """See `spread.BaseOrigin.release`."""
 
     async def _receive(self, size):
-        await asyncio.sleep(DELAY_S)
+        await asyncio.sleep(LATENCY_S)
         if self.swarm.origin_down:
             raise errors.TransferError('no connection', peer='origin')
         try:
-            async with asyncio.timeout(ORIGIN_SILENT_S):
-                await self.swarm.origin.carry(size)
+            async with asyncio.timeout(ORIGIN_TIMEOUT_S):
+                await self.swarm.origin.send(size)
         except TimeoutError as exc:
             raise errors.TransferError('silent', peer='origin') from exc
-        await self.box.down.carry(size)
+        await self.instance.downlink.send(size)
 
 
 class SwarmPeers:
     """The other members as one of them sees them."""
 
-    def __init__(self, box):
-        self.box = box
-        self.swarm = box.swarm
-        self.shares = {}
+    def __init__(self, instance):
+        self.instance = instance
+        self.swarm = instance.swarm
+        self.reported_shares = {}
 
-    def share(self, peer, model, version):
+    def reported_share(self, peer, model, version):
         """Return the share of the version that a peer had, or None."""
-        return self.shares.get(peer)
+        return self.reported_shares.get(peer)
 
-    async def chunk(self, peer, model, version, indices, relays=False):
+    async def chunk(self, peer, model, version, indices, relay=False):
         """Return (index, bytes) of one of these chunks."""
-        return await self._ask(peer, version, indices, 0 if relays else 1)
+        return await self._ask(peer, version, indices, 0 if relay else 1)
 
-    async def spare_chunk(self, peer, model, version, indices):
+    async def chunk_if_idle(self, peer, model, version, indices):
         """Return (index, bytes) of one of these if the peer is idle."""
         return await self._ask(peer, version, indices, None)
 
     async def _ask(self, peer, version, indices, rank):
-        box = self.swarm.instances[peer]
-        await asyncio.sleep(DELAY_S)
-        if not box.alive:
+        instance = self.swarm.instances[peer]
+        await asyncio.sleep(LATENCY_S)
+        if not instance.alive:
             raise errors.TransferError('no connection', peer=peer)
         try:
-            async with asyncio.timeout(SILENT_S):
-                while box.frozen:
-                    await asyncio.sleep(AGAIN_S)
-                return await self._receive(box, version, indices, rank)
+            async with asyncio.timeout(PEER_TIMEOUT_S):
+                while instance.frozen:
+                    await asyncio.sleep(RETRY_S)
+                return await self._receive(instance, version, indices, rank)
         except TimeoutError as exc:
             raise errors.TransferError('silent', peer=peer) from exc
 
@@ -246,56 +246,59 @@
         )
         return data
 
-    async def _receive(self, box, version, indices, rank):
-        chunk_store, turns = box.chunk_store, box.turns
-        peer = box.member.name
+    async def _receive(self, instance, version, indices, rank):
+        chunk_store, send_lock = instance.chunk_store, instance.send_lock
+        peer = instance.member.name
         if chunk_store is None or chunk_store.version != version:
-            await asyncio.sleep(_chunk_server.BEGIN_S)
+            await asyncio.sleep(_chunk_server.START_WAIT_S)
             raise errors.SourceUnableError('not fetched', peer=peer)
         if rank is not None:
-            self._note_asker(chunk_store, indices)
-            await chunk_store.wait_for_any(
-                indices, _chunk_server.LONGEST_WAIT_S
-            )
-        elif not turns.is_free:
+            self._note_requester(chunk_store, indices)
+            await chunk_store.wait_for_any(indices, _chunk_server.MAX_WAIT_S)
+        elif not send_lock.is_free:
             raise errors.SourceBusyError('gives to others', peer=peer)
         found = chunk_store.find_any(indices)
         if found is None and not (
-            chunk_store.awaits(indices) or chunk_store.is_complete
+            chunk_store.is_expecting(indices) or chunk_store.is_complete
         ):
             raise errors.SourceUnableError('left out', peer=peer)
         if found is None:
             raise errors.SourceBusyError(
                 'not there yet',
                 peer=peer,
-                chains=chunk_store.waits.chains(indices),
+                chains=chunk_store.wait_graph.chains(indices),
             )
-        await turns.take(1 if rank is None else rank)
+        await send_lock.acquire(1 if rank is None else rank)
         try:
             found = chunk_store.find_any(indices)
             if found is None:
                 raise errors.SourceUnableError('left out', peer=peer)
-            chunk_store.note_given(found[0])
-            self.shares[peer] = 1 - chunk_store.left_share
-            await box.up.carry(self.swarm.scale.chunk_bytes)
+            chunk_store.count_served(found[0])
+            self.reported_shares[peer] = 1 - chunk_store.missing_share
+            await instance.uplink.send(self.swarm.scale.chunk_bytes)
         finally:
-            turns.leave()
-        if not box.alive:
+            send_lock.release()
+        if not instance.alive:
             raise errors.TransferError('reset', peer=peer)
-        await self._cross(box)
-        await self.box.down.carry(self.swarm.scale.chunk_bytes)
+        await self._cross(instance)
+        await self.instance.downlink.send(self.swarm.scale.chunk_bytes)
         return found
 
-    def _note_asker(self, chunk_store, indices):
+    def _note_requester(self, chunk_store, indices):
         now = asyncio.get_running_loop().time()
         for index in indices:
-            chunk_store.waits.note_asker(index, self.box.member.name, now)
+            chunk_store.wait_graph.note_requester(
+                index, self.instance.member.name, now
+            )
 
-    async def _cross(self, box):
-        here, there = self.box.member.data_centre, box.member.data_centre
+    async def _cross(self, instance):
+        here, there = (
+            self.instance.member.data_centre,
+            instance.member.data_centre,
+        )
         if here != there:
-            link = self.swarm.between(there, here)
-            await link.carry(self.swarm.scale.chunk_bytes)
+            link = self.swarm.link_between(there, here)
+            await link.send(self.swarm.scale.chunk_bytes)
 
 
 class Swarm:
@@ -309,27 +312,29 @@
         self.scale = scale
         self.members = [
             spread.Member(f'{place}{number}', place)
-            for place, count in scale.places.items()
+            for place, count in scale.member_counts.items()
             for number in range(count)
         ]
         self.origin = Link(scale.origin_mbps)
-        self.missed = {}
+        self.unlisted = {}
         self.origin_down = False
         self.origin_given = collections.Counter()
-        self.instances = {m.name: Box(self, m) for m in self.members}
-        self._between = {}
+        self.instances = {
+            m.name: SimulatedInstance(self, m) for m in self.members
+        }
+        self._links_between = {}
         self._manifests = {}
 
-    def listed_at(self, member):
+    def members_listed_by(self, member):
         """Return the members that one of them knows."""
-        missed = self.missed.get(member.name, ())
-        return [m for m in self.members if m.name not in missed]
+        unlisted = self.unlisted.get(member.name, ())
+        return [m for m in self.members if m.name not in unlisted]
 
-    def between(self, one, other):
+    def link_between(self, one, other):
         """Return the link from one data centre to another."""
-        if (one, other) not in self._between:
-            self._between[(one, other)] = Link(self.scale.region_mbps)
-        return self._between[(one, other)]
+        if (one, other) not in self._links_between:
+            self._links_between[(one, other)] = Link(self.scale.region_mbps)
+        return self._links_between[(one, other)]
 
     def chunk(self, version, index):
         """Return the bytes that stand for a chunk."""
@@ -352,11 +357,11 @@
             )
         return self._manifests[version]
 
-    def name(self, version):
+    def announce(self, version):
         """Let all members that live fetch a version."""
-        for box in self.instances.values():
-            if box.alive:
-                box.start(version)
+        for instance in self.instances.values():
+            if instance.alive:
+                instance.start(version)
 
     async def wait(self, longest_s):
         """Return once all members have it whole, or after `longest_s`."""
@@ -372,16 +377,16 @@
         """Copies that the origin has sent."""
         return self.origin.sent / self.scale.copy_bytes
 
-    def ends_s(self):
+    def completion_times_s(self):
         """Return when members had it whole, in order.
 
         Members that do not have it are left out.
         """
-        ends = (box.completed_at for box in self.instances.values())
+        ends = (instance.completed_at for instance in self.instances.values())
         return sorted(end for end in ends if end is not None)
 
 
-def play(day):
+def run_in_virtual_time(scenario):
     """Run a coroutine function in virtual time; return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(day())
+        return runner.run(scenario())
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -8,7 +8,7 @@
 from catkinshunt.spread import _loader
 from catkinshunt.spread.tests import fakes
 
-ME = spread.Member('a0', 'a')
+LOCAL_MEMBER = spread.Member('a0', 'a')
 
 
 class Sidecar:
@@ -16,12 +16,12 @@
 
     def __init__(self, engine=None, version_store=None):
         self.engine = engine or fakes.FakeEngine()
-        self.outlook = fakes.FakeOutlook([ME])
+        self.cluster_view = fakes.FakeClusterView([LOCAL_MEMBER])
         self.origin = fakes.FakeOrigin()
         self.version_store = version_store or spread.VersionStore()
         self.agent = spread.Agent(
-            ME,
-            self.outlook,
+            LOCAL_MEMBER,
+            self.cluster_view,
             self.engine,
             self.origin,
             fakes.FakePeers(),
@@ -60,7 +60,7 @@
 
 def test_an_empty_engine_is_filled():
     async def main(sidecar):
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
@@ -79,7 +79,7 @@
         await sidecar.until(lambda: door.expires_in_s is not None)
         calm_s = door.expires_in_s
         sidecar.origin.down = True
-        sidecar.outlook.name(2, due_s=3.0)
+        sidecar.cluster_view.announce(2, due_s=3.0)
         await sidecar.until(lambda: door.expires_in_s != calm_s)
         named_s = door.expires_in_s
         sidecar.origin.down = False
@@ -98,14 +98,14 @@
     async def main(sidecar):
         door = sidecar.agent.door
         sidecar.origin.down = True
-        sidecar.outlook.name(2, due_s=3.0)
+        sidecar.cluster_view.announce(2, due_s=3.0)
         await sidecar.until(lambda: door.expires_in_s not in (None, math.inf))
         began = door.expires_in_s
         await sidecar.until(lambda: door.expires_in_s < began)
         return door.expires_in_s
 
     expires_in_s = run(main, engine=fakes.FakeEngine(1))
-    assert expires_in_s <= 3.0 - _agent.BUSY_LINK_S
+    assert expires_in_s <= 3.0 - _agent.LINK_QUEUE_S
 
 
 def test_chunks_that_turned_bad_are_put_again_before_the_order():
@@ -124,7 +124,7 @@
                 sidecar.engine.put_chunk = original
 
         sidecar.engine.put_chunk = put
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
@@ -146,24 +146,24 @@
             2: b'rotten',
         }
         async with sidecar.running():
-            sidecar.outlook.name(2)
+            sidecar.cluster_view.announce(2)
             await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar
 
     sidecar = asyncio.run(main())
     assert sidecar.engine.loaded == whole(2)
-    assert 0 not in sidecar.origin.given
+    assert 0 not in sidecar.origin.sent_chunks
 
 
 def test_an_engine_that_restarted_is_loaded_again():
     async def main(sidecar):
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         sidecar.engine.version = 0
         sidecar.agent._loader._ordered_at -= 10
-        given = len(sidecar.origin.given)
+        given = len(sidecar.origin.sent_chunks)
         await sidecar.until(lambda: sidecar.engine.version == 2)
-        return len(sidecar.origin.given) - given
+        return len(sidecar.origin.sent_chunks) - given
 
     assert run(main) == 0
 
@@ -186,9 +186,9 @@
 
         sidecar.engine.put_chunk = put
         sidecar.engine.lost_answers = 2
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.orders)
-        sidecar.outlook.name(3)
+        sidecar.cluster_view.announce(3)
         await sidecar.until(lambda: sidecar.engine.version == 3)
         return staged, sidecar.engine
 
@@ -210,12 +210,15 @@
     )
 
     async def main(sidecar):
-        sidecar.outlook.name(2, due_s=0.8)
+        sidecar.cluster_view.announce(2, due_s=0.8)
         chunk_store = sidecar.version_store.chunk_store(fakes.MODEL, 2)
         await sidecar.until(lambda: chunk_store.is_complete)
         early = list(sidecar.engine.orders)
         await sidecar.until(lambda: sidecar.engine.version == 2)
-        left_s = sidecar.outlook.versions[0].due_at - sidecar.outlook.now()
+        left_s = (
+            sidecar.cluster_view.versions[0].due_at
+            - sidecar.cluster_view.now()
+        )
         return early, left_s
 
     early, left_s = run(main, engine=fakes.FakeEngine(version=1))
@@ -234,8 +237,8 @@
     )
 
     async def main(sidecar):
-        sidecar.outlook.name(2, due_s=0.2)
-        sidecar.outlook.name(3, due_s=60.0)
+        sidecar.cluster_view.announce(2, due_s=0.2)
+        sidecar.cluster_view.announce(3, due_s=60.0)
         await sidecar.until(lambda: sidecar.engine.version == 3)
 
     run(main, engine=fakes.FakeEngine(version=1))
@@ -253,7 +256,7 @@
             return await original()
 
         sidecar.engine.report = report
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
 
     run(main)
@@ -267,7 +270,7 @@
 
     async def main(sidecar):
         sidecar.agent.on_chunk_request(fakes.MODEL, 7)
-        return sidecar.outlook.heard
+        return sidecar.cluster_view.noted
 
     assert run(main) == [(fakes.MODEL, 7)]
 
@@ -308,10 +311,10 @@
         sidecar.origin.chunk = chunk
         sidecar.origin.manifest = manifest
         async with sidecar.running():
-            sidecar.outlook.name(2, due_s=0.5)
+            sidecar.cluster_view.announce(2, due_s=0.5)
             older = sidecar.version_store.chunk_store(fakes.MODEL, 2)
             await sidecar.until(lambda: older.manifest is not None)
-            sidecar.outlook.name(3, due_s=30.0)
+            sidecar.cluster_view.announce(3, due_s=30.0)
             await asyncio.sleep(0.1)
             held.set()
             await sidecar.until(lambda: sidecar.engine.version == 2)
@@ -333,11 +336,11 @@
             calls.append(1)
             raise errors.StoreUnavailableError('down', step='read')
 
-        sidecar.outlook.members = members
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.members = members
+        sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: calls)
         for _ in range(20):
-            sidecar.agent._news.set()
+            sidecar.agent._wakeup.set()
             await asyncio.sleep(0.01)
 
     run(main)
--- a/catkinshunt/spread/tests/test_chunk_server.py
+++ b/catkinshunt/spread/tests/test_chunk_server.py
@@ -106,7 +106,7 @@
     def prepare(version_store):
         chunk_store = begin_transfer(version_store)
         chunk_store.put(1, fakes.chunk(2, 1))
-        chunk_store.give_nothing()
+        chunk_store.disable_upload()
 
     kind, _ = ask_server(prepare, lambda c: c.chunk)
     assert kind is errors.SourceUnableError
@@ -135,7 +135,7 @@
         asking = asyncio.ensure_future(
             client.manifest('127.0.0.1', fakes.MODEL, 2)
         )
-        await asyncio.sleep(1.5 * _chunk_server.BEGIN_S)
+        await asyncio.sleep(1.5 * _chunk_server.START_WAIT_S)
         chunk_store.describe(fakes.manifest(2))
         return await asking
 
@@ -152,23 +152,23 @@
 
     Each would hold up the chunk for a second if it waited for it.
     """
-    kind, took_s = ask_server(begin_transfer, lambda c: c.spare_chunk)
+    kind, took_s = ask_server(begin_transfer, lambda c: c.chunk_if_idle)
     assert kind is errors.SourceBusyError
     assert took_s < 0.5
 
 
 def test_those_who_pass_chunks_on_go_first():
     async def main():
-        turns = spread.PriorityLock()
+        send_lock = spread.PriorityLock()
         order = []
 
         async def send(name, rank):
-            await turns.take(rank)
+            await send_lock.acquire(rank)
             order.append(name)
             await asyncio.sleep(0)
-            turns.leave()
+            send_lock.release()
 
-        await turns.take(0)
+        await send_lock.acquire(0)
         tasks = [
             asyncio.ensure_future(send(name, rank))
             for name, rank in (('leaf', 1), ('relay', 0), ('gone', 0))
@@ -176,9 +176,9 @@
         await asyncio.sleep(0)
         tasks[2].cancel()
         await asyncio.sleep(0)
-        turns.leave()
+        send_lock.release()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await turns.take(1)
+        await send_lock.acquire(1)
         return order
 
     assert asyncio.run(main()) == ['relay', 'leaf']
--- a/catkinshunt/spread/tests/test_chunk_store.py
+++ b/catkinshunt/spread/tests/test_chunk_store.py
@@ -5,7 +5,7 @@
 from catkinshunt import weights
 
 
-def make_holding(chunks):
+def make_chunk_store(chunks):
     digests = [hashlib.sha256(data).hexdigest() for data in chunks]
     chunk_store = spread.ChunkStore(fakes.MODEL, 2)
     chunk_store.describe(
@@ -25,10 +25,10 @@
 
 def test_members_that_ask_for_the_same_chunks_get_various_ones():
     """With the same one first, they have nothing to pass on to each other."""
-    chunk_store = make_holding([b'aa', b'bb', b'cc'])
+    chunk_store = make_chunk_store([b'aa', b'bb', b'cc'])
     given = []
     for _ in range(6):
         index, _ = chunk_store.find_any([0, 1, 2])
-        chunk_store.note_given(index)
+        chunk_store.count_served(index)
         given.append(index)
     assert sorted(given[:3]) == sorted(given[3:]) == [0, 1, 2]
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -97,9 +97,9 @@
         firsts = []
         for name, plan in made.items():
             if name != owner:
-                plan.leave_out(frozenset([owner]))
+                plan.set_excluded(frozenset([owner]))
                 firsts.append(plan.sources(index)[0])
-                plan.leave_out(frozenset())
+                plan.set_excluded(frozenset())
         assert firsts.count(spread.ORIGIN) == 1
         assert owner not in firsts
 
@@ -111,7 +111,7 @@
     """
     listed = members({'a': 4, 'b': 3})
     plan = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2, 96)
-    plan.leave_out(frozenset([listed[0].name]))
+    plan.set_excluded(frozenset([listed[0].name]))
     firsts = {plan.sources(index)[0] for index in range(96)}
     assert firsts <= {'a1', 'a2', 'a3'}
 
@@ -223,7 +223,7 @@
     ],
 )
 def test_the_shorter_gap_decides_which_version_goes_first(
-    left_share, older_due_s, newer_due_s, finishes
+    missing_share, older_due_s, newer_due_s, finishes
 ):
     """A version is named while the one before is on its way.
 
@@ -232,7 +232,7 @@
     """
     assert (
         spread.finish_older_first(
-            left_share, 5.7, 0.3, older_due_s, newer_due_s
+            missing_share, 5.7, 0.3, older_due_s, newer_due_s
         )
         is finishes
     )
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -19,12 +19,12 @@
     """
 
     class NarrowPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
                 await asyncio.sleep(0.3)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
-    peers = NarrowPeers(a1=transfers.EVERY, a2=transfers.EVERY)
+    peers = NarrowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     monkeypatch.setattr(
         spread.SourcePlan,
         'sources',
@@ -55,17 +55,17 @@
     """
 
     class SlowPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             await asyncio.sleep(0.1)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     found = transfers.transfer(
-        peers=SlowPeers(a1=transfers.EVERY, a2=transfers.EVERY),
+        peers=SlowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS),
         listed=transfers.listed('a1', 'a2', a1=2, a2=2),
         copy_s=lambda size: 0.05,
     )
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
 def test_members_that_wait_themselves_do_not_hold_up_a_chunk(monkeypatch):
@@ -79,10 +79,10 @@
     wait_s = 0.1
 
     class WaitingPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
-            if not self.shelves[peer][2]:
+        async def chunk(self, peer, model, version, indices, relay=False):
+            if not self.stores[peer][2]:
                 await asyncio.sleep(wait_s)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     async def main():
         nearby = ['a2', 'a3', 'a4', 'a5']
@@ -101,7 +101,7 @@
         found.origin.down = True
         running = asyncio.ensure_future(found.fetcher.run())
         await asyncio.sleep(0.9)
-        peers.shelves['a1'][2] = range(fakes.CHUNKS)
+        peers.stores['a1'][2] = range(fakes.CHUNKS)
         async with asyncio.timeout(8 * wait_s):
             await running
         return found
@@ -123,7 +123,7 @@
         found.origin.down = True
         running = asyncio.ensure_future(found.fetcher.run())
         await asyncio.sleep(1.0)
-        asked = len(found.peers.asked) + found.origin.asks
+        asked = len(found.peers.requested) + found.origin.requests
         found.origin.down = False
         async with asyncio.timeout(5):
             await running
@@ -140,20 +140,20 @@
     """
 
     class LatePeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
-            if len(self.asked) < 4:
-                self.asked.append(peer)
+        async def chunk(self, peer, model, version, indices, relay=False):
+            if len(self.requested) < 4:
+                self.requested.append(peer)
                 raise errors.SourceBusyError('not there yet', peer=peer)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
-    peers = LatePeers(a1=transfers.EVERY)
+    peers = LatePeers(a1=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers,
         listed=transfers.listed('a1', a1=2),
         origin_copy_s=lambda size: 3.0,
     )
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
 def test_a_source_is_asked_by_one_worker_only():
@@ -165,7 +165,7 @@
     asking = []
 
     class EmptyPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             asking.append(1)
             most.append(len(asking))
             try:
@@ -183,7 +183,7 @@
 
     found = transfers.transfer(
         prepare,
-        peers=EmptyPeers(a1=transfers.EVERY),
+        peers=EmptyPeers(a1=transfers.ALL_CHUNKS),
         listed=transfers.listed('a1'),
     )
     assert found.chunk_store.is_complete
@@ -198,19 +198,19 @@
     """
 
     class UnablePeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
-                self.asked.append((peer, tuple(indices)))
+                self.requested.append((peer, tuple(indices)))
                 raise errors.SourceUnableError('not fetched', peer=peer)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
-    peers = UnablePeers(a2=transfers.EVERY)
+    peers = UnablePeers(a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
     assert found.chunk_store.is_complete
-    assert [peer for peer, _ in peers.asked].count('a1') == 1
-    assert not found.origin.given
+    assert [peer for peer, _ in peers.requested].count('a1') == 1
+    assert not found.origin.sent_chunks
 
 
 def test_an_idle_source_gives_what_a_busy_one_is_slow_to_give():
@@ -221,10 +221,10 @@
     """
 
     class BusyPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
                 await asyncio.sleep(0.2)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     def prepare(found):
         found.fetcher.plan.sources = lambda index: [
@@ -232,12 +232,12 @@
             'origin',
         ]
 
-    peers = BusyPeers(a1=transfers.EVERY, a2=transfers.EVERY)
+    peers = BusyPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         prepare, peers=peers, listed=transfers.listed('a1', 'a2')
     )
     assert found.chunk_store.is_complete
-    assert [peer for peer, _ in peers.asked].count('a1') <= 2
+    assert [peer for peer, _ in peers.requested].count('a1') <= 2
 
 
 def test_a_narrow_own_link_is_noticed(monkeypatch):
@@ -246,16 +246,16 @@
     Others wait for what this member is to pass on, so it lets them take it
     elsewhere from then on.
     """
-    monkeypatch.setattr(_source_speeds, 'JUDGE_LINK_S', 0.01)
+    monkeypatch.setattr(_source_speeds, 'LINK_CHECK_AFTER_S', 0.01)
 
     class SlowPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             await asyncio.sleep(0.1)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     names = ['a1', 'a2', 'a3']
-    peers = SlowPeers(**dict.fromkeys(names, transfers.EVERY))
-    peers.shares = dict.fromkeys(names, 0.9)
+    peers = SlowPeers(**dict.fromkeys(names, transfers.ALL_CHUNKS))
+    peers.reported_shares = dict.fromkeys(names, 0.9)
 
     def prepare(found):
         found.fetcher.plan.sources = lambda index: [
@@ -270,4 +270,4 @@
         copy_s=lambda size: 0.15,
     )
     assert found.chunk_store.is_complete
-    assert found.chunk_store.is_slow
+    assert found.chunk_store.is_upload_disabled
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -11,7 +11,7 @@
 THREE_DATA_CENTRES = swarm.Scale({'larisa': 11, 'piraeus': 10, 'sindos': 10})
 #: The same with 12 added engines, eight of which begin late.
 GROWN = swarm.Scale({'larisa': 13, 'piraeus': 17, 'sindos': 13})
-LATE = (11, 12, 26, 27, 28, 29, 30, 42)
+LATE_MEMBERS = (11, 12, 26, 27, 28, 29, 30, 42)
 #: 76 members in five data centres.
 FIVE_DATA_CENTRES = swarm.Scale(
     {'larisa': 16, 'piraeus': 15, 'sindos': 15, 'patra': 15, 'iraklio': 15},
@@ -19,17 +19,17 @@
 )
 #: Times that the origin's link needs for what is missing within which the
 #: origin is to have given it, once it is back.
-MOST_RETURN_TIMES = 1.2
+MAX_RECOVERY_RATIO = 1.2
 #: Seconds until a sidecar that was killed is back.
 DOWN_S = 0.8
 #: Times of one copy over the own link within which all are to have it where
 #: nothing fails, and where some die: a version is due after two and a half,
 #: and loading takes the rest.
-MOST_CALM_TIMES = 1.5
-MOST_LINK_TIMES = 2.0
+MAX_FAULTLESS_COPY_TIMES = 1.5
+MAX_COPY_TIMES = 2.0
 #: Copies that the origin is to send at most: a chunk once, and once more
 #: where whoever was to pass it on has died.
-MOST_COPIES = 2.0
+MAX_ORIGIN_COPIES = 2.0
 
 
 class Fault:
@@ -42,60 +42,60 @@
             for number in numbers
         ]
 
-    async def name(self, back_s, answering=False):
+    async def announce(self, start_after_s, answering=False):
         """Name a version; the members with a fault begin later.
 
         Args:
-            back_s: seconds after which they begin.
+            start_after_s: seconds after which they begin.
             answering: they live until then, and are not dead.
         """
-        for box in self.instances:
-            box.kill()
-        self.swarm.name(2)
-        for box in self.instances if answering else ():
-            box.stay_idle()
-        await asyncio.sleep(back_s)
-        for box in self.instances:
-            box.start(2)
+        for instance in self.instances:
+            instance.kill()
+        self.swarm.announce(2)
+        for instance in self.instances if answering else ():
+            instance.run_without_transfer()
+        await asyncio.sleep(start_after_s)
+        for instance in self.instances:
+            instance.start(2)
 
     def narrow(self, share):
         """Leave a share of their links to these members."""
-        for box in self.instances:
-            box.up.bytes_per_s *= share
-            box.down.bytes_per_s *= share
+        for instance in self.instances:
+            instance.uplink.bytes_per_s *= share
+            instance.downlink.bytes_per_s *= share
 
-    def ends_s(self):
+    def completion_times_s(self):
         """Return when the other members had the version, in order."""
         others = [
             b for b in self.swarm.instances.values() if b not in self.instances
         ]
-        assert all(box.completed_at is not None for box in others)
-        return sorted(box.completed_at for box in others)
+        assert all(instance.completed_at is not None for instance in others)
+        return sorted(instance.completed_at for instance in others)
 
 
-def spread_with_deaths(scale, dead, down_s=DOWN_S):
+def run_with_dead_members(scale, dead, down_s=DOWN_S):
     """Name a version to a swarm in which some members are dead."""
 
-    async def day():
+    async def scenario():
         fault = Fault(scale, dead)
-        await fault.name(back_s=down_s)
+        await fault.announce(start_after_s=down_s)
         await fault.swarm.wait(8 * scale.copy_s)
         return fault.swarm
 
-    return swarm.play(day)
+    return swarm.run_in_virtual_time(scenario)
 
 
-def check_spread(found, most_times=MOST_LINK_TIMES):
+def check_completion(found, max_copy_times=MAX_COPY_TIMES):
     """Hold the time of the last member and the bytes of the origin."""
-    ends_s = found.ends_s()
-    assert len(ends_s) == len(found.members)
-    assert ends_s[-1] <= most_times * found.scale.copy_s
-    assert found.origin_copies <= MOST_COPIES
+    completion_times_s = found.completion_times_s()
+    assert len(completion_times_s) == len(found.members)
+    assert completion_times_s[-1] <= max_copy_times * found.scale.copy_s
+    assert found.origin_copies <= MAX_ORIGIN_COPIES
 
 
 def test_without_failures_the_origin_sends_a_version_once():
-    found = spread_with_deaths(THREE_DATA_CENTRES, dead=(), down_s=0.0)
-    check_spread(found, MOST_CALM_TIMES)
+    found = run_with_dead_members(THREE_DATA_CENTRES, dead=(), down_s=0.0)
+    check_completion(found, MAX_FAULTLESS_COPY_TIMES)
     # Beside the chunks each owner takes the manifest.
     assert found.origin_copies < 1.1
 
@@ -110,8 +110,8 @@
     96), and everybody waited for it. Callers saw no answers from models once
     the version was due.
     """
-    found = spread_with_deaths(THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22))
-    check_spread(found)
+    found = run_with_dead_members(THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22))
+    check_completion(found)
 
 
 def test_members_that_begin_late_do_not_hold_up_the_others():
@@ -121,14 +121,16 @@
     answer, so nothing seems to fail, and a version came after 15 s.
     """
 
-    async def day():
-        fault = Fault(GROWN, LATE)
-        await fault.name(back_s=GROWN.copy_s, answering=True)
+    async def scenario():
+        fault = Fault(GROWN, LATE_MEMBERS)
+        await fault.announce(start_after_s=GROWN.copy_s, answering=True)
         await fault.swarm.wait(8 * GROWN.copy_s)
         return fault
 
-    ends_s = swarm.play(day).ends_s()
-    assert ends_s[-1] <= MOST_LINK_TIMES * GROWN.copy_s
+    completion_times_s = swarm.run_in_virtual_time(
+        scenario
+    ).completion_times_s()
+    assert completion_times_s[-1] <= MAX_COPY_TIMES * GROWN.copy_s
 
 
 def test_members_with_narrow_links_do_not_hold_up_the_others():
@@ -138,17 +140,20 @@
     14 to 18 s, too late for the moment at which it was due.
     """
 
-    async def day():
+    async def scenario():
         fault = Fault(THREE_DATA_CENTRES, (4, 14, 24))
         fault.narrow(0.25)
-        fault.swarm.name(2)
+        fault.swarm.announce(2)
         await fault.swarm.wait(8 * THREE_DATA_CENTRES.copy_s)
         return fault
 
-    fault = swarm.play(day)
-    assert fault.ends_s()[-1] <= MOST_LINK_TIMES * THREE_DATA_CENTRES.copy_s
-    assert all(box.completed_at for box in fault.instances)
-    assert fault.swarm.origin_copies <= MOST_COPIES
+    fault = swarm.run_in_virtual_time(scenario)
+    assert (
+        fault.completion_times_s()[-1]
+        <= MAX_COPY_TIMES * THREE_DATA_CENTRES.copy_s
+    )
+    assert all(instance.completed_at for instance in fault.instances)
+    assert fault.swarm.origin_copies <= MAX_ORIGIN_COPIES
 
 
 def test_a_member_that_stands_still_does_not_hold_up_the_others():
@@ -158,28 +163,30 @@
     takes its chunks from the member that stands in for it.
     """
 
-    async def day():
+    async def scenario():
         fault = Fault(THREE_DATA_CENTRES, (14,))
-        fault.swarm.name(2)
+        fault.swarm.announce(2)
         await asyncio.sleep(THREE_DATA_CENTRES.copy_s / 3)
-        for box in fault.instances:
-            box.frozen = True
+        for instance in fault.instances:
+            instance.frozen = True
         await asyncio.sleep(6.0)
-        for box in fault.instances:
-            box.frozen = False
+        for instance in fault.instances:
+            instance.frozen = False
         await fault.swarm.wait(8 * THREE_DATA_CENTRES.copy_s)
         return fault
 
-    ends_s = swarm.play(day).ends_s()
-    assert ends_s[-1] <= MOST_LINK_TIMES * THREE_DATA_CENTRES.copy_s
+    completion_times_s = swarm.run_in_virtual_time(
+        scenario
+    ).completion_times_s()
+    assert completion_times_s[-1] <= MAX_COPY_TIMES * THREE_DATA_CENTRES.copy_s
 
 
 def test_an_origin_that_returns_gives_each_missing_chunk_once():
     """While it is away, members must not scatter what nobody has."""
 
-    async def day():
+    async def scenario():
         found = swarm.Swarm(FIVE_DATA_CENTRES)
-        found.name(2)
+        found.announce(2)
         await asyncio.sleep(2.5)
         found.origin_down = True
         await asyncio.sleep(6.0)
@@ -195,24 +202,28 @@
         )
         return found, took_s / needed_s
 
-    found, times = swarm.play(day)
+    found, times = swarm.run_in_virtual_time(scenario)
     assert max(found.origin_given.values()) == 1
-    assert times <= MOST_RETURN_TIMES
-    assert len(found.ends_s()) == len(found.members)
+    assert times <= MAX_RECOVERY_RATIO
+    assert len(found.completion_times_s()) == len(found.members)
 
 
-@pytest.mark.parametrize('missed', [1, 4])
+@pytest.mark.parametrize('unlisted_count', [1, 4])
 @pytest.mark.parametrize('seed', [1, 2])
-def test_members_with_other_lists_do_not_wait_for_each_other(seed, missed):
+def test_members_with_other_lists_do_not_wait_for_each_other(
+    seed, unlisted_count
+):
     """Each misses other members that have just come, and chooses otherwise."""
 
-    async def day():
+    async def scenario():
         found = swarm.Swarm(FIVE_DATA_CENTRES)
         rng = random.Random(seed)
         names = [member.name for member in found.members]
-        found.missed = {name: rng.sample(names, missed) for name in names}
-        found.name(2)
+        found.unlisted = {
+            name: rng.sample(names, unlisted_count) for name in names
+        }
+        found.announce(2)
         await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
         return found
 
-    check_spread(swarm.play(day))
+    check_completion(swarm.run_in_virtual_time(scenario))
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -14,8 +14,8 @@
 def test_a_single_member_takes_all_from_the_origin():
     found = transfers.transfer()
     assert found.chunk_store.is_complete
-    assert sorted(found.origin.given) == list(range(fakes.CHUNKS))
-    assert found.kept == found.chunk_store.chunks
+    assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
+    assert found.staged == found.chunk_store.chunks
 
 
 def test_the_origin_is_released_after_use():
@@ -28,12 +28,12 @@
 
 
 def test_members_that_hold_it_spare_the_origin():
-    peers = fakes.FakePeers(a1=transfers.EVERY, a2=transfers.EVERY)
+    peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
 def test_a_spoilt_chunk_is_fetched_again():
@@ -44,17 +44,17 @@
     """
     found = transfers.transfer(lambda t: t.origin.corrupt.update({1, 4}))
     assert found.chunk_store.is_complete
-    assert found.kept[1] == fakes.chunk(2, 1)
+    assert found.staged[1] == fakes.chunk(2, 1)
 
 
 def test_a_member_that_sends_spoilt_chunks_is_left_for_others():
-    peers = fakes.FakePeers(a1=transfers.EVERY)
+    peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.corrupt.add('a1')
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
     assert found.chunk_store.is_complete
-    assert found.kept[0] == fakes.chunk(2, 0)
+    assert found.staged[0] == fakes.chunk(2, 0)
 
 
 def test_a_member_that_died_is_left_for_others():
@@ -63,13 +63,13 @@
     They notice that it does not answer and take its chunks elsewhere; the
     transfer must not wait for it.
     """
-    peers = fakes.FakePeers(a1=transfers.EVERY)
+    peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.dead.add('a1')
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
     assert found.chunk_store.is_complete
-    assert sorted(found.origin.given) == list(range(fakes.CHUNKS))
+    assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
 
 
 def test_a_member_that_never_gets_its_chunks_is_left_for_others():
@@ -94,9 +94,9 @@
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     class PatientPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             await asyncio.sleep(0.01)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     async def main():
         held = {2: [0, 1, 2]}
@@ -119,7 +119,7 @@
 
     found = asyncio.run(main())
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
 def test_an_owner_notices_at_once_that_the_origin_is_back(monkeypatch):
@@ -136,7 +136,7 @@
         asking = asyncio.ensure_future(found.fetcher.fetch_manifest())
         await asyncio.sleep(0.05)
         found.origin.down = False
-        async with asyncio.timeout(_source_health.BLAME_S / 3):
+        async with asyncio.timeout(_source_health.EXCLUSION_S / 3):
             await asking
 
     asyncio.run(main())
@@ -148,13 +148,13 @@
     Without a line on it the log is silent until the transfer ends, and
     nobody can tell which source everyone waits for.
     """
-    monkeypatch.setattr(_fetcher, 'REPORT_S', 0.01)
+    monkeypatch.setattr(_fetcher, 'REPORT_INTERVAL_S', 0.01)
     lines = []
     sink = loguru.logger.add(lambda line: lines.append(line.record['extra']))
 
     async def main():
         found = transfers.Transfer(listed=transfers.listed('a1', a1=2))
-        found.peers.shelves['a1'] = {2: range(1, fakes.CHUNKS)}
+        found.peers.stores['a1'] = {2: range(1, fakes.CHUNKS)}
         found.fetcher.plan.sources = lambda index: ['a1']
         running = asyncio.ensure_future(found.run())
         while not any('waits_for' in line for line in lines):
@@ -192,7 +192,7 @@
 
 
 def test_an_origin_that_is_down_is_asked_again(monkeypatch):
-    monkeypatch.setattr(_source_health, 'BLAME_S', 0.05)
+    monkeypatch.setattr(_source_health, 'EXCLUSION_S', 0.05)
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
--- a/catkinshunt/spread/tests/transfers.py
+++ b/catkinshunt/spread/tests/transfers.py
@@ -5,33 +5,35 @@
 from catkinshunt import spread
 from catkinshunt.spread.tests import fakes
 
-ME = spread.Member('a0', 'a')
-EVERY = {2: range(fakes.CHUNKS)}
+LOCAL_MEMBER = spread.Member('a0', 'a')
+ALL_CHUNKS = {2: range(fakes.CHUNKS)}
 
 
 class Transfer:
     """One transfer of version 2 to a member."""
 
-    def __init__(self, peers=None, listed=(ME,), **speeds):
+    def __init__(self, peers=None, listed=(LOCAL_MEMBER,), **speeds):
         self.chunk_store = spread.ChunkStore(fakes.MODEL, 2)
         self.origin = fakes.FakeOrigin()
         self.peers = peers or fakes.FakePeers()
-        self.counter = fakes.Counter()
-        self.kept = {}
-        plan = spread.SourcePlan(ME, listed, {}, fakes.MODEL, 2, fakes.CHUNKS)
+        self.byte_counter = fakes.Counter()
+        self.staged = {}
+        plan = spread.SourcePlan(
+            LOCAL_MEMBER, listed, {}, fakes.MODEL, 2, fakes.CHUNKS
+        )
         self.fetcher = spread.Fetcher(
             self.chunk_store,
             plan,
             self.peers,
             self.origin,
             asyncio.get_running_loop().time,
-            self._keep,
-            self.counter,
+            self._stage_chunk,
+            self.byte_counter,
             **speeds,
         )
 
-    async def _keep(self, index, data):
-        self.kept[index] = data
+    async def _stage_chunk(self, index, data):
+        self.staged[index] = data
 
     async def run(self):
         async with asyncio.timeout(8):
@@ -53,7 +55,7 @@
 
 def listed(*names, **versions):
     return [
-        ME,
+        LOCAL_MEMBER,
         *(
             spread.Member(name, name[0], {fakes.MODEL: versions.get(name, 0)})
             for name in names
