--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -306,8 +306,8 @@
     Mutation(
         'various-chunks-go-out-first',
         'catkinshunt/spread/_chunk_store.py',
-        'index = min(here, key=lambda index: self._served_counts[index])',
-        'index = here[0]',
+        'index = min(available, key=lambda index: self._served_counts[index])',
+        'index = available[0]',
     ),
     Mutation(
         'door-closes-sooner-behind-chunks',
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -109,19 +109,19 @@
 
     async def _pause(self):
         """Wait until the next look, a new version, or a whole one."""
-        named = asyncio.ensure_future(self.cluster_view.wait_for_version())
-        news = asyncio.ensure_future(self._wakeup.wait())
+        announced = asyncio.ensure_future(self.cluster_view.wait_for_version())
+        wakeup = asyncio.ensure_future(self._wakeup.wait())
         try:
             await asyncio.wait(
-                (named, news),
+                (announced, wakeup),
                 timeout=LOADING_POLL_S
                 if self._loader.is_load_near
                 else POLL_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            named.cancel()
-            news.cancel()
+            announced.cancel()
+            wakeup.cancel()
             self._wakeup.clear()
 
     def on_chunk_request(self, model, version):
@@ -139,16 +139,16 @@
         report = await self.engine.report()
         self._outage.end()
         self.door.correct(report.request_count)
-        self._loader.note(report)
+        self._loader.observe(report)
         self._update_expiry(report)
-        wanted = await self.cluster_view.target_version(report)
-        if wanted is None:
+        target = await self.cluster_view.target_version(report)
+        if target is None:
             return
-        if report.versions.get(wanted.model) == wanted.version:
+        if report.versions.get(target.model) == target.version:
             return
-        if not self._chunk_store_of(wanted).is_complete:
-            self._start_transfer(wanted)
-        await self._advance(report, wanted)
+        if not self._chunk_store_of(target).is_complete:
+            self._start_transfer(target)
+        await self._advance(report, target)
 
     def _update_expiry(self, report):
         """Let no request begin once the engine's version is too old."""
@@ -161,14 +161,14 @@
             expires_in_s -= LINK_QUEUE_S
         self.door.expire(expires_in_s)
 
-    async def _advance(self, report, wanted):
+    async def _advance(self, report, target):
         """Bring the engine to the next version that it can have."""
-        ready = self._newest_complete(report, wanted)
-        newest = self._chunk_store_of(wanted)
+        ready = self._newest_complete(report, target)
+        newest = self._chunk_store_of(target)
         if ready is None and self._transfer_target is not None:
             ready = self._chunk_store_of(self._transfer_target)
-        serves = report.versions.get(wanted.model, 0)
-        if ready is None or ready.manifest is None or ready.version <= serves:
+        served = report.versions.get(target.model, 0)
+        if ready is None or ready.manifest is None or ready.version <= served:
             return
         newer_s = math.inf
         if ready is not newest:
@@ -195,39 +195,39 @@
             chunk_store.missing_share * copy_s, progress.remaining_s(now)
         )
 
-    def _newest_complete(self, report, wanted):
+    def _newest_complete(self, report, target):
         """Return the newest whole `ChunkStore` that the engine lacks, or None.
 
         A version that was named before the wanted one counts too: requests
         may need it before the wanted one has come.
         """
-        serves = report.versions.get(wanted.model, 0)
-        whole = [
+        served = report.versions.get(target.model, 0)
+        complete = [
             chunk_store
-            for chunk_store in self.version_store.of_model(wanted.model)
+            for chunk_store in self.version_store.of_model(target.model)
             if chunk_store.is_complete
-            and serves < chunk_store.version <= wanted.version
+            and served < chunk_store.version <= target.version
         ]
-        return max(whole, key=lambda h: h.version, default=None)
+        return max(complete, key=lambda h: h.version, default=None)
 
     # Transfers.
 
     def _is_transferring(self):
         return self._transfer is not None and not self._transfer.done()
 
-    def _start_transfer(self, wanted):
+    def _start_transfer(self, target):
         """Begin a transfer unless another one goes first."""
         if self._is_transferring():
-            if self._transfer_target.version == wanted.version:
+            if self._transfer_target.version == target.version:
                 return
-            if self._finishes_older_first(wanted) or not self._is_available(
-                wanted
+            if self._finishes_older_first(target) or not self._is_available(
+                target
             ):
                 return
             _log.info(
                 'Dropped version {} for version {}.',
                 self._transfer_target.version,
-                wanted.version,
+                target.version,
                 left_share=self._chunk_store_of(
                     self._transfer_target
                 ).missing_share,
@@ -235,9 +235,9 @@
             self._transfer.cancel()
         elif self.clock() < self._retry_at:
             return
-        self._transfer_target = wanted
+        self._transfer_target = target
         self._prune_progress()
-        self._transfer = asyncio.ensure_future(self._run_transfer(wanted))
+        self._transfer = asyncio.ensure_future(self._run_transfer(target))
 
     def _is_available(self, newer):
         """Return whether a source gives the newer version.
@@ -258,8 +258,8 @@
     async def _probe_manifest(self, newer):
         """Fetch the manifest of a version while another is on its way."""
         try:
-            plan = await self._plan(newer.model, newer.version)
-            fetcher = self._fetcher(self._chunk_store_of(newer), plan)
+            plan = await self._make_plan(newer.model, newer.version)
+            fetcher = self._make_fetcher(self._chunk_store_of(newer), plan)
             async with asyncio.timeout(MANIFEST_TIMEOUT_S):
                 await fetcher.fetch_manifest()
             self._wakeup.set()
@@ -279,8 +279,8 @@
         for key in set(self._progress) - kept:
             del self._progress[key]
 
-    def _chunk_store_of(self, wanted):
-        return self.version_store.chunk_store(wanted.model, wanted.version)
+    def _chunk_store_of(self, target):
+        return self.version_store.chunk_store(target.model, target.version)
 
     def _finishes_older_first(self, newer):
         older = self._transfer_target
@@ -299,46 +299,46 @@
     def _copy_s(self, size):
         return size / (self.link_mbps * base.BYTES_PER_MBIT) * COPY_OVERHEAD
 
-    async def _run_transfer(self, wanted):
-        chunk_store = self._chunk_store_of(wanted)
-        chunk_store.begin()
+    async def _run_transfer(self, target):
+        chunk_store = self._chunk_store_of(target)
+        chunk_store.begin_transfer()
         try:
-            await self._fetch_version(wanted, chunk_store)
+            await self._fetch_version(target, chunk_store)
             return
         except errors.CatkinshuntError as exc:
-            _log.warning('A transfer failed: {}.', exc, version=wanted.version)
+            _log.warning('A transfer failed: {}.', exc, version=target.version)
         except ExceptionGroup as group:
             _log.warning(
                 'A transfer failed: {!r}.',
                 group.exceptions[0],
-                version=wanted.version,
+                version=target.version,
             )
         except Exception:
             _log.exception('A transfer failed.')
         finally:
-            chunk_store.end()
+            chunk_store.end_transfer()
         self._retry_at = self.clock() + RETRY_S
 
-    async def _fetch_version(self, wanted, chunk_store):
+    async def _fetch_version(self, target, chunk_store):
         """Fetch a version until it is whole."""
         began = self.clock()
-        plan = await self._plan(wanted.model, wanted.version)
-        fetcher = self._fetcher(chunk_store, plan)
+        plan = await self._make_plan(target.model, target.version)
+        fetcher = self._make_fetcher(chunk_store, plan)
         await fetcher.fetch_manifest()
-        self._loader.set_wave(wanted.version, plan.wave(_loader.WAVES))
+        self._loader.set_wave(target.version, plan.wave(_loader.WAVES))
         # After a restart most chunks may lie beside the engine already.
         restored = await _staging.restore_staged(chunk_store, self.engine)
         await fetcher.run()
         self._wakeup.set()
         _log.info(
             'Version {} of {} is whole.',
-            wanted.version,
-            wanted.model,
+            target.version,
+            target.model,
             took_s=round(self.clock() - began, 3),
             restored=restored,
         )
 
-    async def _plan(self, model, version):
+    async def _make_plan(self, model, version):
         members, connections = await asyncio.gather(
             self.cluster_view.members(), self.cluster_view.origin_connections()
         )
@@ -351,7 +351,7 @@
             connections=connections or _plan.UNKNOWN_CONNECTIONS,
         )
 
-    def _fetcher(self, chunk_store, plan):
+    def _make_fetcher(self, chunk_store, plan):
         async def stage_chunk(index, data):
             async with self._staging_lock:
                 await self.engine.put_chunk(chunk_store.model, index, data)
@@ -376,12 +376,14 @@
             report = await self.engine.report()
             if report.versions.get(model) != version:
                 return
-            plan = await self._plan(model, version)
+            plan = await self._make_plan(model, version)
             chunk_store = _chunk_store.ChunkStore(model, version)
-            await self._fetcher(chunk_store, plan).fetch_manifest()
-            taken = await _staging.restore_staged(chunk_store, self.engine)
+            await self._make_fetcher(chunk_store, plan).fetch_manifest()
+            restored = await _staging.restore_staged(chunk_store, self.engine)
             self.version_store.add(chunk_store)
-            _log.info('Gives version {} of {}.', version, model, chunks=taken)
+            _log.info(
+                'Gives version {} of {}.', version, model, chunks=restored
+            )
         except errors.CatkinshuntError as exc:
             _log.warning('Cannot give version {}: {}.', version, exc)
         finally:
--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -81,27 +81,27 @@
         """Whether nobody has the turn."""
         return not self._busy
 
-    async def acquire(self, rank):
+    async def acquire(self, priority):
         """Wait for the turn; `release` gives it to the next."""
         if not self._busy:
             self._busy = True
             return
         self._count += 1
-        turn = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (rank, self._count, turn))
+        fut = asyncio.get_running_loop().create_future()
+        heapq.heappush(self._waiting, (priority, self._count, fut))
         try:
-            await turn
+            await fut
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if fut.done() and not fut.cancelled():
                 self.release()
             raise
 
     def release(self):
         """Give the turn to the next who still waits."""
         while self._waiting:
-            _, _, turn = heapq.heappop(self._waiting)
-            if not turn.done():
-                turn.set_result(None)
+            _, _, fut = heapq.heappop(self._waiting)
+            if not fut.done():
+                fut.set_result(None)
                 return
         self._busy = False
 
@@ -159,13 +159,13 @@
         self.on_request(model, version)
         if req.headers.get(IDLE_ONLY_HEADER):
             chunk_store = self.version_store.find(model, version)
-            gives = self._send_lock.is_free
+            may_serve = self._send_lock.is_free
         else:
             self._note_requester(req.headers.get(REQUESTER_HEADER), found)
             chunk_store = await self._wait_for(model, version, indices)
-            gives = True
+            may_serve = True
         if (
-            not gives
+            not may_serve
             or chunk_store is None
             or not chunk_store.find_any(indices)
         ):
@@ -197,8 +197,8 @@
         finally:
             self._send_lock.release()
 
-    def _note_requester(self, requester, wanted):
-        model, version, indices = wanted
+    def _note_requester(self, requester, request):
+        model, version, indices = request
         chunk_store = self.version_store.find(model, version)
         if chunk_store is None or not requester:
             return
@@ -230,10 +230,10 @@
             ('Content-Length', str(len(data))),
         ]
         conn.write(http1.dump_head(http1.status_line(200), items))
-        for at in range(0, len(data), SLICE_BYTES):
-            part = data[at : at + SLICE_BYTES]
-            await asyncio.sleep(self._pacer.delay_s(len(part), self.clock()))
-            conn.write(part)
+        for offset in range(0, len(data), SLICE_BYTES):
+            piece = data[offset : offset + SLICE_BYTES]
+            await asyncio.sleep(self._pacer.delay_s(len(piece), self.clock()))
+            conn.write(piece)
             await conn.drain()
         self.byte_counter.add('given', amount=len(data))
 
@@ -264,11 +264,11 @@
 
 def _parse_path(path):
     """Return (model, version, indices) of a request, or None."""
-    words = path.strip('/').split('/')
-    if len(words) != 4 or words[0] != 'chunks':
+    parts = path.strip('/').split('/')
+    if len(parts) != 4 or parts[0] != 'chunks':
         return None
     try:
-        indices = [int(word) for word in words[3].split(',')]
-        return words[1], int(words[2]), indices[:MAX_INDICES]
+        indices = [int(word) for word in parts[3].split(',')]
+        return parts[1], int(parts[2]), indices[:MAX_INDICES]
     except ValueError:
         return None
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -41,8 +41,8 @@
         """Indices of the chunks that are not here, in order."""
         if self.manifest is None:
             return None
-        every = range(len(self.manifest.chunks))
-        return [index for index in every if index not in self.chunks]
+        all_indices = range(len(self.manifest.chunks))
+        return [index for index in all_indices if index not in self.chunks]
 
     @property
     def is_complete(self):
@@ -65,7 +65,7 @@
         self.chunks[index] = self.manifest.check(index, data)
         self._changes.announce()
 
-    def describe(self, manifest):
+    def set_manifest(self, manifest):
         """Take over the manifest."""
         self.manifest = manifest
         self._changes.announce()
@@ -80,11 +80,11 @@
             return True
         return self.is_filling and not self.is_upload_disabled
 
-    def begin(self):
+    def begin_transfer(self):
         """Note that a transfer fills it from now on."""
         self.is_filling = True
 
-    def end(self):
+    def end_transfer(self):
         """Note that no transfer fills it any more."""
         self.is_filling = False
         self._changes.announce()
@@ -126,10 +126,12 @@
         """
         if self.is_upload_disabled:
             return None
-        here = [index for index in indices if self._find(index) is not None]
-        if not here:
+        available = [
+            index for index in indices if self._find(index) is not None
+        ]
+        if not available:
             return None
-        index = min(here, key=lambda index: self._served_counts[index])
+        index = min(available, key=lambda index: self._served_counts[index])
         return index, self._find(index)
 
     def count_served(self, index):
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -64,7 +64,8 @@
 
     def __init__(
         self, chunk_store, plan, peers, origin, clock, stage_chunk,
-        byte_counter, copy_s=lambda size: math.inf, origin_copy_s=lambda size: 0.0,
+        byte_counter, copy_s=lambda size: math.inf,
+        origin_copy_s=lambda size: 0.0,
     ):  # fmt: skip
         self.chunk_store = chunk_store
         self.plan = plan
@@ -118,15 +119,15 @@
                 len(self.chunk_store.missing),
                 self.chunk_store.version,
                 waits_for=waits_for,
-                given=dict(self._speeds.given),
+                given=dict(self._speeds.received),
                 blamed=[s for s in waits_for if self._health.is_excluded(s)],
             )
 
     def _apply_manifest(self, manifest):
         """Take over what the manifest says of the size of a copy."""
         size = manifest.size_bytes
-        self.plan.describe(len(manifest.chunks))
-        self._speeds.begin(self.copy_s(size))
+        self.plan.set_chunk_count(len(manifest.chunks))
+        self._speeds.start(self.copy_s(size))
         attempts = self.origin_copy_s(size) * FAILED_ATTEMPTS_PER_S
         self._max_attempts = MIN_FAILED_ATTEMPTS + round(attempts)
 
@@ -201,7 +202,7 @@
             outcome = await self._fetch_one(source, queue)
             if outcome is _Outcome.RECEIVED:
                 failures = 0
-                self._speeds.note(source)
+                self._speeds.record_chunk(source)
                 if self._speeds.is_slow(source, self._queue_lengths()):
                     await self._fail_over(source, queue, kept=1)
                 continue
@@ -245,13 +246,13 @@
         A member that stands in for others, or whose link is narrow, has more
         to give than the rest. What it has given to some is there elsewhere.
         """
-        names = self._longest_queue(source)[:0:-1]
+        indices = self._longest_queue(source)[:0:-1]
         chunk_store = self.chunk_store
         try:
-            got, data = await self.peers.chunk_if_idle(
-                source, chunk_store.model, chunk_store.version, names
+            received, data = await self.peers.chunk_if_idle(
+                source, chunk_store.model, chunk_store.version, indices
             )
-            chunk_store.put(got, data)
+            chunk_store.put(received, data)
         except errors.SourceBusyError:
             await asyncio.sleep(STEAL_PAUSE_S)
             return
@@ -259,10 +260,10 @@
             self._health.record_failure(source, exc)
             return
         for queue in self._queues.values():
-            if got in queue:
-                queue.remove(got)
+            if received in queue:
+                queue.remove(received)
         self.byte_counter.add('peer', amount=len(data))
-        await self.stage_chunk(got, data)
+        await self.stage_chunk(received, data)
 
     async def _fail_over(self, source, queue, kept=0):
         """Give chunks of a source that fails or lags to their next sources.
@@ -373,25 +374,25 @@
     async def _fetch_one(self, source, queue):
         """Ask for one of the chunks; return the `_Outcome`."""
         if source == _plan.ORIGIN:
-            names = [queue.pop(0)]
+            indices = [queue.pop(0)]
         else:
-            names = list(queue)
-        got = None
+            indices = list(queue)
+        received = None
         try:
-            got, data = await self._request_chunk(source, names)
-            self.chunk_store.put(got, data)
+            received, data = await self._request_chunk(source, indices)
+            self.chunk_store.put(received, data)
         except errors.SourceUnableError as exc:
             self._health.record_failure(source, exc)
             return _Outcome.FAILED
         except errors.SourceBusyError as exc:
             self._health.record_answer(source)
-            self._failed_attempts.update(names)
+            self._failed_attempts.update(indices)
             for index, chain in exc.chains.items():
                 self.chunk_store.wait_graph.extend_chain(index, source, chain)
             return _Outcome.UNAVAILABLE
         except errors.CorruptChunkError as exc:
             self._corrupt_in_row += 1
-            self._failed_attempts.update(names)
+            self._failed_attempts.update(indices)
             self._health.log_failure(source, exc)
             return _Outcome.FAILED
         except errors.TransferError as exc:
@@ -400,25 +401,25 @@
         finally:
             if (
                 source == _plan.ORIGIN
-                and names[0] not in self.chunk_store.chunks
+                and indices[0] not in self.chunk_store.chunks
             ):
-                queue.append(names[0])
-        if got in queue:
-            queue.remove(got)
+                queue.append(indices[0])
+        if received in queue:
+            queue.remove(received)
         self._health.record_success(source)
         self._corrupt_in_row = 0
-        way = 'origin' if source == _plan.ORIGIN else 'peer'
-        self.byte_counter.add(way, amount=len(data))
-        await self.stage_chunk(got, data)
+        source_kind = 'origin' if source == _plan.ORIGIN else 'peer'
+        self.byte_counter.add(source_kind, amount=len(data))
+        await self.stage_chunk(received, data)
         return _Outcome.RECEIVED
 
-    async def _request_chunk(self, source, names):
+    async def _request_chunk(self, source, indices):
         model, version = self.chunk_store.model, self.chunk_store.version
         if source == _plan.ORIGIN:
-            data = await self.origin.chunk(model, version, names[0])
-            return names[0], data
+            data = await self.origin.chunk(model, version, indices[0])
+            return indices[0], data
         relay = self.plan.is_remote(source)
-        return await self.peers.chunk(source, model, version, names, relay)
+        return await self.peers.chunk(source, model, version, indices, relay)
 
     async def fetch_manifest(self):
         """Fetch the manifest unless it is here."""
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -125,7 +125,7 @@
         """Note in which group the engine loads a version."""
         self._waves[version] = wave
 
-    def note(self, report):
+    def observe(self, report):
         """Let requests in again once the engine serves what was ordered."""
         if self._draining_for is None:
             return
@@ -177,7 +177,7 @@
     def _make_timing(
         self, report, chunk_store, complete_in_s, newer_complete_in_s
     ):
-        serves = report.versions[chunk_store.model]
+        served = report.versions[chunk_store.model]
         now = self.cluster_view.now()
         if chunk_store.is_complete:
             completed_at = self._completed_at.setdefault(
@@ -186,7 +186,7 @@
             complete_in_s = completed_at - now
         return LoadTiming(
             complete_in_s,
-            self.cluster_view.superseded_at(chunk_store.model, serves) - now,
+            self.cluster_view.superseded_at(chunk_store.model, served) - now,
             self._waves.get(chunk_store.version, 0),
             newer_complete_in_s,
         )
--- a/catkinshunt/spread/_manifests.py
+++ b/catkinshunt/spread/_manifests.py
@@ -45,7 +45,7 @@
         else:
             raw = await peers.manifest(source, model, version)
             found = weights.Manifest.loads(raw)
-        chunk_store.describe(
+        chunk_store.set_manifest(
             _chunk_store.check_manifest(found, model, version)
         )
     except errors.SourceUnableError as exc:
--- a/catkinshunt/spread/_peer_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -76,8 +76,8 @@
                 peer, self.port, self.clock, connect_s=CONNECT_TIMEOUT_S
             )
             self._pools[peer] = pool
-        names = ','.join(map(str, indices[: _chunk_server.MAX_INDICES]))
-        target = f'/chunks/{model}/{version}/{names}'
+        index_list = ','.join(map(str, indices[: _chunk_server.MAX_INDICES]))
+        target = f'/chunks/{model}/{version}/{index_list}'
         try:
             head, body = await http1.exchange(
                 pool,
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -102,7 +102,7 @@
             self._excluded = names
             self._sources.clear()
 
-    def describe(self, chunks):
+    def set_chunk_count(self, chunks):
         """Share out `chunks` chunks among the members."""
         self.chunks = chunks
         self._first_receivers = None
--- a/catkinshunt/spread/_progress.py
+++ b/catkinshunt/spread/_progress.py
@@ -36,12 +36,12 @@
         """
         if len(self._seen) < 2:
             return 0.0
-        began, before = self._seen[0]
+        start, before = self._seen[0]
         _, left = self._seen[-1]
-        if now - began < WINDOW_S / 2:
+        if now - start < WINDOW_S / 2:
             return 0.0
         if left <= 0:
             return 0.0
         if before <= left:
             return float('inf')
-        return left * (now - began) / (before - left)
+        return left * (now - start) / (before - left)
--- a/catkinshunt/spread/_source_speeds.py
+++ b/catkinshunt/spread/_source_speeds.py
@@ -37,21 +37,21 @@
     def __init__(self, clock):
         self.clock = clock
         self.copy_s = math.inf
-        self.given = collections.Counter()
+        self.received = collections.Counter()
         self._last_s = {}
         self._began = clock()
 
-    def begin(self, copy_s):
+    def start(self, copy_s):
         """Note that the transfer begins, and how long a copy takes."""
         self._began = self.clock()
         self.copy_s = copy_s
 
-    def note(self, source):
+    def record_chunk(self, source):
         """Note that a source gave a chunk."""
-        self.given[source] += 1
+        self.received[source] += 1
         self._last_s[source] = self._elapsed_s()
 
-    def is_slow(self, source, left):
+    def is_slow(self, source, queue_lengths):
         """Return whether a source is far slower than most of the others.
 
         A member whose link is narrowed still gives a chunk now and then; all
@@ -64,31 +64,31 @@
         """
         if self._elapsed_s() < MIN_ELAPSED_SHARE * self.copy_s:
             return False
-        if left[source] < 2 or source == _plan.ORIGIN:
+        if queue_lengths[source] < 2 or source == _plan.ORIGIN:
             return False
         others = sorted(
-            self._estimated_end_s(other, left[other])
-            for other in left
+            self._estimated_end_s(other, queue_lengths[other])
+            for other in queue_lengths
             if other != source
         )
         if not others:
             return False
         median_s = others[len(others) // 2]
         return (
-            self._estimated_end_s(source, left[source])
+            self._estimated_end_s(source, queue_lengths[source])
             > SLOW_END_RATIO * self.copy_s
             and median_s < MEDIAN_END_RATIO * self.copy_s
         )
 
-    def _estimated_end_s(self, source, left):
+    def _estimated_end_s(self, source, queue_lengths):
         """Return when a source ends at its speed, in seconds from the begin.
 
         The time of its last chunk where nothing is left to it.
         """
         elapsed_s = self._elapsed_s()
-        if not left:
+        if not queue_lengths:
             return self._last_s.get(source, elapsed_s)
-        return elapsed_s * (1 + left / max(1, self.given[source]))
+        return elapsed_s * (1 + queue_lengths / max(1, self.received[source]))
 
     def is_own_link_narrow(self, share, shares):
         """Return whether far less comes here than elsewhere.
--- a/catkinshunt/spread/_staging.py
+++ b/catkinshunt/spread/_staging.py
@@ -15,7 +15,7 @@
     Returns:
         Number of chunks taken.
     """
-    taken = 0
+    count = 0
     for index in await engine.list_staged(chunk_store.model):
         if index in chunk_store.chunks or index >= len(
             chunk_store.manifest.chunks
@@ -24,11 +24,11 @@
         data = await engine.get_chunk(chunk_store.model, index)
         try:
             if data is not None:
-                chunk_store.put(index, data)
-                taken += 1
+                chunk_store.rewritten(index, data)
+                count += 1
         except errors.CorruptChunkError:
             continue
-    return taken
+    return count
 
 
 async def verify_staged(chunk_store, engine):
@@ -41,16 +41,16 @@
     Returns:
         Number of chunks that were put again.
     """
-    put = 0
+    rewritten = 0
     for index, data in sorted(chunk_store.chunks.items()):
         if await engine.get_chunk(chunk_store.model, index) != data:
             await engine.put_chunk(chunk_store.model, index, data)
-            put += 1
-    if put:
+            rewritten += 1
+    if rewritten:
         _log.info(
             'Put {} chunks of {} again.',
-            put,
+            rewritten,
             chunk_store.model,
             version=chunk_store.version,
         )
-    return put
+    return rewritten
--- a/catkinshunt/spread/base.py
+++ b/catkinshunt/spread/base.py
@@ -1,4 +1,4 @@
-"""What a sidecar needs from its engine and from the origin of weights."""
+"""Interfaces between a sidecar and its engine, the origin and the cluster."""
 
 import abc
 
@@ -6,18 +6,18 @@
 
 from catkinshunt import errors
 
-#: Bytes a second that a link of 1 Mbit/s carries.
+#: Bytes per second that a link of 1 Mbit/s carries.
 BYTES_PER_MBIT = 1e6 / 8
 
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself.
+    """State that an engine reports.
 
     Attributes:
-        versions: version by model that it serves with all layers.
-        busy: an order is in progress.
-        present: requests that it has, running and waiting.
+        versions: loaded version by model; only models with all layers.
+        is_loading: a load order is in progress.
+        request_count: requests in the engine, running and waiting.
     """
 
     versions: dict
@@ -26,22 +26,22 @@
 
 
 class LoadOutcomeUnknownError(errors.OrderError):
-    """The answer to an order was lost; it may have been taken."""
+    """No reply to a load order arrived; the engine may have accepted it."""
 
 
 class BaseEngine(abc.ABC):
     """The engine on the sidecar's own instance.
 
-    All calls raise an `errors.CatkinshuntError` where it gives no answer.
+    All methods raise an `errors.CatkinshuntError` if it does not answer.
     """
 
     @abc.abstractmethod
     async def report(self):
-        """Return the `EngineReport` of this moment."""
+        """Return the current `EngineReport`."""
 
     @abc.abstractmethod
     async def put_chunk(self, model, index, data):
-        """Stage one chunk beside the engine."""
+        """Write one chunk to the engine's staging area."""
 
     @abc.abstractmethod
     async def get_chunk(self, model, index):
@@ -53,20 +53,20 @@
 
     @abc.abstractmethod
     async def load(self, model, version):
-        """Order the engine to serve what is staged as `version`.
+        """Order the engine to load the staged chunks as `version`.
 
-        Requests in progress are finished first. The same order may be given
-        again.
+        The engine finishes requests in progress first. Orders are
+        idempotent.
 
         Raises:
-            LoadOutcomeUnknownError: no answer came; the order may have been
-                taken.
-            errors.OrderError: the engine refuses.
+            LoadOutcomeUnknownError: no reply arrived; the engine may have
+                accepted the order.
+            errors.OrderError: the engine rejected the order.
         """
 
 
 class BaseOrigin(abc.ABC):
-    """Where the weights of new versions come from."""
+    """The server from which new versions are fetched."""
 
     @abc.abstractmethod
     async def manifest(self, model, version):
@@ -74,15 +74,15 @@
 
     @abc.abstractmethod
     async def chunk(self, model, version, index):
-        """Return the bytes of a chunk, unchecked."""
+        """Return the bytes of a chunk, not verified."""
 
     @abc.abstractmethod
     def release(self):
-        """Give up what is kept for further calls; more may come later."""
+        """Close idle connections; later calls open new ones."""
 
 
 class BaseClusterView(abc.ABC):
-    """What a sidecar knows of the operator's wishes and of its peers.
+    """Target versions and members as one sidecar sees them.
 
     Attributes:
         regions: region by data centre.
@@ -92,46 +92,46 @@
 
     @abc.abstractmethod
     def now(self):
-        """Return seconds on the clock in which versions are due."""
+        """Return seconds on the clock of due and expiry times."""
 
     @abc.abstractmethod
     async def target_version(self, report):
-        """Return the `TargetVersion` version of the engine, or None."""
+        """Return the `TargetVersion` of the engine, or None."""
 
     @abc.abstractmethod
     async def wait_for_version(self):
-        """Return once a version that was not known has been named."""
+        """Return when a new version has been announced."""
 
     @abc.abstractmethod
     def superseded_at(self, model, version):
-        """Return when engines at `version` get no more requests.
+        """Return when engines at `version` stop receiving requests.
 
-        That is when the first version after it is due; later ones do not
-        put it off.
+        This is the due time of the next version; versions after it do not
+        postpone it.
         """
 
     @abc.abstractmethod
     def expires_at(self, model, version):
-        """Return when requests may no longer begin on `version`.
+        """Return the time after which no request may start on `version`.
 
-        Infinite where that is not known, such as after a restart.
+        Infinite if it is not known, such as after a restart.
         """
 
     @abc.abstractmethod
     async def members(self):
-        """Return the `Member` objects of the service as of now."""
+        """Return the current `Member` objects of the service."""
 
     @abc.abstractmethod
     async def origin_connections(self):
-        """Return how many connections the origin accepts, None if unknown.
+        """Return the connection limit of the origin, None if unknown.
 
-        Members that know different numbers choose different sources.
+        Members that see different limits choose different sources.
         """
 
     @abc.abstractmethod
     def origin_copy_s(self, size):
-        """Return the seconds in which the origin can give `size` bytes."""
+        """Return the seconds that the origin needs to send `size` bytes."""
 
     @abc.abstractmethod
     def note_version(self, model, version):
-        """Note that a peer asks for this version."""
+        """Record that a peer requested chunks of this version."""
--- a/catkinshunt/spread/tests/swarm.py
+++ b/catkinshunt/spread/tests/swarm.py
@@ -113,7 +113,7 @@
         self.alive = True
         self.send_lock = _chunk_server.PriorityLock()
         self.chunk_store = spread.ChunkStore(fakes.MODEL, version)
-        self.chunk_store.begin()
+        self.chunk_store.begin_transfer()
         self._task = asyncio.ensure_future(self._fetch())
 
     def run_without_transfer(self):
@@ -130,7 +130,7 @@
     def cancel_transfer(self):
         """Fetch this version no more, but give what is here."""
         self._task.cancel()
-        self.chunk_store.end()
+        self.chunk_store.end_transfer()
 
     async def _fetch(self):
         while not self.chunk_store.is_complete:
@@ -226,7 +226,7 @@
         """Return (index, bytes) of one of these if the peer is idle."""
         return await self._ask(peer, version, indices, None)
 
-    async def _ask(self, peer, version, indices, rank):
+    async def _ask(self, peer, version, indices, priority):
         instance = self.swarm.instances[peer]
         await asyncio.sleep(LATENCY_S)
         if not instance.alive:
@@ -235,7 +235,9 @@
             async with asyncio.timeout(PEER_TIMEOUT_S):
                 while instance.frozen:
                     await asyncio.sleep(RETRY_S)
-                return await self._receive(instance, version, indices, rank)
+                return await self._receive(
+                    instance, version, indices, priority
+                )
         except TimeoutError as exc:
             raise errors.TransferError('silent', peer=peer) from exc
 
@@ -246,13 +248,13 @@
         )
         return data
 
-    async def _receive(self, instance, version, indices, rank):
+    async def _receive(self, instance, version, indices, priority):
         chunk_store, send_lock = instance.chunk_store, instance.send_lock
         peer = instance.member.name
         if chunk_store is None or chunk_store.version != version:
             await asyncio.sleep(_chunk_server.START_WAIT_S)
             raise errors.SourceUnableError('not fetched', peer=peer)
-        if rank is not None:
+        if priority is not None:
             self._note_requester(chunk_store, indices)
             await chunk_store.wait_for_any(indices, _chunk_server.MAX_WAIT_S)
         elif not send_lock.is_free:
@@ -268,7 +270,7 @@
                 peer=peer,
                 chains=chunk_store.wait_graph.chains(indices),
             )
-        await send_lock.acquire(1 if rank is None else rank)
+        await send_lock.acquire(1 if priority is None else priority)
         try:
             found = chunk_store.find_any(indices)
             if found is None:
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -58,7 +58,7 @@
     return asyncio.run(inside())
 
 
-def test_an_empty_engine_is_filled():
+def test_engine_without_version_is_loaded():
     async def main(sidecar):
         sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
@@ -67,7 +67,7 @@
     assert run(main) == whole(2)
 
 
-def test_the_door_knows_when_the_version_of_its_engine_expires():
+def test_expiry_follows_the_served_version():
     """A newer version is named, and cannot be had before it is due.
 
     Entries may hear of it too late; their requests would begin on the old
@@ -92,7 +92,7 @@
     assert version == 2
 
 
-def test_the_door_closes_sooner_while_chunks_fill_the_link():
+def test_expiry_is_earlier_during_a_transfer():
     """A request that waits behind them begins on a version too old."""
 
     async def main(sidecar):
@@ -108,7 +108,7 @@
     assert expires_in_s <= 3.0 - _agent.LINK_QUEUE_S
 
 
-def test_chunks_that_turned_bad_are_put_again_before_the_order():
+def test_corrupted_staged_chunks_are_replaced_before_the_load():
     """Staged chunks can turn bad after they were checked.
 
     The engine loads what lies there, and would answer from damaged weights.
@@ -131,7 +131,7 @@
     assert run(main) == whole(2)
 
 
-def test_a_sidecar_that_restarts_fetches_only_what_is_missing():
+def test_restarted_sidecar_fetches_only_missing_chunks():
     """A sidecar is killed in the middle of a transfer.
 
     Its chunks lie staged beside the engine; fetched anew they would take
@@ -155,7 +155,7 @@
     assert 0 not in sidecar.origin.sent_chunks
 
 
-def test_an_engine_that_restarted_is_loaded_again():
+def test_restarted_engine_is_loaded_again():
     async def main(sidecar):
         sidecar.cluster_view.announce(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
@@ -168,7 +168,7 @@
     assert run(main) == 0
 
 
-def test_an_order_whose_answer_is_lost_never_mixes_versions():
+def test_lost_reply_to_a_load_order_never_mixes_versions():
     """The answer to an order is lost, and a newer version is on its way.
 
     Whether the engine took the order is unknown. If chunks of the newer
@@ -198,7 +198,7 @@
     assert engine.loaded == whole(3)
 
 
-def test_an_engine_that_serves_waits_for_its_turn(monkeypatch):
+def test_serving_engine_waits_for_its_wave(monkeypatch):
     """All engines are whole at about the same time.
 
     If all load at once nobody serves meanwhile; the last group goes on
@@ -226,7 +226,7 @@
     assert left_s <= 0.25
 
 
-def test_a_newer_version_does_not_put_off_the_turn(monkeypatch):
+def test_newer_version_does_not_delay_the_load(monkeypatch):
     """Version 2 is named, and version 3 long before version 2 is due.
 
     Engines with version 1 get no requests once version 2 is due. Waiting
@@ -244,7 +244,7 @@
     run(main, engine=fakes.FakeEngine(version=1))
 
 
-def test_an_error_nobody_thought_of_does_not_end_the_care():
+def test_unexpected_error_does_not_end_the_loop():
     async def main(sidecar):
         original = sidecar.engine.report
         failures = []
@@ -262,7 +262,7 @@
     run(main)
 
 
-def test_a_peer_that_asks_names_the_version():
+def test_chunk_request_reveals_a_new_version():
     """A sidecar is cut off from the store, but its peers reach it.
 
     From their requests it learns that a newer version was named.
@@ -275,7 +275,7 @@
     assert run(main) == [(fakes.MODEL, 7)]
 
 
-def test_an_engine_that_serves_gives_its_staged_chunks():
+def test_staged_chunks_of_the_served_version_are_offered():
     async def main():
         sidecar = Sidecar(fakes.FakeEngine(version=1))
         sidecar.engine.stage = whole(1)
@@ -286,7 +286,7 @@
     assert asyncio.run(main()).is_complete
 
 
-def test_a_version_is_not_dropped_for_one_that_cannot_be_had():
+def test_transfer_is_not_dropped_for_an_unavailable_version():
     """A newer version is named, and the origin goes away in that moment.
 
     Peers hold all that is missing of the older one. Dropped, neither is
@@ -322,7 +322,7 @@
     asyncio.run(main())
 
 
-def test_a_transfer_that_cannot_begin_is_tried_after_a_pause():
+def test_failed_transfer_is_retried_after_a_pause():
     """The store is away, so the members cannot be listed.
 
     While an engine is about to load its sidecar looks 20 times a second, and
--- a/catkinshunt/spread/tests/test_chunk_server.py
+++ b/catkinshunt/spread/tests/test_chunk_server.py
@@ -8,11 +8,11 @@
 from catkinshunt.spread.tests import fakes
 
 
-def test_a_waiting_chunk_is_given_as_soon_as_it_comes():
+def test_waiting_request_returns_when_the_chunk_arrives():
     async def main():
         chunk_store = spread.ChunkStore(fakes.MODEL, 2)
-        chunk_store.describe(fakes.manifest(2))
-        chunk_store.begin()
+        chunk_store.set_manifest(fakes.manifest(2))
+        chunk_store.begin_transfer()
         waiting = asyncio.ensure_future(chunk_store.wait_for_any([3, 4], 5.0))
         await asyncio.sleep(0)
         chunk_store.put(4, fakes.chunk(2, 4))
@@ -21,7 +21,7 @@
     assert asyncio.run(main()) == (True, 4)
 
 
-def test_the_last_two_versions_are_kept():
+def test_last_two_versions_are_kept():
     version_store = spread.VersionStore()
     for version in (1, 2, 3):
         version_store.chunk_store(fakes.MODEL, version)
@@ -29,12 +29,12 @@
     assert version_store.find(fakes.MODEL, 2) is not None
 
 
-def test_chunks_go_between_sidecars():
+def test_client_fetches_chunks_and_manifest():
     async def main():
         clock = asyncio.get_running_loop().time
         version_store = spread.VersionStore()
         chunk_store = version_store.chunk_store(fakes.MODEL, 2)
-        chunk_store.describe(fakes.manifest(2))
+        chunk_store.set_manifest(fakes.manifest(2))
         chunk_store.put(3, fakes.chunk(2, 3))
         asked = []
         server = spread.ChunkServer(
@@ -86,12 +86,12 @@
 
 def begin_transfer(version_store):
     chunk_store = version_store.chunk_store(fakes.MODEL, 2)
-    chunk_store.describe(fakes.manifest(2))
-    chunk_store.begin()
+    chunk_store.set_manifest(fakes.manifest(2))
+    chunk_store.begin_transfer()
     return chunk_store
 
 
-def test_a_member_says_that_it_does_not_fetch_a_version():
+def test_member_rejects_a_version_it_does_not_fetch():
     """A member ends the transfer of an older version first.
 
     Those who are to take chunks of the newer one from it would wait for it
@@ -102,7 +102,7 @@
     assert took_s < 1.0
 
 
-def test_a_member_with_a_narrow_link_gives_nothing():
+def test_member_with_narrow_link_serves_no_chunks():
     def prepare(version_store):
         chunk_store = begin_transfer(version_store)
         chunk_store.put(1, fakes.chunk(2, 1))
@@ -112,7 +112,7 @@
     assert kind is errors.SourceUnableError
 
 
-def test_a_manifest_is_waited_for_before_the_transfer_begins():
+def test_manifest_request_waits_before_the_transfer_starts():
     """A newer version is named while the one before is on its way.
 
     Whoever is to pass its manifest on asks for it first and goes on with the
@@ -136,18 +136,18 @@
             client.manifest('127.0.0.1', fakes.MODEL, 2)
         )
         await asyncio.sleep(1.5 * _chunk_server.START_WAIT_S)
-        chunk_store.describe(fakes.manifest(2))
+        chunk_store.set_manifest(fakes.manifest(2))
         return await asking
 
     assert asyncio.run(main()) == fakes.manifest(2).dumps()
 
 
-def test_a_member_that_waits_for_a_chunk_itself_says_so():
+def test_member_expecting_the_chunk_replies_busy():
     kind, _ = ask_server(begin_transfer, lambda c: c.chunk)
     assert kind is errors.SourceBusyError
 
 
-def test_an_idle_member_is_not_waited_for():
+def test_idle_only_request_does_not_wait():
     """Whoever asks for what others are slow to give asks several members.
 
     Each would hold up the chunk for a second if it waited for it.
@@ -157,21 +157,21 @@
     assert took_s < 0.5
 
 
-def test_those_who_pass_chunks_on_go_first():
+def test_lock_prefers_lower_priority_values():
     async def main():
         send_lock = spread.PriorityLock()
         order = []
 
-        async def send(name, rank):
-            await send_lock.acquire(rank)
+        async def send(name, priority):
+            await send_lock.acquire(priority)
             order.append(name)
             await asyncio.sleep(0)
             send_lock.release()
 
         await send_lock.acquire(0)
         tasks = [
-            asyncio.ensure_future(send(name, rank))
-            for name, rank in (('leaf', 1), ('relay', 0), ('gone', 0))
+            asyncio.ensure_future(send(name, priority))
+            for name, priority in (('leaf', 1), ('relay', 0), ('gone', 0))
         ]
         await asyncio.sleep(0)
         tasks[2].cancel()
--- a/catkinshunt/spread/tests/test_chunk_store.py
+++ b/catkinshunt/spread/tests/test_chunk_store.py
@@ -8,7 +8,7 @@
 def make_chunk_store(chunks):
     digests = [hashlib.sha256(data).hexdigest() for data in chunks]
     chunk_store = spread.ChunkStore(fakes.MODEL, 2)
-    chunk_store.describe(
+    chunk_store.set_manifest(
         weights.Manifest(
             model=fakes.MODEL,
             version='2',
@@ -23,7 +23,7 @@
     return chunk_store
 
 
-def test_members_that_ask_for_the_same_chunks_get_various_ones():
+def test_equal_requests_receive_different_chunks():
     """With the same one first, they have nothing to pass on to each other."""
     chunk_store = make_chunk_store([b'aa', b'bb', b'cc'])
     given = []
--- a/catkinshunt/spread/tests/test_loader.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -26,7 +26,7 @@
         self.engine = fakes.FakeEngine(version)
         self.door = fakes.FakeDoor()
         self.chunk_store = spread.ChunkStore(fakes.MODEL, 2)
-        self.chunk_store.describe(fakes.manifest(2))
+        self.chunk_store.set_manifest(fakes.manifest(2))
         self.loader = _loader.Loader(
             self.engine,
             FixedClusterView(self.clock, self.time + due_in_s),
@@ -45,7 +45,7 @@
 
     async def step(self, complete_in_s=0.0, newer_complete_in_s=math.inf):
         report = await self.engine.report()
-        self.loader.note(report)
+        self.loader.observe(report)
         if report.versions.get(fakes.MODEL, 0) >= 2:
             return
         await self.loader.step(
@@ -58,7 +58,7 @@
         return told[-1][1] if told and told[-1][0] == 'close' else None
 
 
-def test_an_engine_runs_empty_while_the_version_is_on_its_way():
+def test_engine_is_drained_while_the_version_arrives():
     """Its turn comes with the last chunk.
 
     Long answers that begin right before keep it from loading for seconds,
@@ -75,7 +75,7 @@
     assert orders == []
 
 
-def test_a_loaded_engine_takes_requests_again():
+def test_loaded_engine_accepts_requests_again():
     async def main():
         found = Engine()
         found.fill()
@@ -88,7 +88,7 @@
     assert told == ('open',)
 
 
-def test_the_last_group_leaves_out_a_version_that_is_soon_replaced():
+def test_last_wave_skips_a_version_that_is_soon_replaced():
     """Two versions are named four seconds apart.
 
     All engines have the second one when the first is due, and would have to
@@ -108,7 +108,7 @@
     assert orders == [2]
 
 
-def test_a_version_left_out_is_loaded_when_the_newer_one_does_not_come():
+def test_skipped_version_is_loaded_if_the_newer_one_is_late():
     """The origin went away in the middle of the newer version.
 
     The engine would stand idle until it is back, with a version that it
@@ -126,7 +126,7 @@
     assert asyncio.run(main()) == [2]
 
 
-def test_an_engine_that_holds_nothing_is_loaded_as_soon_as_it_can_be():
+def test_engine_without_version_is_loaded_at_once():
     async def main():
         found = Engine(version=0, wave=_loader.WAVES - 1)
         found.fill()
@@ -136,7 +136,7 @@
     assert asyncio.run(main()) == [2]
 
 
-def test_an_engine_is_not_emptied_for_a_transfer_that_stands_still():
+def test_stalled_transfer_has_a_long_remaining_time():
     """One source has a narrow link, and the last chunks come through it.
 
     By the share that is missing the version would be whole in a moment, and
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize(
     'sizes', [{'a': 3, 'b': 3, 'c': 3}, {'a': 4, 'b': 3, 'c': 3}, {'a': 7}]
 )
-def test_each_chunk_leaves_the_origin_once(sizes):
+def test_each_chunk_is_fetched_from_the_origin_once(sizes):
     made = plans(members(sizes))
     for index in range(96):
         firsts = [plan.sources(index)[0] for plan in made.values()]
@@ -50,7 +50,7 @@
         assert entered == {'a': 1, 'b': 1, 'c': 1}
 
 
-def test_nobody_gives_much_more_than_others():
+def test_uploads_are_balanced():
     """Random owners gave some members half as much again as the mean.
 
     All wait for the chunks of the busiest one, so that a copy took 7.5 s
@@ -65,7 +65,7 @@
     assert max(given.values()) <= 1.2 * mean
 
 
-def test_owners_of_a_large_service_give_no_more_than_others():
+def test_uploads_of_owners_are_balanced_in_a_large_service():
     """Of many members only some take chunks from the origin.
 
     With as many chunks to pass on as the others besides, they gave half as
@@ -80,7 +80,7 @@
     assert max(given.values()) <= 1.2 * mean
 
 
-def test_the_next_member_stands_in_for_an_owner_that_is_away():
+def test_one_failover_owner_replaces_an_unreachable_owner():
     """The owner of a chunk dies.
 
     One member takes the chunk from the origin in its place, and the others
@@ -104,7 +104,7 @@
         assert owner not in firsts
 
 
-def test_whoever_is_left_out_takes_all_from_others():
+def test_excluded_member_fetches_only_from_peers():
     """The link of a member is narrow, and it gives nothing.
 
     It must not wait for the origin as if others waited for it.
@@ -116,7 +116,7 @@
     assert firsts <= {'a1', 'a2', 'a3'}
 
 
-def test_a_new_member_takes_from_those_nearby_that_hold_it():
+def test_new_member_fetches_from_local_holders():
     old = members({'a': 2, 'b': 2}, {'drafts': 2})
     new = spread.Member('a9', 'a')
     plan = spread.SourcePlan(new, [*old, new], REGIONS, 'drafts', 2, 96)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize('connections', [1, 8, 48, 500])
-def test_few_members_ask_the_origin(connections):
+def test_number_of_origin_clients_is_limited(connections):
     """Beyond the connections that it accepts, members would be reset."""
     listed = members({'a': 20, 'b': 20, 'c': 20})
     asking = set()
@@ -138,7 +138,7 @@
     assert len(asking) >= min(len(listed), connections // 3)
 
 
-def test_an_engine_that_is_listed_twice_counts_once():
+def test_duplicate_list_entries_count_once():
     """An engine starts again under a new id while its old entry remains.
 
     Its instance is then listed twice. Counted as two, the shares did not add
@@ -153,13 +153,13 @@
         ]
 
 
-def test_the_origin_is_always_the_last_resort():
+def test_origin_is_the_last_source():
     for plan in plans(members({'a': 3, 'b': 2})).values():
         for index in range(20):
             assert plan.sources(index)[-1] == spread.ORIGIN
 
 
-def test_few_are_asked_before_the_origin():
+def test_number_of_fallback_members_is_limited():
     """Members nearby lack a chunk for the same reason as this one.
 
     Asked one by one, ten of them kept it for seconds while its owner had
@@ -170,7 +170,7 @@
             assert len(plan.sources(index)) <= 4
 
 
-def test_a_plan_that_is_described_again_shares_out_anew():
+def test_setting_the_chunk_count_reassigns_owners():
     """The number of chunks is known only with the manifest.
 
     Sources from before would leave chunks with owners that nobody else
@@ -181,12 +181,12 @@
     late = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2, 96)
     for index in range(96):
         early.sources(index)
-    early.describe(96)
+    early.set_chunk_count(96)
     for index in range(96):
         assert early.sources(index) == late.sources(index)
 
 
-def test_members_that_differ_by_one_agree_on_most_owners():
+def test_lists_that_differ_by_one_member_agree_on_most_owners():
     """A member leaves while others begin a transfer.
 
     Their lists differ for a moment. With shares dealt out in turn, all
@@ -207,7 +207,7 @@
     assert same >= 60
 
 
-def test_all_waves_have_members():
+def test_members_are_split_evenly_into_waves():
     made = plans(members({'a': 4, 'b': 3, 'c': 3}))
     waves = collections.Counter(plan.wave(3) for plan in made.values())
     assert waves == {0: 4, 1: 3, 2: 3}
@@ -222,7 +222,7 @@
         (0.05, 0.5, 7.0, True),
     ],
 )
-def test_the_shorter_gap_decides_which_version_goes_first(
+def test_shorter_gap_decides_which_version_is_fetched_first(
     missing_share, older_due_s, newer_due_s, finishes
 ):
     """A version is named while the one before is on its way.
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -10,7 +10,7 @@
 from catkinshunt.spread.tests import transfers
 
 
-def test_a_narrow_member_does_not_hold_up_the_rest(monkeypatch):
+def test_chunks_queued_at_a_slow_source_fail_over(monkeypatch):
     """The link of one member is narrowed to a quarter.
 
     It goes on giving a chunk now and then, so nothing fails; but all who
@@ -47,7 +47,7 @@
     assert took_s < 1.0
 
 
-def test_sources_that_are_all_slow_keep_their_share():
+def test_equally_slow_sources_keep_their_queues():
     """The link of the member that fetches is narrow itself.
 
     Every source looks slow then; asked of the origin too, the chunks would
@@ -68,7 +68,7 @@
     assert not found.origin.sent_chunks
 
 
-def test_members_that_wait_themselves_do_not_hold_up_a_chunk(monkeypatch):
+def test_members_without_the_chunk_do_not_delay_it(monkeypatch):
     """The origin is down for longer than the owner of a chunk is asked.
 
     The others nearby wait for this member to pass the chunk on. Asked as
@@ -109,7 +109,7 @@
     assert asyncio.run(main()).chunk_store.is_complete
 
 
-def test_sources_that_are_all_gone_are_asked_now_and_then():
+def test_unreachable_sources_are_retried_with_a_pause():
     """The owner of a chunk was removed, and the origin is down.
 
     Asked without a pause, the two cost each member 60 connections and log
@@ -132,7 +132,7 @@
     assert asyncio.run(main()) < 20
 
 
-def test_a_slow_origin_is_not_asked_by_all():
+def test_slow_owner_does_not_cause_origin_fetches():
     """The origin is slow, so an owner has nothing for some seconds.
 
     Had the others no patience, all would turn to the origin, and it would
@@ -156,7 +156,7 @@
     assert not found.origin.sent_chunks
 
 
-def test_a_source_is_asked_by_one_worker_only():
+def test_source_has_one_worker():
     """The only source has nothing for a while.
 
     Its chunks come back to it each time its patience ends. If each time one
@@ -190,7 +190,7 @@
     assert max(most) == 1
 
 
-def test_a_source_that_will_not_have_it_is_left_at_once():
+def test_source_without_the_version_is_dropped_at_once():
     """A member does not fetch the version that others await from it.
 
     Asked again and again, as one that is about to have it, it held up its
@@ -213,7 +213,7 @@
     assert not found.origin.sent_chunks
 
 
-def test_an_idle_source_gives_what_a_busy_one_is_slow_to_give():
+def test_idle_source_steals_work_from_a_busy_one():
     """One member has far more to give than the others.
 
     It stands in for some that died, and all would wait for the last of its
@@ -240,7 +240,7 @@
     assert [peer for peer, _ in peers.requested].count('a1') <= 2
 
 
-def test_a_narrow_own_link_is_noticed(monkeypatch):
+def test_narrow_own_link_disables_uploads(monkeypatch):
     """Far less comes here than to all others.
 
     Others wait for what this member is to pass on, so it lets them take it
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -93,14 +93,14 @@
     assert found.origin_copies <= MAX_ORIGIN_COPIES
 
 
-def test_without_failures_the_origin_sends_a_version_once():
+def test_origin_sends_one_copy_without_failures():
     found = run_with_dead_members(THREE_DATA_CENTRES, dead=(), down_s=0.0)
     check_completion(found, MAX_FAULTLESS_COPY_TIMES)
     # Beside the chunks each owner takes the manifest.
     assert found.origin_copies < 1.1
 
 
-def test_members_that_die_do_not_turn_all_others_to_the_origin():
+def test_dead_members_do_not_cause_many_origin_fetches():
     """Five of 31 sidecars are killed as a version is named.
 
     Each of the others lost the source of a fifth of its chunks and took them
@@ -114,7 +114,7 @@
     check_completion(found)
 
 
-def test_members_that_begin_late_do_not_hold_up_the_others():
+def test_members_that_start_late_do_not_delay_others():
     """Eight added engines end the transfer of an older version first.
 
     Others are to take a fifth of the chunks from them. They are there and
@@ -133,7 +133,7 @@
     assert completion_times_s[-1] <= MAX_COPY_TIMES * GROWN.copy_s
 
 
-def test_members_with_narrow_links_do_not_hold_up_the_others():
+def test_members_with_narrow_links_do_not_delay_others():
     """The links of three members are narrowed to a quarter.
 
     They go on giving a chunk now and then; all others had the version after
@@ -156,7 +156,7 @@
     assert fault.swarm.origin_copies <= MAX_ORIGIN_COPIES
 
 
-def test_a_member_that_stands_still_does_not_hold_up_the_others():
+def test_frozen_member_does_not_delay_others():
     """A member stands still in the middle of a transfer, for six seconds.
 
     It gives no sign; whoever waits for it notices after some seconds and
@@ -181,7 +181,7 @@
     assert completion_times_s[-1] <= MAX_COPY_TIMES * THREE_DATA_CENTRES.copy_s
 
 
-def test_an_origin_that_returns_gives_each_missing_chunk_once():
+def test_recovered_origin_sends_each_missing_chunk_once():
     """While it is away, members must not scatter what nobody has."""
 
     async def scenario():
@@ -210,9 +210,7 @@
 
 @pytest.mark.parametrize('unlisted_count', [1, 4])
 @pytest.mark.parametrize('seed', [1, 2])
-def test_members_with_other_lists_do_not_wait_for_each_other(
-    seed, unlisted_count
-):
+def test_different_member_lists_cause_no_wait_cycle(seed, unlisted_count):
     """Each misses other members that have just come, and chooses otherwise."""
 
     async def scenario():
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -11,14 +11,14 @@
 from catkinshunt.spread.tests import transfers
 
 
-def test_a_single_member_takes_all_from_the_origin():
+def test_single_member_fetches_all_from_the_origin():
     found = transfers.transfer()
     assert found.chunk_store.is_complete
     assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
     assert found.staged == found.chunk_store.chunks
 
 
-def test_the_origin_is_released_after_use():
+def test_origin_connections_are_released():
     """The origin takes few connections in all.
 
     Kept open by members that need them no more, they were missing to others
@@ -27,7 +27,7 @@
     assert transfers.transfer().origin.released >= 2
 
 
-def test_members_that_hold_it_spare_the_origin():
+def test_holders_are_preferred_to_the_origin():
     peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
@@ -36,7 +36,7 @@
     assert not found.origin.sent_chunks
 
 
-def test_a_spoilt_chunk_is_fetched_again():
+def test_corrupt_chunk_is_fetched_again():
     """The origin sends a chunk that was damaged on its way.
 
     Loaded, it would give answers from damaged weights; its digest differs,
@@ -47,7 +47,7 @@
     assert found.staged[1] == fakes.chunk(2, 1)
 
 
-def test_a_member_that_sends_spoilt_chunks_is_left_for_others():
+def test_member_that_sends_corrupt_chunks_is_replaced():
     peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.corrupt.add('a1')
     found = transfers.transfer(
@@ -57,7 +57,7 @@
     assert found.staged[0] == fakes.chunk(2, 0)
 
 
-def test_a_member_that_died_is_left_for_others():
+def test_dead_member_is_replaced():
     """A member dies while it owes chunks to others.
 
     They notice that it does not answer and take its chunks elsewhere; the
@@ -72,7 +72,7 @@
     assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
 
 
-def test_a_member_that_never_gets_its_chunks_is_left_for_others():
+def test_member_that_never_receives_its_chunks_is_replaced():
     """A member lives but is cut off from the origin.
 
     It answers that it has no chunk yet, for ever. After a few times its
@@ -84,7 +84,7 @@
     assert found.chunk_store.is_complete
 
 
-def test_members_wait_for_the_owners_while_the_origin_is_down(monkeypatch):
+def test_members_wait_for_owners_while_the_origin_is_down(monkeypatch):
     """The origin goes down in the middle of a transfer.
 
     Owners lack some chunks, and all others wait for them. When it is back,
@@ -122,7 +122,7 @@
     assert not found.origin.sent_chunks
 
 
-def test_an_owner_notices_at_once_that_the_origin_is_back(monkeypatch):
+def test_owner_detects_origin_recovery_at_once(monkeypatch):
     """A version is named while the origin is away for seconds.
 
     Until its manifest is here nothing is fetched, and the time that passes
@@ -142,7 +142,7 @@
     asyncio.run(main())
 
 
-def test_a_transfer_that_lasts_tells_what_it_waits_for(monkeypatch):
+def test_long_transfer_logs_pending_sources(monkeypatch):
     """The only source has nothing, so a version does not come.
 
     Without a line on it the log is silent until the transfer ends, and
@@ -170,7 +170,7 @@
     assert told['given'] == {'a1': fakes.CHUNKS - 1}
 
 
-def test_a_damaged_manifest_is_dropped():
+def test_damaged_manifest_is_dropped():
     """The manifest itself is damaged on its way, so no chunk ever fits.
 
     Without this the transfer would refuse good chunks for ever.
@@ -191,7 +191,7 @@
     assert asyncio.run(main()).chunk_store.is_complete
 
 
-def test_an_origin_that_is_down_is_asked_again(monkeypatch):
+def test_unreachable_origin_is_retried(monkeypatch):
     monkeypatch.setattr(_source_health, 'EXCLUSION_S', 0.05)
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
--- a/catkinshunt/spread/tests/test_wait_graph.py
+++ b/catkinshunt/spread/tests/test_wait_graph.py
@@ -3,14 +3,14 @@
 from catkinshunt.spread import _wait_graph
 
 
-def test_two_that_ask_each_other_are_found():
+def test_cycle_of_two_is_found():
     wait_graph = _wait_graph.WaitGraph()
     wait_graph.set_source(3, 'b')
     wait_graph.note_requester(3, 'b', now=1.0)
     assert wait_graph.find_cycle(3, 'a', now=1.2) == {'a', 'b'}
 
 
-def test_all_of_a_loop_name_the_same_members():
+def test_all_members_find_the_same_cycle():
     """Were each to name others, several would turn to the origin."""
     names = ('a', 'b', 'c')
     found = []
@@ -23,7 +23,7 @@
     assert found == [set(names)] * 3
 
 
-def test_who_asked_long_ago_waits_no_more():
+def test_old_requests_expire():
     wait_graph = _wait_graph.WaitGraph()
     wait_graph.set_source(3, 'b')
     wait_graph.note_requester(3, 'b', now=1.0)
@@ -33,7 +33,7 @@
     )
 
 
-def test_a_chain_that_ends_at_the_origin_is_no_loop():
+def test_chain_to_the_origin_is_no_cycle():
     wait_graph = _wait_graph.WaitGraph()
     wait_graph.set_source(3, 'b')
     wait_graph.extend_chain(3, 'b', ('origin',))
@@ -41,7 +41,7 @@
     assert wait_graph.find_cycle(3, 'a', now=1.0) == set()
 
 
-def test_what_an_earlier_source_tells_is_left_aside():
+def test_chain_of_a_previous_source_is_ignored():
     wait_graph = _wait_graph.WaitGraph()
     wait_graph.set_source(3, 'b')
     wait_graph.set_source(3, 'c')
@@ -50,11 +50,11 @@
 
 
 @pytest.mark.parametrize('text', ['', '[]', '{"x": []}', '{"1": 2}', 'null'])
-def test_unreadable_chains_are_refused(text):
+def test_invalid_chains_are_rejected(text):
     with pytest.raises(ValueError):
         _wait_graph.load_chains(text)
 
 
-def test_chains_are_read_as_they_were_told():
+def test_chains_survive_a_round_trip():
     chains = {3: ('b', 'origin'), 40: ('c',)}
     assert _wait_graph.load_chains(_wait_graph.dump_chains(chains)) == chains
