--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -24,7 +24,7 @@
             once more.
         retry_burst: retries that are allowed beyond that share.
         random: source of random numbers, such as `random.Random(7)`.
-        places: `places.PlaceClient` that asks engines for room.
+        places: `places.PermitClient` that asks engines for room.
         guard: `quarantine.Guard` against requests that crash upstreams, or
             None for none.
     """
@@ -38,18 +38,20 @@
     retry_burst: float
     random: object
     metrics: object
-    places: object
+    permit_client: object
     guard: quarantine.Guard | None = None
-    tracker: dispatch.Tracker = attrs.field(factory=dispatch.Tracker)
-    returns: dispatch.ReturnDetector = attrs.field(
-        factory=dispatch.ReturnDetector
+    tracker: dispatch.UpstreamTracker = attrs.field(
+        factory=dispatch.UpstreamTracker
+    )
+    return_detector: dispatch.ReturningRequestDetector = attrs.field(
+        factory=dispatch.ReturningRequestDetector
     )
     stopping_since: float | None = None
     version_grace_s: float = 8.0
     _pools: dict = attrs.field(factory=dict)
     _budgets: dict = attrs.field(factory=dict)
     _forecasts: dict = attrs.field(
-        factory=lambda: collections.defaultdict(dispatch.Forecast)
+        factory=lambda: collections.defaultdict(dispatch.DelayCorrector)
     )
 
     def pool(self, upstream):
@@ -72,20 +74,20 @@
             self._pools.pop(key).close_idle()
         self.tracker.forget(upstreams)
 
-    def budget_tokens(self):
+    def retry_budget_tokens(self):
         """Return the tokens of each retry budget by label values."""
         return {
             (service,): budget.report()['tokens']
             for service, budget in self._budgets.items()
         }
 
-    def limit_retries(self, burst):
+    def set_retry_burst(self, burst):
         """Allow `burst` retries beyond the share of the requests."""
         self.retry_burst = burst
         for budget in self._budgets.values():
             budget.burst = burst
 
-    def budget(self, service):
+    def retry_budget(self, service):
         """Return the `retries.Budget` of a service."""
         found = self._budgets.get(service)
         if found is None:
@@ -94,5 +96,5 @@
         return found
 
     def forecast(self, service):
-        """Return the `dispatch.Forecast` of a service."""
+        """Return the `dispatch.DelayCorrector` of a service."""
         return self._forecasts[service]
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -65,7 +65,7 @@
     async def run(self):
         """Relay the reply; return whether the connection can be kept."""
         head = await self._read_own_head()
-        note = self.context.dialect.read_reply(head)
+        note = self.context.dialect.decode_reply(head)
         if note.load is not None:
             self.state.report(note.load, self.context.clock())
         self._check(head, note)
@@ -75,7 +75,7 @@
             await self._relay_events(head)
         else:
             await self._relay_whole(head)
-        return self.conn.sent_whole and not note.leaving
+        return self.conn.sent_whole and not note.closes_connection
 
     async def _read_own_head(self):
         """Return the head of the reply to this request.
@@ -87,7 +87,7 @@
             part = await self._next_part()
             if not isinstance(part, http1.ReplyHead):
                 continue
-            note = self.context.dialect.read_reply(part)
+            note = self.context.dialect.decode_reply(part)
             if note.request_id in ('', self.exchange.ask.id):
                 return part
 
@@ -104,7 +104,7 @@
                 raise BrokenOffError(
                     part.reason, step='read-reply', peer=self.peer
                 )
-            self.state.hear(self.context.clock())
+            self.state.receive(self.context.clock())
             self.job.answering = True
             return part
 
@@ -125,7 +125,7 @@
 
     def _check_silence(self):
         now = self.context.clock()
-        if not self.state.is_silent(now) or now - self.sent_at < LOOK_S:
+        if not self.state.is_unresponsive(now) or now - self.sent_at < LOOK_S:
             return
         if self.exchange.can_move():
             raise SilentError(
@@ -141,7 +141,7 @@
                 step='read-reply',
                 peer=self.peer,
             )
-        if note.not_run:
+        if note.not_executed:
             self._rest(note)
             raise errors.OverloadedError(
                 f'upstream refused with {head.status}',
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -15,12 +15,12 @@
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _dialect
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _membership
-from catkinshunt.platform import _mirror
-from catkinshunt.platform import _origin_key
-from catkinshunt.platform import _pending
+from catkinshunt.platform import _registration
+from catkinshunt.platform import _cache_updater
+from catkinshunt.platform import _origin_publisher
+from catkinshunt.platform import _pending_publisher
 from catkinshunt.platform import _process
-from catkinshunt.platform import _quarantine_keys
+from catkinshunt.platform import _quarantine_publisher
 from catkinshunt.platform import _signals
 from catkinshunt import quarantine
 from catkinshunt import retries
@@ -56,14 +56,14 @@
     """Serve as an entry until the signal to stop has been obeyed.
 
     Args:
-        cfg: `NodeSettings`.
+        cfg: `InstanceSettings`.
     """
     stop = _signals.watch_signals()
     registry = metrics.Registry()
     context = make_context(cfg, registry)
-    await context.places.start(cfg.ip)
-    roster = catalogs.Roster()
-    gossip = make_gossip(cfg, roster, context.random)
+    await context.permit_client.start(cfg.ip)
+    live_entries = catalogs.LiveEntries()
+    gossip = make_gossip(cfg, live_entries, context.random)
     await gossip.start(cfg.ip)
     context.guard = quarantine.Guard(gossip)
     server = await gateway.Gateway(context).start(*cfg.frontend)
@@ -74,24 +74,26 @@
     await ready.start(*cfg.ready)
     await _process.serve_metrics(cfg, registry)
     client = _process.make_store_client(cfg, registry)
-    followed = make_feed(cfg, client, roster)
-    await feed.FeedServer(followed, _clocks.wall, _clocks.steady).start(
+    followed = make_feed(cfg, client, live_entries)
+    await feed.WatchRelayServer(followed, _clocks.wall, _clocks.steady).start(
         cfg.ip, _process.feed_port(cfg)
     )
-    mirror = make_mirror(followed, context, roster)
-    home = catalogs.Home(cfg.ip, _region(cfg))
-    member = _membership.Membership(client, roster, cfg.name, home)
-    pending = _pending.PendingVersions(
+    mirror = make_mirror(followed, context, live_entries)
+    home = catalogs.EntryLocation(cfg.ip, _region(cfg))
+    member = _registration.Registration(client, live_entries, cfg.name, home)
+    pending = _pending_publisher.PendingPublisher(
         client,
         context.catalog,
-        roster,
+        live_entries,
         cfg.name,
         context.version_grace_s,
         _clocks.wall,
     )
-    origin = _origin_key.OriginKey(client, context.catalog, roster, cfg.name)
-    barred = _quarantine_keys.QuarantineKeys(
-        client, gossip.quarantine, roster, cfg.name, _clocks.wall
+    origin = _origin_publisher.OriginPublisher(
+        client, context.catalog, live_entries, cfg.name
+    )
+    barred = _quarantine_publisher.QuarantinePublisher(
+        client, gossip.quarantine, live_entries, cfg.name, _clocks.wall
     )
     tasks = [
         asyncio.ensure_future(work)
@@ -102,7 +104,7 @@
             origin.run(),
             gossip.run(),
             barred.run(),
-            _share_retries(cfg, context, roster),
+            _share_retries(cfg, context, live_entries),
             _tidy(context),
         )
     ]
@@ -134,7 +136,8 @@
     rng = random.Random()
     return gateway.Context(
         catalog=catalogs.Catalog(
-            fresh_s=bounds.revoke_s * FRESH_SHARE, current_s=bounds.config_s
+            key_trust_s=bounds.revoke_s * FRESH_SHARE,
+            absence_trust_s=bounds.config_s,
         ),
         dialect=_dialect.PlatformDialect(),
         chooser=dispatch.Chooser(cfg.data_centre, cfg.regions, cfg.name),
@@ -144,7 +147,7 @@
         retry_burst=make_burst_share(cfg).choose(_clocks.steady()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
-        places=places.PlaceClient(
+        permit_client=places.PermitClient(
             _process.place_port(cfg), _clocks.steady, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
@@ -156,16 +159,16 @@
     return retries.BurstShare(cfg.bounds.retry_slack * BURST_SHARE)
 
 
-async def _share_retries(cfg, context, roster):
+async def _share_retries(cfg, context, live_entries):
     """Bound the retries to what is left for one of the entries alive."""
     share = make_burst_share(cfg)
     while True:
         now = _clocks.steady()
-        share.see(len(roster.names()), now)
-        context.limit_retries(share.choose(now))
+        share.observe(len(live_entries.names()), now)
+        context.set_retry_burst(share.choose(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(SHARE_S):
-                await roster.wait_for_change()
+                await live_entries.wait_for_change()
 
 
 async def _tidy(context):
@@ -207,12 +210,12 @@
     registry.gauge(
         'quarantined_requests',
         'Requests that are not run, since upstreams crashed under them.',
-        lambda: context.guard.count_barred() if context.guard else 0,
+        lambda: context.guard.count_quarantined() if context.guard else 0,
     )
     registry.gauge(
         'retry_budget_tokens',
         'Further tries that are allowed now.',
-        context.budget_tokens,
+        context.retry_budget_tokens,
         ('service',),
     )
 
@@ -225,21 +228,21 @@
     return cfg.regions.get(cfg.data_centre, cfg.data_centre)
 
 
-def make_feed(cfg, client, roster):
-    """Return the `feed.RegionalFeed` of an entry with these settings."""
+def make_feed(cfg, client, live_entries):
+    """Return the `feed.RegionalWatchSource` of an entry with these settings."""
 
-    def make_peer(host, must_read):
-        return feed.PeerFeed(
+    def make_peer(host, must_be_direct):
+        return feed.PeerWatchSource(
             host,
             _process.feed_port(cfg),
             _clocks.steady,
             _clocks.wall,
-            must_read,
+            must_be_direct,
         )
 
-    return feed.RegionalFeed(
+    return feed.RegionalWatchSource(
         client,
-        roster,
+        live_entries,
         cfg.name,
         _region(cfg),
         make_peer,
@@ -248,11 +251,11 @@
     )
 
 
-def make_gossip(cfg, roster, random):
+def make_gossip(cfg, live_entries, random):
     """Return the `quarantine.Gossip` of an entry with these settings."""
     return quarantine.Gossip(
         quarantine.Quarantine(),
-        roster,
+        live_entries,
         cfg.name,
         _process.gossip_port(cfg),
         _clocks.wall,
@@ -260,12 +263,12 @@
     )
 
 
-def make_mirror(client, context, roster):
-    """Return the `Mirror` that feeds the catalog of `context`."""
-    return _mirror.Mirror(
+def make_mirror(client, context, live_entries):
+    """Return the `CacheUpdater` that feeds the catalog of `context`."""
+    return _cache_updater.CacheUpdater(
         client,
         context.catalog,
-        roster,
+        live_entries,
         _clocks.wall,
         context.random,
         context.guard.gossip.quarantine,
--- a/catkinshunt/platform/_origin_key.py
+++ b/catkinshunt/platform/_origin_publisher.py
@@ -15,7 +15,7 @@
 _log = logs.get_logger('origin')
 
 
-class OriginKey:
+class OriginPublisher:
     """Keeps the key that shows the origin as the configuration names it.
 
     A sidecar needs no more of the configuration than this. A large one
@@ -26,14 +26,14 @@
     Args:
         client: `StoreClient`.
         catalog: `catalog.Catalog` with the declaration in force.
-        roster: `catalog.Roster` of the entries.
+        roster: `catalog.LiveEntries` of the entries.
         name: name of this entry.
     """
 
-    def __init__(self, client, catalog, roster, name):
+    def __init__(self, client, catalog, live_entries, name):
         self.client = client
         self.catalog = catalog
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self._shown = None
 
@@ -63,6 +63,6 @@
         self._shown = origin
 
     def _is_writer(self):
-        names = sorted({*self.roster.names(), self.name})
+        names = sorted({*self.live_entries.names(), self.name})
         ranked = rendezvous.rank(_documents.ORIGIN_KEY, names)
         return self.name in ranked[:WRITERS]
--- a/catkinshunt/platform/_pending.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -20,7 +20,7 @@
 _log = logs.get_logger('versions')
 
 
-class PendingVersions:
+class PendingPublisher:
     """Keeps a key for each version that was named and is not due yet.
 
     An entry that starts finds a named version in the store, and cannot tell
@@ -32,16 +32,16 @@
     Args:
         client: `StoreClient`.
         catalog: `catalog.Catalog` in which versions are named.
-        roster: `catalog.Roster` of the entries.
+        roster: `catalog.LiveEntries` of the entries.
         name: name of this entry.
         grace_s: seconds after which a named version is due.
         wall: gives seconds on the clock of the catalog.
     """
 
-    def __init__(self, client, catalog, roster, name, grace_s, wall):
+    def __init__(self, client, catalog, live_entries, name, grace_s, wall):
         self.client = client
         self.catalog = catalog
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.grace_s = grace_s
         self.wall = wall
@@ -69,20 +69,20 @@
         return found
 
     def _is_writer(self, model, version):
-        names = sorted({*self.roster.names(), self.name})
+        names = sorted({*self.live_entries.names(), self.name})
         ranked = rendezvous.rank(f'{model}/{version}', names)
         return self.name in ranked[:WRITERS]
 
     async def _write(self, model, named):
         """Write the key of one version, unless it is due too soon."""
-        due_at = named.since + self.grace_s
+        due_at = named.learned_at + self.grace_s
         lease_s = due_at - self.wall() - MARGIN_S
         if not math.isfinite(lease_s) or lease_s < LEAST_LEASE_S:
             return
         try:
             lease = await self.client.grant_lease(lease_s)
             if self.wall() + lease_s > due_at:
-                await self.client.end_lease(lease)
+                await self.client.revoke_lease(lease)
                 return
             key = _documents.pending_key(model, named.version)
             await self.client.write(key, b'{}', lease)
--- a/catkinshunt/platform/_quarantine_keys.py
+++ b/catkinshunt/platform/_quarantine_publisher.py
@@ -16,7 +16,7 @@
 _log = logs.get_logger('quarantine')
 
 
-class QuarantineKeys:
+class QuarantinePublisher:
     """Writes a key for each request that is barred.
 
     Entries tell each other what they know; were all of them to start again,
@@ -26,15 +26,15 @@
     Args:
         client: `StoreClient`.
         barred: `quarantine.Quarantine` of this entry.
-        roster: `catalog.Roster` of the entries.
+        roster: `catalog.LiveEntries` of the entries.
         name: name of this entry.
         wall: gives seconds on the clock of the quarantine.
     """
 
-    def __init__(self, client, barred, roster, name, wall):
+    def __init__(self, client, barred, live_entries, name, wall):
         self.client = client
         self.barred = barred
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.wall = wall
         self._written = {}
@@ -56,7 +56,7 @@
 
     async def _write_new(self):
         now = self.wall()
-        for request, left_s in self.barred.all_barred(now):
+        for request, left_s in self.barred.all_quarantined(now):
             until = now + left_s
             if self._is_kept(request, until, now):
                 continue
@@ -71,11 +71,11 @@
 
     def _is_kept(self, request, until, now):
         """Return whether its key stays for nearly as long as it is barred."""
-        most_s = quarantine.BARRED_S * quarantine.RENEW_SHARE
+        most_s = quarantine.QUARANTINE_S * quarantine.RENEW_SHARE
         return until - self._written.get(request, now) < most_s
 
     def _is_writer(self, request):
-        names = sorted({*self.roster.names(), self.name})
+        names = sorted({*self.live_entries.names(), self.name})
         return self.name in rendezvous.rank(request, names)[:WRITERS]
 
     def _forget(self, now):
--- a/catkinshunt/platform/_membership.py
+++ b/catkinshunt/platform/_registration.py
@@ -19,19 +19,19 @@
 _log = logs.get_logger('membership')
 
 
-class Membership:
+class Registration:
     """Keeps the key of one entry, bound to a lease.
 
     Args:
         client: `StoreClient`.
-        roster: `catalog.Roster` that shows whether the key is there.
+        roster: `catalog.LiveEntries` that shows whether the key is there.
         name: name of the instance.
-        home: its `catalog.Home`, for others of its region; None for none.
+        home: its `catalog.EntryLocation`, for others of its region; None for none.
     """
 
-    def __init__(self, client, roster, name, home=None):
+    def __init__(self, client, live_entries, name, home=None):
         self.client = client
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.home = home
         self._lease = None
@@ -47,7 +47,7 @@
                 await self._keep()
                 outage.end()
                 await asyncio.sleep(RENEW_S)
-            except _store.LeaseGoneError:
+            except _store.LeaseNotFoundError:
                 self._lease = None
             except errors.StoreError as exc:
                 outage.begin(exc)
@@ -56,7 +56,7 @@
     async def _keep(self):
         # A write whose answer was lost may arrive late and bind the key to
         # an older lease. It vanishes with that one; the roster shows it.
-        if self._lease is not None and self.roster.has(self.name):
+        if self._lease is not None and self.live_entries.has(self.name):
             await self.client.renew_lease(self._lease)
             return
         lease = await self.client.grant_lease(LEASE_S)
@@ -74,6 +74,6 @@
         if self._lease is None:
             return
         try:
-            await self.client.end_lease(self._lease)
+            await self.client.revoke_lease(self._lease)
         except errors.StoreError as exc:
             _log.warning('The lease ends by itself: {}.', exc)
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -8,7 +8,7 @@
 from catkinshunt import places
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _engine
-from catkinshunt.platform import _outlook
+from catkinshunt.platform import _store_view
 from catkinshunt.platform import _process
 from catkinshunt.platform import _signals
 from catkinshunt import spread
@@ -20,7 +20,7 @@
     """Serve beside one engine until the signal to stop.
 
     Args:
-        cfg: `NodeSettings`.
+        cfg: `InstanceSettings`.
     """
     stop = _signals.watch_signals()
     registry = metrics.Registry()
@@ -39,14 +39,14 @@
         return []
     version_store = spread.VersionStore()
     moved = make_metrics(registry, version_store)
-    outlook = _outlook.StoreOutlook(
+    outlook = _store_view.StoreView(
         cfg,
         _process.make_store_client(cfg, registry),
         catalogs.Catalog(),
         _clocks.wall,
         cfg.bounds.version_s,
     )
-    door = places.PlaceServer(places.Ledger(), _clocks.steady)
+    door = places.PermitServer(places.PermitAllocator(), _clocks.steady)
     await door.start(cfg.ip, _process.place_port(cfg))
     chunk_port = _process.chunk_port(cfg)
     agent = spread.Agent(
--- a/catkinshunt/platform/_outlook.py
+++ b/catkinshunt/platform/_store_view.py
@@ -26,11 +26,11 @@
 _log = logs.get_logger('store')
 
 
-class StoreOutlook(spread.BaseClusterView):
+class StoreView(spread.BaseClusterView):
     """Follows the named versions, and lists members when asked.
 
     Args:
-        cfg: `NodeSettings` of the sidecar.
+        cfg: `InstanceSettings` of the sidecar.
         client: `StoreClient`.
         catalog: `catalog.Catalog` that is filled.
         wall: gives seconds on a clock that counts a suspend too.
@@ -120,7 +120,7 @@
         for item in page.items:
             try:
                 return _documents.read_shown_origin(item.value)
-            except _documents.UnreadableError as exc:
+            except _documents.InvalidDocumentError as exc:
                 _log.warning('Left aside {}: {}.', item.key, exc)
         return None
 
@@ -159,13 +159,13 @@
 
     def note_version(self, model, version):
         """See `spread.BaseClusterView.note_version`."""
-        self.catalog.name_version(model, version, self.wall())
+        self.catalog.add_named_version(model, version, self.wall())
 
     async def target_version(self, report):
         """See `spread.BaseClusterView.target_version`."""
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
-            due_at = named.since + self.due_s
+            due_at = named.learned_at + self.due_s
             return spread.TargetVersion(model, named.version, due_at)
         # Before the store has told what is named, what others are listed with
         # may be a version that is no longer wanted. After a loss of power all
@@ -196,17 +196,17 @@
 
     def superseded_at(self, model, version):
         """See `spread.BaseClusterView.superseded_at`."""
-        newer = self.catalog.first_after(model, version)
-        return self.wall() if newer is None else newer.since + self.due_s
+        newer = self.catalog.next_version(model, version)
+        return self.wall() if newer is None else newer.learned_at + self.due_s
 
     def expires_at(self, model, version):
         """See `spread.BaseClusterView.expires_at`."""
-        newer = self.catalog.first_after(model, version)
+        newer = self.catalog.next_version(model, version)
         # How long ago a version was named that stood in the store at the
         # start is not known; others may still use the one before.
         if newer is None or newer.found:
             return math.inf
-        return newer.since + self.due_s - EXPIRY_MARGIN_S
+        return newer.learned_at + self.due_s - EXPIRY_MARGIN_S
 
     async def members(self):
         """See `spread.BaseClusterView.members`."""
@@ -218,7 +218,7 @@
             for upstream in self.catalog.members(self.cfg.service)
             if not upstream.leaving
         ]
-        listed.sort(key=lambda upstream: upstream.born)
+        listed.sort(key=lambda upstream: upstream.started_at_ms)
         return [
             spread.Member(u.address[0], u.data_centre, u.versions or {})
             for u in listed
--- a/catkinshunt/platform/tests/test_mirror.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -4,7 +4,7 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
-from catkinshunt.platform import _mirror
+from catkinshunt.platform import _cache_updater
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import test_documents as documents
 from catkinshunt import quarantine
@@ -15,15 +15,15 @@
 
     def __init__(self):
         self.store = fakes.FakeStore()
-        self.catalog = catalogs.Catalog(fresh_s=3.0)
-        self.roster = catalogs.Roster()
+        self.catalog = catalogs.Catalog(key_trust_s=3.0)
+        self.live_entries = catalogs.LiveEntries()
         self.now_s = 100.0
         loop = asyncio.get_running_loop()
         self.wall = lambda: loop.time() + self.now_s
-        self.mirror = platform.Mirror(
+        self.mirror = platform.CacheUpdater(
             self.store,
             self.catalog,
-            self.roster,
+            self.live_entries,
             self.wall,
             random.Random(1),
             quarantine.Quarantine(),
@@ -125,17 +125,19 @@
     The age of what is known must grow, also over a suspend, and be small
     again as soon as the store has answered.
     """
-    monkeypatch.setattr(_mirror, 'WATCH_S', 0.1)
-    monkeypatch.setattr(_mirror, 'SHORTEST_WATCH_S', 0.05)
-    monkeypatch.setattr(_mirror, 'LONGEST_PAUSE_S', 0.05)
+    monkeypatch.setattr(_cache_updater, 'WATCH_S', 0.1)
+    monkeypatch.setattr(_cache_updater, 'SHORTEST_WATCH_S', 0.05)
+    monkeypatch.setattr(_cache_updater, 'LONGEST_PAUSE_S', 0.05)
 
     async def main(followed):
         followed.store.down = True
         await asyncio.sleep(0.2)
         followed.now_s += 5.0
-        stale = followed.catalog.is_fresh(followed.wall())
+        stale = followed.catalog.can_trust_keys(followed.wall())
         followed.store.down = False
-        await fakes.until(lambda: followed.catalog.is_fresh(followed.wall()))
+        await fakes.until(
+            lambda: followed.catalog.can_trust_keys(followed.wall())
+        )
         return stale
 
     assert run(main) is False
@@ -147,7 +149,7 @@
     Read on waking, it would make a state of some seconds ago look new, and
     a key that was taken away meanwhile would still be served.
     """
-    monkeypatch.setattr(_mirror, 'WATCH_S', 0.2)
+    monkeypatch.setattr(_cache_updater, 'WATCH_S', 0.2)
 
     async def main(followed):
         age_s = followed.catalog.age_s
@@ -191,22 +193,22 @@
 def test_entries_that_come_and_go_are_counted():
     async def main(followed):
         followed.store.put('catkinshunt/entries/edge-2', {})
-        await fakes.until(lambda: followed.roster.names() == ['edge-2'])
+        await fakes.until(lambda: followed.live_entries.names() == ['edge-2'])
         followed.store.delete('catkinshunt/entries/edge-2')
-        await fakes.until(lambda: not followed.roster.names())
+        await fakes.until(lambda: not followed.live_entries.names())
 
     run(main)
 
 
 def test_entries_are_read_anew_where_the_history_is_gone():
     async def main(followed):
-        await fakes.until(lambda: followed.roster.names() == ['edge-1'])
+        await fakes.until(lambda: followed.live_entries.names() == ['edge-1'])
         followed.store.down = True
         followed.store.delete('catkinshunt/entries/edge-1')
         followed.store.put('catkinshunt/entries/edge-3', {})
         followed.store.forget_history()
         followed.store.down = False
-        await fakes.until(lambda: followed.roster.names() == ['edge-3'])
+        await fakes.until(lambda: followed.live_entries.names() == ['edge-3'])
 
     run(main, lambda f: f.store.put('catkinshunt/entries/edge-1', {}))
 
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -15,10 +15,10 @@
 
 
 def entry_registry():
-    cfg = platform.read_node_settings(test_settings.DOCUMENT)
+    cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
-    context.budget('desk').offer()
+    context.retry_budget('desk').offer()
     server = gateway.Gateway(context)
     _entry.show_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
@@ -30,7 +30,7 @@
     version_store = spread.VersionStore()
     version_store.chunk_store('drafts', 2)
     _sidecar.make_metrics(registry, version_store)
-    cfg = platform.read_node_settings(test_settings.DOCUMENT)
+    cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
 
--- a/catkinshunt/platform/tests/test_quarantine_keys.py
+++ b/catkinshunt/platform/tests/test_quarantine_publisher.py
@@ -3,7 +3,7 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _quarantine_keys
+from catkinshunt.platform import _quarantine_publisher
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import regions
 from catkinshunt import quarantine
@@ -15,15 +15,15 @@
 @contextlib.asynccontextmanager
 async def writing(store, monkeypatch):
     """Run the writer of each entry; gives their quarantines."""
-    monkeypatch.setattr(_quarantine_keys, 'LOOK_S', 0.01)
+    monkeypatch.setattr(_quarantine_publisher, 'LOOK_S', 0.01)
     wall = asyncio.get_running_loop().time
     found, tasks = [], []
     for name in NAMES:
-        roster = catalogs.Roster()
-        roster.replace(NAMES)
+        live_entries = catalogs.LiveEntries()
+        live_entries.replace(NAMES)
         barred = quarantine.Quarantine()
-        keys = _quarantine_keys.QuarantineKeys(
-            store, barred, roster, name, wall
+        keys = _quarantine_publisher.QuarantinePublisher(
+            store, barred, live_entries, name, wall
         )
         tasks.append(asyncio.ensure_future(keys.run()))
         found.append(barred)
@@ -34,10 +34,10 @@
             task.cancel()
 
 
-def bar(found, for_s=quarantine.BARRED_S):
+def add(found, for_s=quarantine.QUARANTINE_S):
     now = asyncio.get_running_loop().time()
     for barred in found:
-        barred.bar(REQUEST, for_s, now)
+        barred.add(REQUEST, for_s, now)
 
 
 def test_few_entries_write_a_barred_request_once(monkeypatch):
@@ -46,15 +46,15 @@
     async def main():
         store = fakes.FakeStore()
         async with writing(store, monkeypatch) as found:
-            bar(found)
+            add(found)
             key = _documents.quarantine_key(REQUEST)
             await fakes.until(lambda: key in store.items)
             await asyncio.sleep(0.1)
             return store.calls, store.granted_s
 
     calls, granted_s = asyncio.run(main())
-    assert calls.count('write') <= _quarantine_keys.WRITERS
-    assert max(granted_s) <= quarantine.BARRED_S
+    assert calls.count('write') <= _quarantine_publisher.WRITERS
+    assert max(granted_s) <= quarantine.QUARANTINE_S
 
 
 def test_it_is_written_when_the_store_is_back(monkeypatch):
@@ -62,7 +62,7 @@
         store = fakes.FakeStore()
         store.down = True
         async with writing(store, monkeypatch) as found:
-            bar(found)
+            add(found)
             await fakes.until(lambda: store.calls)
             store.down = False
             key = _documents.quarantine_key(REQUEST)
@@ -82,8 +82,8 @@
         async with region.running():
             return [
                 (
-                    entry.barred.barred_s(REQUEST, entry.wall()),
-                    entry.barred.barred_s('odd', entry.wall()),
+                    entry.barred.remaining_s(REQUEST, entry.wall()),
+                    entry.barred.remaining_s('odd', entry.wall()),
                 )
                 for entry in region.entries
             ]
@@ -98,7 +98,7 @@
         key = _documents.quarantine_key(REQUEST)
         region.store.put(key, _documents.dump_quarantine(60.0))
         await region.until(
-            lambda e: e.barred.barred_s(REQUEST, e.wall()) > 0.0
+            lambda e: e.barred.remaining_s(REQUEST, e.wall()) > 0.0
         )
 
     regions.run(main)
--- a/catkinshunt/platform/tests/test_membership.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -4,7 +4,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
 from catkinshunt.platform import _entry
-from catkinshunt.platform import _membership
+from catkinshunt.platform import _registration
 from catkinshunt.platform.tests import fakes
 
 KEY = 'catkinshunt/entries/edge-1'
@@ -13,16 +13,16 @@
 @contextlib.asynccontextmanager
 async def listed(monkeypatch):
     """An entry that keeps itself listed, and looks often."""
-    monkeypatch.setattr(_membership, 'RENEW_S', 0.02)
-    monkeypatch.setattr(_membership, 'PAUSE_S', 0.02)
+    monkeypatch.setattr(_registration, 'RENEW_S', 0.02)
+    monkeypatch.setattr(_registration, 'PAUSE_S', 0.02)
     store = fakes.FakeStore()
-    roster = catalogs.Roster()
-    member = platform.Membership(store, roster, 'edge-1')
+    live_entries = catalogs.LiveEntries()
+    member = platform.Registration(store, live_entries, 'edge-1')
     task = asyncio.ensure_future(member.run())
     try:
         await fakes.until(lambda: KEY in store.items)
-        roster.put('edge-1')
-        yield store, roster, member
+        live_entries.put('edge-1')
+        yield store, live_entries, member
     finally:
         task.cancel()
 
@@ -61,9 +61,9 @@
     """
 
     async def main():
-        async with listed(monkeypatch) as (store, roster, _):
+        async with listed(monkeypatch) as (store, live_entries, _):
             store.delete(KEY)
-            roster.drop('edge-1')
+            live_entries.drop('edge-1')
             await fakes.until(lambda: KEY in store.items)
 
     asyncio.run(main())
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -62,7 +62,7 @@
         clock: gives seconds on the steady clock.
         link_mbps: speed of the instance's link.
         counter: counts bytes by source.
-        door: `places.BaseDoor` that lets requests in to the engine.
+        door: `places.BaseAdmission` that lets requests in to the engine.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
     async def _reconcile(self):
         report = await self.engine.report()
         self._outage.end()
-        self.door.correct(report.request_count)
+        self.door.reconcile(report.request_count)
         self._loader.observe(report)
         self._update_expiry(report)
         target = await self.cluster_view.target_version(report)
@@ -159,7 +159,7 @@
         expires_in_s = min(times, default=math.inf) - self.cluster_view.now()
         if self._is_transferring():
             expires_in_s -= LINK_QUEUE_S
-        self.door.expire(expires_in_s)
+        self.door.set_expiry(expires_in_s)
 
     async def _advance(self, report, target):
         """Bring the engine to the next version that it can have."""
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -110,14 +110,14 @@
         raise errors.SourceBusyError('not there yet', peer=peer)
 
 
-class FakeDoor(places.BaseDoor):
+class FakeDoor(places.BaseAdmission):
     """Notes what it is told."""
 
     def __init__(self):
         self.calls = []
         self.expires_in_s = None
 
-    def correct(self, present):
+    def reconcile(self, present):
         self.calls.append(('correct', present))
 
     def close(self, closes_in_s, opens_in_s):
@@ -126,7 +126,7 @@
     def open(self):
         self.calls.append(('open',))
 
-    def expire(self, expires_in_s):
+    def set_expiry(self, expires_in_s):
         self.expires_in_s = expires_in_s
 
 
@@ -184,7 +184,7 @@
         self.listed = list(members)
         self._named = asyncio.Event()
 
-    def announce(self, version, due_s=8.0):
+    def notify_all(self, version, due_s=8.0):
         due_at = self.now() + due_s
         self.versions.append(_agent.TargetVersion(MODEL, version, due_at))
         self._named.set()
