--- a/benchmarks/spread_cases.py
+++ b/benchmarks/spread_cases.py
@@ -80,7 +80,7 @@
             name: rng.sample(names, case.missed) for name in names
         }
         origin = asyncio.ensure_future(_take_origin(fault.swarm, case))
-        await fault.announce(case.away_s, case.answering)
+        await fault.announce_version(case.away_s, case.answering)
         await fault.swarm.wait(MOST_TIMES * case.scale.copy_s)
         origin.cancel()
         return fault
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -67,7 +67,7 @@
 
     def __init__(
         self, local_member, cluster_view, engine, origin, peers,
-        version_store, clock, link_mbps, byte_counter, door,
+        version_store, clock, link_mbps, byte_counter, admission,
     ):  # fmt: skip
         self.local_member = local_member
         self.cluster_view = cluster_view
@@ -78,7 +78,7 @@
         self.clock = clock
         self.link_mbps = link_mbps
         self.byte_counter = byte_counter
-        self.door = door
+        self.admission = admission
         self._transfer = None
         self._retry_at = -math.inf
         self._manifest_probe = None
@@ -88,7 +88,7 @@
         self._wakeup = asyncio.Event()
         self._staging_lock = asyncio.Lock()
         self._loader = _loader.Loader(
-            engine, cluster_view, door, clock, self._staging_lock
+            engine, cluster_view, admission, clock, self._staging_lock
         )
         self._outage = logs.Outage(
             _log, 'The engine is lost: {}.', 'The engine is back.'
@@ -138,7 +138,7 @@
     async def _reconcile(self):
         report = await self.engine.report()
         self._outage.end()
-        self.door.reconcile(report.request_count)
+        self.admission.reconcile(report.request_count)
         self._loader.observe(report)
         self._update_expiry(report)
         target = await self.cluster_view.target_version(report)
@@ -159,7 +159,7 @@
         expires_in_s = min(times, default=math.inf) - self.cluster_view.now()
         if self._is_transferring():
             expires_in_s -= LINK_QUEUE_S
-        self.door.set_expiry(expires_in_s)
+        self.admission.set_expiry(expires_in_s)
 
     async def _advance(self, report, target):
         """Bring the engine to the next version that it can have."""
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from catkinshunt import notifier
 from catkinshunt import errors
+from catkinshunt import notifier
 from catkinshunt.spread import _wait_graph
 
 
@@ -34,7 +34,7 @@
     _served_counts: collections.Counter = attrs.field(
         factory=collections.Counter
     )
-    _changes: notifier.Notifier = attrs.field(factory=notifier.Notifier)
+    _notifier: notifier.Notifier = attrs.field(factory=notifier.Notifier)
 
     @property
     def missing(self):
@@ -63,12 +63,12 @@
             errors.CorruptChunkError: it is not the chunk of the manifest.
         """
         self.chunks[index] = self.manifest.check(index, data)
-        self._changes.notify_all()
+        self._notifier.notify_all()
 
     def set_manifest(self, manifest):
         """Take over the manifest."""
         self.manifest = manifest
-        self._changes.notify_all()
+        self._notifier.notify_all()
 
     def is_expecting(self, indices):
         """Return whether one of these comes here soon, to be passed on.
@@ -87,12 +87,12 @@
     def end_transfer(self):
         """Note that no transfer fills it any more."""
         self.is_filling = False
-        self._changes.notify_all()
+        self._notifier.notify_all()
 
     def disable_upload(self):
         """Let others take all chunks elsewhere from now on."""
         self.is_upload_disabled = True
-        self._changes.notify_all()
+        self._notifier.notify_all()
 
     def clear(self):
         """Drop the manifest and all chunks that were checked by it."""
@@ -113,7 +113,7 @@
                 while self.find_any(indices) is None and self.is_expecting(
                     indices
                 ):
-                    await self._changes.wait()
+                    await self._notifier.wait()
         except TimeoutError:
             return False
         return self.find_any(indices) is not None
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -101,10 +101,10 @@
         staging_lock: lock of whoever puts chunks beside the engine.
     """
 
-    def __init__(self, engine, cluster_view, door, clock, staging_lock):
+    def __init__(self, engine, cluster_view, admission, clock, staging_lock):
         self.engine = engine
         self.cluster_view = cluster_view
-        self.door = door
+        self.admission = admission
         self.clock = clock
         self.staging_lock = staging_lock
         self._ordered = None
@@ -132,7 +132,7 @@
         model, version = self._draining_for
         if report.versions.get(model, 0) >= version and not report.is_loading:
             self._draining_for = None
-            self.door.open()
+            self.admission.open()
             _log.info(
                 'Version {} of {} is loaded.',
                 version,
@@ -196,12 +196,12 @@
         if math.isinf(left_s):
             if self._draining_for is not None:
                 self._draining_for = None
-                self.door.open()
+                self.admission.open()
             return
         self._draining_for = key
         self._load_at = self.clock() + left_s
         closes_in_s = left_s + DRAIN_S
-        self.door.close(closes_in_s, closes_in_s + LOAD_S)
+        self.admission.close(closes_in_s, closes_in_s + LOAD_S)
 
     def _was_ordered(self, key):
         """Return whether the order was given and may still take effect."""
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -110,7 +110,7 @@
         raise errors.SourceBusyError('not there yet', peer=peer)
 
 
-class FakeDoor(places.BaseAdmission):
+class FakeAdmission(places.BaseAdmission):
     """Notes what it is told."""
 
     def __init__(self):
@@ -184,7 +184,7 @@
         self.listed = list(members)
         self._named = asyncio.Event()
 
-    def notify_all(self, version, due_s=8.0):
+    def announce_version(self, version, due_s=8.0):
         due_at = self.now() + due_s
         self.versions.append(_agent.TargetVersion(MODEL, version, due_at))
         self._named.set()
--- a/catkinshunt/spread/tests/swarm.py
+++ b/catkinshunt/spread/tests/swarm.py
@@ -359,7 +359,7 @@
             )
         return self._manifests[version]
 
-    def notify_all(self, version):
+    def announce_version(self, version):
         """Let all members that live fetch a version."""
         for instance in self.instances.values():
             if instance.alive:
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -29,7 +29,7 @@
             asyncio.get_running_loop().time,
             100.0,
             fakes.Counter(),
-            fakes.FakeDoor(),
+            fakes.FakeAdmission(),
         )
 
     @contextlib.asynccontextmanager
@@ -60,7 +60,7 @@
 
 def test_engine_without_version_is_loaded():
     async def main(sidecar):
-        sidecar.cluster_view.notify_all(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
@@ -75,15 +75,15 @@
     """
 
     async def main(sidecar):
-        door = sidecar.agent.door
-        await sidecar.until(lambda: door.expires_in_s is not None)
-        calm_s = door.expires_in_s
+        admission = sidecar.agent.admission
+        await sidecar.until(lambda: admission.expires_in_s is not None)
+        calm_s = admission.expires_in_s
         sidecar.origin.down = True
-        sidecar.cluster_view.notify_all(2, due_s=3.0)
-        await sidecar.until(lambda: door.expires_in_s != calm_s)
-        named_s = door.expires_in_s
+        sidecar.cluster_view.announce_version(2, due_s=3.0)
+        await sidecar.until(lambda: admission.expires_in_s != calm_s)
+        named_s = admission.expires_in_s
         sidecar.origin.down = False
-        await sidecar.until(lambda: door.expires_in_s == calm_s)
+        await sidecar.until(lambda: admission.expires_in_s == calm_s)
         return calm_s, named_s, sidecar.engine.version
 
     calm_s, named_s, version = run(main, engine=fakes.FakeEngine(1))
@@ -96,13 +96,15 @@
     """A request that waits behind them begins on a version too old."""
 
     async def main(sidecar):
-        door = sidecar.agent.door
+        admission = sidecar.agent.admission
         sidecar.origin.down = True
-        sidecar.cluster_view.notify_all(2, due_s=3.0)
-        await sidecar.until(lambda: door.expires_in_s not in (None, math.inf))
-        began = door.expires_in_s
-        await sidecar.until(lambda: door.expires_in_s < began)
-        return door.expires_in_s
+        sidecar.cluster_view.announce_version(2, due_s=3.0)
+        await sidecar.until(
+            lambda: admission.expires_in_s not in (None, math.inf)
+        )
+        began = admission.expires_in_s
+        await sidecar.until(lambda: admission.expires_in_s < began)
+        return admission.expires_in_s
 
     expires_in_s = run(main, engine=fakes.FakeEngine(1))
     assert expires_in_s <= 3.0 - _agent.LINK_QUEUE_S
@@ -124,7 +126,7 @@
                 sidecar.engine.put_chunk = original
 
         sidecar.engine.put_chunk = put
-        sidecar.cluster_view.notify_all(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
@@ -146,7 +148,7 @@
             2: b'rotten',
         }
         async with sidecar.running():
-            sidecar.cluster_view.notify_all(2)
+            sidecar.cluster_view.announce_version(2)
             await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar
 
@@ -157,7 +159,7 @@
 
 def test_restarted_engine_is_loaded_again():
     async def main(sidecar):
-        sidecar.cluster_view.notify_all(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         sidecar.engine.version = 0
         sidecar.agent._loader._ordered_at -= 10
@@ -186,9 +188,9 @@
 
         sidecar.engine.put_chunk = put
         sidecar.engine.lost_answers = 2
-        sidecar.cluster_view.notify_all(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.orders)
-        sidecar.cluster_view.notify_all(3)
+        sidecar.cluster_view.announce_version(3)
         await sidecar.until(lambda: sidecar.engine.version == 3)
         return staged, sidecar.engine
 
@@ -210,7 +212,7 @@
     )
 
     async def main(sidecar):
-        sidecar.cluster_view.notify_all(2, due_s=0.8)
+        sidecar.cluster_view.announce_version(2, due_s=0.8)
         chunk_store = sidecar.version_store.chunk_store(fakes.MODEL, 2)
         await sidecar.until(lambda: chunk_store.is_complete)
         early = list(sidecar.engine.orders)
@@ -237,8 +239,8 @@
     )
 
     async def main(sidecar):
-        sidecar.cluster_view.notify_all(2, due_s=0.2)
-        sidecar.cluster_view.notify_all(3, due_s=60.0)
+        sidecar.cluster_view.announce_version(2, due_s=0.2)
+        sidecar.cluster_view.announce_version(3, due_s=60.0)
         await sidecar.until(lambda: sidecar.engine.version == 3)
 
     run(main, engine=fakes.FakeEngine(version=1))
@@ -256,7 +258,7 @@
             return await original()
 
         sidecar.engine.report = report
-        sidecar.cluster_view.notify_all(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
 
     run(main)
@@ -311,10 +313,10 @@
         sidecar.origin.chunk = chunk
         sidecar.origin.manifest = manifest
         async with sidecar.running():
-            sidecar.cluster_view.notify_all(2, due_s=0.5)
+            sidecar.cluster_view.announce_version(2, due_s=0.5)
             older = sidecar.version_store.chunk_store(fakes.MODEL, 2)
             await sidecar.until(lambda: older.manifest is not None)
-            sidecar.cluster_view.notify_all(3, due_s=30.0)
+            sidecar.cluster_view.announce_version(3, due_s=30.0)
             await asyncio.sleep(0.1)
             held.set()
             await sidecar.until(lambda: sidecar.engine.version == 2)
@@ -337,7 +339,7 @@
             raise errors.StoreUnavailableError('down', step='read')
 
         sidecar.cluster_view.members = members
-        sidecar.cluster_view.notify_all(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: calls)
         for _ in range(20):
             sidecar.agent._wakeup.set()
--- a/catkinshunt/spread/tests/test_loader.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -24,13 +24,13 @@
     def __init__(self, version=1, wave=0, due_in_s=5.0):
         self.time = 50.0
         self.engine = fakes.FakeEngine(version)
-        self.door = fakes.FakeDoor()
+        self.admission = fakes.FakeAdmission()
         self.chunk_store = spread.ChunkStore(fakes.MODEL, 2)
         self.chunk_store.set_manifest(fakes.manifest(2))
         self.loader = _loader.Loader(
             self.engine,
             FixedClusterView(self.clock, self.time + due_in_s),
-            self.door,
+            self.admission,
             self.clock,
             asyncio.Lock(),
         )
@@ -54,7 +54,9 @@
 
     def closes_in_s(self):
         """Return when the door closes by the last word, or None."""
-        told = [one for one in self.door.calls if one[0] in ('close', 'open')]
+        told = [
+            one for one in self.admission.calls if one[0] in ('close', 'open')
+        ]
         return told[-1][1] if told and told[-1][0] == 'close' else None
 
 
@@ -81,7 +83,7 @@
         found.fill()
         await found.step()
         await found.step()
-        return found.engine.orders, found.door.calls[-1]
+        return found.engine.orders, found.admission.calls[-1]
 
     orders, told = asyncio.run(main())
     assert orders == [2]
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -42,7 +42,7 @@
             for number in numbers
         ]
 
-    async def notify_all(self, start_after_s, answering=False):
+    async def announce_version(self, start_after_s, answering=False):
         """Name a version; the members with a fault begin later.
 
         Args:
@@ -51,7 +51,7 @@
         """
         for instance in self.instances:
             instance.kill()
-        self.swarm.notify_all(2)
+        self.swarm.announce_version(2)
         for instance in self.instances if answering else ():
             instance.run_without_transfer()
         await asyncio.sleep(start_after_s)
@@ -78,7 +78,7 @@
 
     async def scenario():
         fault = Fault(scale, dead)
-        await fault.notify_all(start_after_s=down_s)
+        await fault.announce_version(start_after_s=down_s)
         await fault.swarm.wait(8 * scale.copy_s)
         return fault.swarm
 
@@ -123,7 +123,9 @@
 
     async def scenario():
         fault = Fault(GROWN, LATE_MEMBERS)
-        await fault.notify_all(start_after_s=GROWN.copy_s, answering=True)
+        await fault.announce_version(
+            start_after_s=GROWN.copy_s, answering=True
+        )
         await fault.swarm.wait(8 * GROWN.copy_s)
         return fault
 
@@ -143,7 +145,7 @@
     async def scenario():
         fault = Fault(THREE_DATA_CENTRES, (4, 14, 24))
         fault.narrow(0.25)
-        fault.swarm.notify_all(2)
+        fault.swarm.announce_version(2)
         await fault.swarm.wait(8 * THREE_DATA_CENTRES.copy_s)
         return fault
 
@@ -165,7 +167,7 @@
 
     async def scenario():
         fault = Fault(THREE_DATA_CENTRES, (14,))
-        fault.swarm.notify_all(2)
+        fault.swarm.announce_version(2)
         await asyncio.sleep(THREE_DATA_CENTRES.copy_s / 3)
         for instance in fault.instances:
             instance.frozen = True
@@ -186,7 +188,7 @@
 
     async def scenario():
         found = swarm.Swarm(FIVE_DATA_CENTRES)
-        found.notify_all(2)
+        found.announce_version(2)
         await asyncio.sleep(2.5)
         found.origin_down = True
         await asyncio.sleep(6.0)
@@ -220,7 +222,7 @@
         found.unlisted = {
             name: rng.sample(names, unlisted_count) for name in names
         }
-        found.notify_all(2)
+        found.announce_version(2)
         await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
         return found
 
