--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -245,9 +245,9 @@
         'dead-sources-are-asked-after-a-pause',
         'catkinshunt/spread/_fetcher.py',
         """if self._health.is_excluded(source):
-            # Where""",
+            # Without""",
         """if False:
-            # Where""",
+            # Without""",
     ),
     Mutation(
         'reader-without-proof-is-left',
--- a/catkinshunt/spread/__init__.py
+++ b/catkinshunt/spread/__init__.py
@@ -1,4 +1,4 @@
-"""Weights from instance to instance, on the event loop of a sidecar."""
+"""Distribution of weights between sidecars, on one event loop."""
 
 from catkinshunt.spread._agent import Agent
 from catkinshunt.spread._agent import TargetVersion
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -1,4 +1,4 @@
-"""Brings the engine of one sidecar to the version that is wanted."""
+"""Reconciles the engine of one sidecar with its target version."""
 
 import asyncio
 import math
@@ -15,22 +15,21 @@
 from catkinshunt.spread import _staging
 from catkinshunt.spread import base
 
-#: Pause between looks at the engine, in seconds, and while it is being
-#: emptied or loads: it stands idle until its end is seen.
+#: Polling interval of the engine, and while it drains or loads: the engine
+#: stays idle until the end of the load is detected.
 POLL_S = 0.25
 LOADING_POLL_S = 0.05
-#: Pause after a transfer that failed, in seconds. Without it one that cannot
-#: begin, since the list of members cannot be read, is tried 20 times a second
-#: by all members, for as long as the store is away.
+#: Pause after a failed transfer. Without it, all members retry a transfer
+#: that cannot start 20 times a second during an outage of the store.
 RETRY_S = 0.4
-#: Seconds for which the manifest of a newer version is asked for before the
-#: other one goes on without it, to be asked again at the next look.
+#: Time limit of one probe for the manifest of a newer version. The transfer
+#: in progress continues, and the next poll starts another probe.
 MANIFEST_TIMEOUT_S = 2.0
-#: Time of one copy over the time that the link alone would need: heads,
-#: checks and other traffic share it.
+#: Transfer time of a copy relative to that at full link speed: headers,
+#: verification and other traffic add to it.
 COPY_OVERHEAD = 1.2
-#: Seconds for which a request may wait on its way here behind the chunks of a
-#: transfer. It would begin on a version that is too old by then.
+#: Time for which a request may be queued on the link behind chunks. Without
+#: this margin it would start on an expired version.
 LINK_QUEUE_S = 0.5
 
 _log = logs.get_logger('agent')
@@ -41,7 +40,7 @@
     """A version that the engine should serve.
 
     Attributes:
-        due_at: when requests need it, on the clock of the catalog.
+        due_at: time at which requests need it, on the catalog's clock.
     """
 
     model: str
@@ -50,19 +49,19 @@
 
 
 class Agent:
-    """Fetches wanted versions, gives them to peers, and orders loads.
+    """Fetches target versions, serves them to peers and orders loads.
 
     Args:
         local_member: `Member` of this sidecar.
-        outlook: `BaseClusterView` on the operator's wishes and the members.
+        cluster_view: `BaseClusterView`.
         engine: `base.BaseEngine`.
         origin: `base.BaseOrigin`.
         peers: `PeerClient`.
-        shelf: `VersionStore`.
-        clock: gives seconds on the steady clock.
+        version_store: `VersionStore`.
+        clock: returns seconds on the steady clock.
         link_mbps: speed of the instance's link.
-        counter: counts bytes by source.
-        door: `places.BaseAdmission` that lets requests in to the engine.
+        byte_counter: counts bytes by source.
+        admission: `places.BaseAdmission` of the engine.
     """
 
     def __init__(
@@ -91,24 +90,24 @@
             engine, cluster_view, admission, clock, self._staging_lock
         )
         self._outage = logs.Outage(
-            _log, 'The engine is lost: {}.', 'The engine is back.'
+            _log, 'Engine unreachable: {}.', 'Engine reachable again.'
         )
 
     async def run(self):
-        """Keep the engine at the wanted version until cancelled."""
+        """Keep the engine at its target version until cancelled."""
         while True:
             try:
                 await self._reconcile()
             except errors.CatkinshuntError as exc:
                 self._outage.begin(exc)
             except Exception:
-                # An unforeseen error must not end the care for the engine;
-                # it would keep an old version until requests are refused.
-                _log.exception('Could not look after the engine.')
+                # If the loop ended, the engine would keep an old version
+                # until its requests are rejected.
+                _log.exception('Unexpected error in the agent loop.')
             await self._pause()
 
     async def _pause(self):
-        """Wait until the next look, a new version, or a whole one."""
+        """Wait for the next poll, a new version or a completed transfer."""
         announced = asyncio.ensure_future(self.cluster_view.wait_for_version())
         wakeup = asyncio.ensure_future(self._wakeup.wait())
         try:
@@ -125,9 +124,9 @@
             self._wakeup.clear()
 
     def on_chunk_request(self, model, version):
-        """Learn of a version from a peer that asks for it.
+        """Record the version that a peer requested, and offer it if served.
 
-        A sidecar that is cut off from the store hears of new versions so.
+        A sidecar without access to the store learns of new versions this way.
         """
         self.cluster_view.note_version(model, version)
         chunk_store = self.version_store.find(model, version)
@@ -151,7 +150,7 @@
         await self._advance(report, target)
 
     def _update_expiry(self, report):
-        """Let no request begin once the engine's version is too old."""
+        """Set the time after which no request may start on this version."""
         times = [
             self.cluster_view.expires_at(model, version)
             for model, version in report.versions.items()
@@ -162,7 +161,7 @@
         self.admission.set_expiry(expires_in_s)
 
     async def _advance(self, report, target):
-        """Bring the engine to the next version that it can have."""
+        """Advance the engine to the newest version available."""
         ready = self._newest_complete(report, target)
         newest = self._chunk_store_of(target)
         if ready is None and self._transfer_target is not None:
@@ -178,13 +177,13 @@
         )
 
     def _complete_in_s(self, chunk_store):
-        """Return in how many seconds a version is likely to be whole."""
+        """Return the estimated seconds until a version is complete."""
         if chunk_store.manifest is None:
             return math.inf
         if chunk_store.is_complete:
             return 0.0
-        # Engines are emptied by this time. One source with a narrow link can
-        # hold up the last chunks for seconds, and nobody serves meanwhile.
+        # Engines drain ahead of this time. A source with a narrow link can
+        # delay the last chunks by seconds, in which a drained engine is idle.
         progress = self._progress.setdefault(
             (chunk_store.model, chunk_store.version), _progress.Progress()
         )
@@ -196,10 +195,10 @@
         )
 
     def _newest_complete(self, report, target):
-        """Return the newest whole `ChunkStore` that the engine lacks, or None.
+        """Return the newest complete `ChunkStore` above the served version.
 
-        A version that was named before the wanted one counts too: requests
-        may need it before the wanted one has come.
+        Versions before the target count too: requests may need them before
+        the target is complete. None if there is none.
         """
         served = report.versions.get(target.model, 0)
         complete = [
@@ -216,7 +215,7 @@
         return self._transfer is not None and not self._transfer.done()
 
     def _start_transfer(self, target):
-        """Begin a transfer unless another one goes first."""
+        """Start a transfer unless another one has precedence."""
         if self._is_transferring():
             if self._transfer_target.version == target.version:
                 return
@@ -240,12 +239,11 @@
         self._transfer = asyncio.ensure_future(self._run_transfer(target))
 
     def _is_available(self, newer):
-        """Return whether a source gives the newer version.
+        """Return whether the manifest of the newer version is here.
 
-        The origin may be away. Dropped for a version that cannot be had, the
-        older one is missing too when it is due, and nobody serves until the
-        origin is back and the newer one has come: eight seconds instead of
-        three.
+        Otherwise probes for it. If the older transfer were dropped while the
+        origin is unreachable, neither version would be complete when due, and
+        the gap without a serving engine would last 8 s instead of 3 s.
         """
         if self._chunk_store_of(newer).manifest is not None:
             return True
@@ -256,7 +254,7 @@
         return False
 
     async def _probe_manifest(self, newer):
-        """Fetch the manifest of a version while another is on its way."""
+        """Fetch the manifest of a version during another transfer."""
         try:
             plan = await self._make_plan(newer.model, newer.version)
             fetcher = self._make_fetcher(self._chunk_store_of(newer), plan)
@@ -265,11 +263,11 @@
             self._wakeup.set()
         except (errors.CatkinshuntError, TimeoutError) as exc:
             _log.warning(
-                'Version {} cannot be had yet: {!r}.', newer.version, exc
+                'Version {} is not available yet: {!r}.', newer.version, exc
             )
 
     def _prune_progress(self):
-        """Drop the progress of versions that are not kept any more."""
+        """Drop the progress of evicted versions."""
         kept = {
             (chunk_store.model, chunk_store.version)
             for chunk_store in self.version_store.of_model(
@@ -320,13 +318,13 @@
         self._retry_at = self.clock() + RETRY_S
 
     async def _fetch_version(self, target, chunk_store):
-        """Fetch a version until it is whole."""
+        """Fetch a version completely."""
         began = self.clock()
         plan = await self._make_plan(target.model, target.version)
         fetcher = self._make_fetcher(chunk_store, plan)
         await fetcher.fetch_manifest()
         self._loader.set_wave(target.version, plan.wave(_loader.WAVES))
-        # After a restart most chunks may lie beside the engine already.
+        # After a restart most chunks may be staged already.
         restored = await _staging.restore_staged(chunk_store, self.engine)
         await fetcher.run()
         self._wakeup.set()
@@ -368,10 +366,10 @@
             self.cluster_view.origin_copy_s,
         )
 
-    # Giving to peers what the engine has.
+    # Serving the version that the engine has loaded.
 
     async def _offer_staged(self, model, version):
-        """Put what is staged beside the engine within reach of peers."""
+        """Serve the staged chunks of the loaded version to peers."""
         try:
             report = await self.engine.report()
             if report.versions.get(model) != version:
@@ -382,9 +380,12 @@
             restored = await _staging.restore_staged(chunk_store, self.engine)
             self.version_store.add(chunk_store)
             _log.info(
-                'Gives version {} of {}.', version, model, chunks=restored
+                'Serves version {} of {} to peers.',
+                version,
+                model,
+                chunks=restored,
             )
         except errors.CatkinshuntError as exc:
-            _log.warning('Cannot give version {}: {}.', version, exc)
+            _log.warning('Cannot serve version {} to peers: {}.', version, exc)
         finally:
             self._offering.discard((model, version))
--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -1,4 +1,4 @@
-"""Gives chunks to other sidecars, over HTTP."""
+"""Serves chunks to other sidecars over HTTP."""
 
 import asyncio
 import heapq
@@ -8,48 +8,48 @@
 from catkinshunt.spread import _wait_graph
 from catkinshunt.spread import base
 
-#: Seconds for which a request for a chunk may wait until the chunk is here.
+#: Longest wait of a request until one of its chunks arrives.
 MAX_WAIT_S = 1.0
-#: Bytes that are written at once. An event of a stream on the same link waits
-#: for as long as they take.
+#: Size of one write. Events of streams on the same link are delayed by the
+#: time that one write takes.
 SLICE_BYTES = 4096
-#: Pause between looks whether a version has become known, in seconds.
+#: Polling interval while a request waits for its version to be started.
 POLL_S = 0.05
-#: Share of the link that chunks may take; the rest is for live answers. Many
-#: senders share the way into a receiver, and near its full speed requests and
-#: events wait there for several chunks.
+#: Share of the link for chunks; the rest is for live responses. Several
+#: senders share a receiver's link, and near its full speed requests and events
+#: are queued behind several chunks.
 LINK_SHARE = 0.9
-#: Bytes of heads and packets beside a slice.
+#: Bytes on the link, with headers, by bytes of a slice.
 PROTOCOL_OVERHEAD = 1.04
-#: Header that names the chunk in a reply.
+#: Reply header: index of the chunk.
 INDEX_HEADER = 'Chunk-Index'
-#: Header of a request by one who passes the chunk on to others.
+#: Request header: the requester forwards the chunk to other members.
 RELAY_HEADER = 'Chunk-Relay'
-#: Header of a request that is not to wait until one of the chunks is here.
+#: Request header: reply at once, and with a chunk only if idle.
 IDLE_ONLY_HEADER = 'Chunk-Spare'
-#: Header of a reply: share of the version that is here, in thousandths.
+#: Reply header: share of the version that is present, in thousandths.
 SHARE_HEADER = 'Chunk-Share'
-#: Header of a request: the member that asks.
+#: Request header: name of the requesting member.
 REQUESTER_HEADER = 'Chunk-Asker'
-#: Header of a reply without a chunk: whom its sender waits for.
+#: Header of a reply without a chunk: wait chains of its sender.
 WAIT_CHAINS_HEADER = 'Chunk-Chains'
-#: Header of a reply by one that will not have what is missing soon.
+#: Header of a reply without a chunk: it will not be available soon.
 UNAVAILABLE_HEADER = 'Chunk-Unable'
-#: Seconds for which a request waits until its version is fetched here. Whoever
-#: is asked for a new version hears of it by that, and begins at once; one that
-#: has to end an older transfer first says so, instead of being waited for.
+#: Longest wait of a request until the transfer of its version starts. The
+#: request itself reveals a new version; a member that finishes an older
+#: transfer first replies "unavailable" instead of keeping requests waiting.
 START_WAIT_S = 0.3
-#: Chunks that one request may name.
+#: Limit of chunk indices in one request.
 MAX_INDICES = 64
 
 _log = logs.get_logger('chunks')
 
 
 class Pacer:
-    """Spreads writes over time so that they take a share of the link.
+    """Limits the rate of writes.
 
     Args:
-        bytes_per_s: bytes a second that are allowed.
+        bytes_per_s: rate limit in bytes per second.
 
     Examples:
         >>> pacer = Pacer(bytes_per_s=1000.0)
@@ -62,14 +62,14 @@
         self._free_at = 0.0
 
     def delay_s(self, size, now):
-        """Return the seconds to wait before `size` bytes are written."""
+        """Reserve `size` bytes; return the seconds to wait before writing."""
         begin = max(now, self._free_at)
         self._free_at = begin + size / self.bytes_per_s
         return begin - now
 
 
 class PriorityLock:
-    """Lets one at a time go on, those of a lower rank first."""
+    """A lock for tasks that is granted to lower priority values first."""
 
     def __init__(self):
         self._busy = False
@@ -78,11 +78,11 @@
 
     @property
     def is_free(self):
-        """Whether nobody has the turn."""
+        """Whether no task holds the lock."""
         return not self._busy
 
     async def acquire(self, priority):
-        """Wait for the turn; `release` gives it to the next."""
+        """Acquire the lock, in order of arrival within one priority."""
         if not self._busy:
             self._busy = True
             return
@@ -97,7 +97,7 @@
             raise
 
     def release(self):
-        """Give the turn to the next who still waits."""
+        """Release the lock and grant it to the next waiting task."""
         while self._waiting:
             _, _, fut = heapq.heappop(self._waiting)
             if not fut.done():
@@ -107,13 +107,13 @@
 
 
 class ChunkServer:
-    """Gives chunks to other sidecars, one after the other.
+    """Serves chunks to other sidecars, one chunk at a time.
 
     Args:
-        shelf: `VersionStore` with what is here.
-        clock: gives seconds on the steady clock.
+        version_store: `VersionStore`.
+        clock: returns seconds on the steady clock.
         link_mbps: speed of the instance's link.
-        counter: counts bytes given.
+        byte_counter: counts the bytes sent.
         on_request: called with the model and version of each request.
     """
 
@@ -131,13 +131,13 @@
         self._listener = http1.Listener(self._session, clock)
 
     async def start(self, host, port):
-        """Listen on an address; returns self."""
+        """Listen on an address; return self."""
         await self._listener.start(host, port)
         return self
 
     @property
     def port(self):
-        """The port that is listened on."""
+        """The port of the listening socket."""
         return self._listener.port
 
     async def _session(self, conn):
@@ -152,7 +152,7 @@
         path = req.path
         found = _parse_path(path)
         if found is None:
-            _log.warning('Left aside a request for {}.', path[:100])
+            _log.warning('Rejected request for unknown path {}.', path[:100])
             conn.write(http1.dump_reply(404, []))
             return
         model, version, indices = found
@@ -175,15 +175,14 @@
                 )
             )
             return
-        # Chunks go out one after the other: the one that is sent is whole
-        # soon and can be passed on, where ten at once would all be late.
-        # Those who pass it on to others go first, so that all links are soon
-        # busy.
+        # One chunk at a time: its receiver can forward it early, while ten
+        # concurrent ones would all finish late. Members that forward the chunk
+        # have priority, so that all links are in use soon.
         await self._send_lock.acquire(
             0 if req.headers.get(RELAY_HEADER) else 1
         )
         try:
-            # A newer version may have taken its place meanwhile.
+            # The version may have been evicted while the task waited.
             data = chunk_store.find_any(indices)
             if data is None:
                 conn.write(
@@ -208,7 +207,7 @@
             )
 
     async def _wait_for(self, model, version, indices):
-        """Return the `ChunkStore` once one of the chunks is here, or None."""
+        """Wait for one of the chunks; return the `ChunkStore` or None."""
         end_at = self.clock() + MAX_WAIT_S
         begin_at = self.clock() + START_WAIT_S
         chunk_store = self.version_store.find(model, version)
@@ -239,7 +238,7 @@
 
 
 def _unavailable_headers(chunk_store, indices):
-    """Return the headers of a reply without a chunk."""
+    """Return the headers of a 503 reply."""
     if chunk_store is not None and (
         chunk_store.is_expecting(indices) or chunk_store.is_complete
     ):
@@ -253,7 +252,7 @@
 
 
 def _can_serve_soon(chunk_store, indices):
-    """Return whether a holding has or gets one of the chunks."""
+    """Return whether one of the chunks is present or expected."""
     if chunk_store is None:
         return False
     return (
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -1,4 +1,4 @@
-"""The chunks of one version that a sidecar has in memory."""
+"""Chunks that a sidecar has in memory, by version."""
 
 import asyncio
 import collections
@@ -17,9 +17,10 @@
     Attributes:
         manifest: `weights.Manifest` of the version.
         chunks: bytes by index.
-        filled: a transfer fills it now.
-        is_upload_disabled: the own link is too narrow to give chunks.
-        waits: who waits for whom.
+        is_filling: a transfer is in progress.
+        is_upload_disabled: chunks are not served, since this instance's link
+            is too narrow.
+        wait_graph: which members wait for each other.
     """
 
     model: str
@@ -38,7 +39,7 @@
 
     @property
     def missing(self):
-        """Indices of the chunks that are not here, in order."""
+        """Sorted indices of the missing chunks; None without a manifest."""
         if self.manifest is None:
             return None
         all_indices = range(len(self.manifest.chunks))
@@ -46,67 +47,66 @@
 
     @property
     def is_complete(self):
-        """Whether all chunks are here."""
+        """Whether all chunks are present and verified."""
         return self.manifest is not None and not self.missing
 
     @property
     def missing_share(self):
-        """Share of the chunks that is missing, from 0 to 1."""
+        """Fraction of the chunks that is missing, from 0 to 1."""
         if self.manifest is None:
             return 1.0
         return len(self.missing) / len(self.manifest.chunks)
 
     def put(self, index, data):
-        """Add a chunk after checking it.
+        """Verify a chunk and add it.
 
         Raises:
-            errors.CorruptChunkError: it is not the chunk of the manifest.
+            errors.CorruptChunkError: its digest differs from the manifest.
         """
         self.chunks[index] = self.manifest.check(index, data)
         self._notifier.notify_all()
 
     def set_manifest(self, manifest):
-        """Take over the manifest."""
         self.manifest = manifest
         self._notifier.notify_all()
 
     def is_expecting(self, indices):
-        """Return whether one of these comes here soon, to be passed on.
+        """Return whether one of these chunks is about to be available.
 
-        The manifest comes before the transfer begins: a newer version takes
-        the place of the one before only when its manifest is here.
+        The manifest is always expected: a transfer of a newer version starts
+        only once its manifest is present.
         """
         if MANIFEST_INDEX in indices:
             return True
         return self.is_filling and not self.is_upload_disabled
 
     def begin_transfer(self):
-        """Note that a transfer fills it from now on."""
+        """Mark the start of a transfer."""
         self.is_filling = True
 
     def end_transfer(self):
-        """Note that no transfer fills it any more."""
+        """Mark the end of a transfer and wake waiting requests."""
         self.is_filling = False
         self._notifier.notify_all()
 
     def disable_upload(self):
-        """Let others take all chunks elsewhere from now on."""
+        """Stop serving chunks; peers fetch them from other members."""
         self.is_upload_disabled = True
         self._notifier.notify_all()
 
     def clear(self):
-        """Drop the manifest and all chunks that were checked by it."""
+        """Drop the manifest and all chunks that were verified with it."""
         self.manifest = None
         self.chunks.clear()
 
     async def wait_for_any(self, indices, wait_s):
-        """Wait until one of these is here; return whether one is.
+        """Wait until one of these is available; return whether one is.
 
-        It does not wait where none is on its way.
+        Returns at once if none is expected.
 
         Args:
             indices: indices of chunks, or `MANIFEST_INDEX` alone.
-            wait_s: longest wait in seconds.
+            wait_s: timeout in seconds.
         """
         try:
             async with asyncio.timeout(wait_s):
@@ -119,10 +119,10 @@
         return self.find_any(indices) is not None
 
     def find_any(self, indices):
-        """Return (index, bytes) of one that can be given, or None.
+        """Return (index, bytes) of an available one, or None.
 
-        One that was given least often: members that get various chunks can
-        pass them on to each other.
+        Prefers the least served chunk: members that receive different chunks
+        can exchange them.
         """
         if self.is_upload_disabled:
             return None
@@ -135,7 +135,6 @@
         return index, self._find(index)
 
     def count_served(self, index):
-        """Note that a chunk was given to a member."""
         self._served_counts[index] += 1
 
     def _find(self, index):
@@ -144,15 +143,15 @@
         return self.chunks.get(index)
 
 
-#: Stands for the manifest where a chunk's index is asked for.
+#: Pseudo index that requests the manifest.
 MANIFEST_INDEX = -1
 
 
 class VersionStore:
-    """The versions that a sidecar has or is fetching; the last two stay.
+    """The `ChunkStore` objects of a sidecar; evicts old versions.
 
     Args:
-        kept: versions of a model that are kept.
+        max_versions: versions kept by model.
     """
 
     def __init__(self, max_versions=2):
@@ -160,7 +159,7 @@
         self._chunk_stores = {}
 
     def chunk_store(self, model, version):
-        """Return the `ChunkStore`, a new one at first."""
+        """Return the `ChunkStore` of a version, created if there is none."""
         key = (model, version)
         if key not in self._chunk_stores:
             self._chunk_stores[key] = ChunkStore(model, version)
@@ -168,24 +167,24 @@
         return self._chunk_stores[key]
 
     def add(self, chunk_store):
-        """Keep `chunk_store` unless its version is here already."""
+        """Add `chunk_store` unless its version is present."""
         self._chunk_stores.setdefault(
             (chunk_store.model, chunk_store.version), chunk_store
         )
         self._evict_old(chunk_store.model)
 
     def of_model(self, model):
-        """Return the holdings of a model."""
+        """Return the `ChunkStore` objects of a model."""
         return [
             h for (name, _), h in self._chunk_stores.items() if name == model
         ]
 
     def find(self, model, version):
-        """Return the `ChunkStore`, or None."""
+        """Return the `ChunkStore` of a version, or None."""
         return self._chunk_stores.get((model, version))
 
     def newest_complete(self):
-        """Return the newest whole version by label values of its model."""
+        """Return the newest complete version by tuple of metric labels."""
         found = {}
         for (model, version), chunk_store in self._chunk_stores.items():
             if chunk_store.is_complete:
@@ -193,7 +192,7 @@
         return found
 
     def missing(self):
-        """Return the chunks that are missing by (model, version)."""
+        """Return the number of missing chunks by (model, version)."""
         return {
             key: len(chunk_store.missing)
             for key, chunk_store in self._chunk_stores.items()
@@ -207,14 +206,14 @@
 
 
 def check_manifest(manifest, model, version):
-    """Return `manifest` if it describes this version.
+    """Return `manifest` if it belongs to this version.
 
     Raises:
-        errors.ManifestError: it describes another one.
+        errors.ManifestError: it belongs to another version.
     """
     if manifest.model != model or manifest.version != str(version):
         raise errors.ManifestError(
-            f'manifest of {manifest.model} {manifest.version}',
+            f'is of {manifest.model} version {manifest.version}',
             step='read manifest',
         )
     return manifest
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -12,37 +12,36 @@
 from catkinshunt.spread import _source_health
 from catkinshunt.spread import _source_speeds
 
-#: Times that a source without the chunk is asked, each for a second, before
-#: its chunks are taken from the next member.
+#: Consecutive requests without a chunk, the last of them failed, after which
+#: the queue of a source fails over to the next sources.
 MAX_UNSUCCESSFUL = 2
-#: Times that a chunk is asked for in vain before a member turns to the origin
-#: for it: at least, and for each second in which the origin can give one copy;
-#: both for each member that stands before it. Owners that share a slow origin
-#: have nothing for a while; asked twice only, all would turn to the origin at
-#: once.
+#: Failed attempts for a chunk, by member that precedes the origin, before it
+#: is fetched from the origin: a minimum, and more by second that the origin
+#: needs for one copy. Owners that share a slow origin have no chunks for a
+#: while; after two attempts only, all members would use the origin at once.
 MIN_FAILED_ATTEMPTS = 2
 FAILED_ATTEMPTS_PER_S = 1.0
-#: Chunks that must wait at a busy source before an idle one is asked for the
-#: last of them; the busy one is about to give the first.
+#: Least length of a queue from which an idle source steals; the busy source
+#: is about to send the first chunk.
 MIN_STEALABLE = 2
-#: Pause after an idle source had none of them, in seconds.
+#: Pause after a stealing attempt without a chunk.
 STEAL_PAUSE_S = 0.5
-#: Pause after all sources of a chunk failed, in seconds.
+#: Pause before the queue of a failed source is reassigned.
 RETRY_S = 0.2
-#: Seconds between two log lines on what a transfer waits for.
+#: Interval of log lines on a transfer in progress.
 REPORT_INTERVAL_S = 1.0
-#: Chunks in a row that differ from the manifest before it is taken as
-#: damaged; sources that send one bad chunk in ten never reach it.
+#: Consecutive corrupt chunks after which the manifest itself is taken to be
+#: damaged. Sources that corrupt one chunk in ten do not reach this limit.
 MAX_CORRUPT_IN_ROW = 8
 
 _log = logs.get_logger('transfer')
 
 
 class _Outcome(enum.Enum):
-    """What came of asking a source."""
+    """Result of one request to a source."""
 
-    RECEIVED = 'given'
-    UNAVAILABLE = 'not there yet'
+    RECEIVED = 'received'
+    UNAVAILABLE = 'unavailable'
     FAILED = 'failed'
 
 
@@ -50,16 +49,16 @@
     """Fills one `ChunkStore` from the sources of a `SourcePlan`.
 
     Args:
-        holding: what is filled.
+        chunk_store: `ChunkStore` to fill.
         plan: `SourcePlan`.
         peers: `PeerClient`.
         origin: `base.BaseOrigin`.
-        clock: gives seconds on the steady clock.
-        keep: coroutine function of (index, data) that stages a chunk.
-        counter: counts bytes by source.
-        copy_s: function of the bytes of a copy that returns the seconds
-            which it takes.
-        origin_copy_s: the same for the origin.
+        clock: returns seconds on the steady clock.
+        stage_chunk: coroutine function of (index, data).
+        byte_counter: counts bytes by source.
+        copy_s: function of a size in bytes; returns the seconds in which a
+            copy crosses the own link.
+        origin_copy_s: the same for the link of the origin.
     """
 
     def __init__(
@@ -88,11 +87,11 @@
         self._group = None
 
     async def run(self):
-        """Fetch what is missing; returns when all of it is here.
+        """Fetch all missing chunks.
 
         Raises:
-            errors.ManifestError: no chunk fits the manifest any more; it
-                was dropped with what it had let in.
+            errors.ManifestError: the manifest seems damaged; it was dropped
+                with all chunks verified with it.
         """
         self._apply_manifest(self.chunk_store.manifest)
         reports = asyncio.ensure_future(self._report())
@@ -104,10 +103,10 @@
             reports.cancel()
 
     async def _report(self):
-        """Write now and then which sources the transfer waits for.
+        """Log periodically which sources the transfer waits for.
 
-        A version that comes late is otherwise told by its end alone, and one
-        that never comes by nothing.
+        Otherwise a late version would only be logged at its end, and one that
+        never completes not at all.
         """
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
@@ -124,7 +123,7 @@
             )
 
     def _apply_manifest(self, manifest):
-        """Take over what the manifest says of the size of a copy."""
+        """Set the limits that depend on the size of a copy."""
         size = manifest.size_bytes
         self.plan.set_chunk_count(len(manifest.chunks))
         self._speeds.start(self.copy_s(size))
@@ -132,7 +131,7 @@
         self._max_attempts = MIN_FAILED_ATTEMPTS + round(attempts)
 
     def _assign(self, index):
-        """Give a chunk to the worker of its best source."""
+        """Append a chunk to the queue of its best source."""
         tried = self._tried.setdefault(index, set())
         usable = self._health.usable(self._sources_of(index))
         if _plan.ORIGIN in usable and not self._may_use_origin(index, usable):
@@ -141,9 +140,9 @@
         if index in self._in_wait_cycle:
             source = _plan.ORIGIN
         if source is None:
-            # Begin again with the best one. While the origin is down all
-            # wait for the owners; if each turned to the origin instead, it
-            # would send a copy to each when it is back.
+            # Restart with the best source. During an outage of the origin all
+            # members wait for the owners; otherwise the origin would have to
+            # send a copy to each of them afterwards.
             tried.clear()
             source = (usable or self._sources_of(index))[0]
         self.chunk_store.wait_graph.set_source(index, source)
@@ -154,7 +153,7 @@
             self._group.create_task(self._run_worker(source))
 
     def _sources_of(self, index):
-        """Return the sources of a chunk among those that can be reached."""
+        """Return the sources of a chunk without excluded members."""
         excluded = self._health.excluded_members()
         if self.chunk_store.is_upload_disabled:
             excluded.add(self.plan.local_member.name)
@@ -162,12 +161,12 @@
         return self.plan.sources(index)
 
     def _may_use_origin(self, index, usable):
-        """Return whether this member takes a chunk from the origin itself.
+        """Return whether this member may fetch a chunk from the origin.
 
-        At once where nobody is left who stands before it. Else the later, the
-        more members there are to ask: were all to turn to the origin when the
-        owner of a chunk dies, its link would carry the chunk for each of
-        them, and the whole transfer would wait for it.
+        The number of failed attempts required grows with the number of usable
+        members and is zero without one. If all members used the origin when
+        the owner of a chunk dies, its link would carry the chunk once for each
+        of them, and the whole transfer would be delayed.
         """
         if index in self._in_wait_cycle:
             return True
@@ -175,7 +174,7 @@
         return self._failed_attempts[index] >= members * self._max_attempts
 
     async def _run_worker(self, source):
-        """Ask one source for its chunks until none is left to it."""
+        """Fetch the queue of one source, then steal from longer queues."""
         queue = self._queues[source]
         try:
             await self._process_queue(source, queue)
@@ -185,8 +184,8 @@
                 await self._process_queue(source, queue)
         finally:
             self._active_sources.discard(source)
-            # The origin takes few connections; one that lies idle here
-            # would be missing elsewhere.
+            # The origin accepts few connections; idle ones would block other
+            # members.
             if source == _plan.ORIGIN:
                 self.origin.release()
 
@@ -215,36 +214,37 @@
                 self._reassign_unavailable(source, queue)
 
     def _queue_lengths(self):
-        """Return how many chunks are left to each source."""
+        """Return the number of queued chunks by source."""
         return {source: len(queue) for source, queue in self._queues.items()}
 
     def _may_steal(self, source):
-        """Return whether an idle source may give what busy ones are to give.
+        """Return whether an idle source may steal from the queues of others.
 
-        Only nearby: the way between data centres is for what enters them.
+        Only within the data centre: the link between data centres carries
+        each chunk once.
         """
         if source == _plan.ORIGIN or self.plan.is_remote(source):
             return False
         if self.chunk_store.is_upload_disabled:
-            # The own link is what all wait for.
+            # The own link is the bottleneck.
             return False
         return not self._health.is_excluded(source) and bool(
             self._longest_queue(source)
         )
 
     def _longest_queue(self, idle):
-        """Return the longest list of chunks that waits at another source."""
-        lists = [
+        """Return the longest queue of another source, [] if too short."""
+        queues = [
             queue for source, queue in self._queues.items() if source != idle
         ]
-        longest = max(lists, key=len, default=[])
+        longest = max(queues, key=len, default=[])
         return longest if len(longest) >= MIN_STEALABLE else []
 
     async def _steal_chunk(self, source):
-        """Ask an idle source for the last chunks that wait at a busy one.
+        """Request chunks from the end of the longest queue.
 
-        A member that stands in for others, or whose link is narrow, has more
-        to give than the rest. What it has given to some is there elsewhere.
+        A failover owner, or a member with a narrow link, is slower than the
+        rest, while other members may already have some of its chunks.
         """
         indices = self._longest_queue(source)[:0:-1]
         chunk_store = self.chunk_store
@@ -266,28 +266,29 @@
         await self.stage_chunk(received, data)
 
     async def _fail_over(self, source, queue, kept=0):
-        """Give chunks of a source that fails or lags to their next sources.
+        """Reassign the queue of a failed or slow source.
 
         Args:
-            source: the source.
-            asked: what is left to it; shortened to `kept` chunks.
-            kept: chunks that stay with it.
+            source: name of the source.
+            queue: its queue; shortened to `kept` chunks.
+            kept: number of chunks that stay with it.
         """
         indices, queue[:] = queue[kept:], queue[:kept]
         if self._health.is_excluded(source):
-            # Where no source is left, a dead one is not asked in a tight loop.
+            # Without a pause, a dead source that is the only one left would be
+            # retried in a tight loop.
             await asyncio.sleep(RETRY_S)
         for index in indices:
             self._tried[index].add(source)
             self._assign(index)
 
     def _reassign_unavailable(self, source, queue):
-        """Give chunks that a fallback lacks to their next sources.
+        """Reassign the chunks that a fallback source does not have.
 
-        A member nearby waits for this one itself. The best source is the
-        first to have a chunk, so its own stay with it: while the origin is
-        away, members would otherwise ask each other for what nobody has, and
-        ask the wrong ones when it is back.
+        Fallbacks in the same data centre often wait for this member. Chunks
+        stay in the queue of their best source, which receives them first:
+        during an outage of the origin, members would otherwise request chunks
+        that no member has from each other, and still do so after it.
         """
         for index in list(queue):
             sources = self._sources_of(index)
@@ -299,10 +300,10 @@
                 self._assign(index)
 
     def _break_wait_cycles(self, source, queue):
-        """Take from the origin what members wait for from each other.
+        """Assign chunks in a wait cycle to the origin.
 
-        One of them does so, the others go on waiting. Returns whether there
-        was such a chunk.
+        Only the member with the lowest name does so; the others keep waiting.
+        Returns whether there was such a chunk.
         """
         if source == _plan.ORIGIN:
             return False
@@ -322,8 +323,8 @@
             self._assign(index)
         if in_cycle:
             _log.info(
-                'Takes {} chunks of version {} from the origin; {} waits '
-                'for this member too.',
+                'Fetches {} chunks of version {} from the origin to break a '
+                'wait cycle with {}.',
                 len(in_cycle),
                 self.chunk_store.version,
                 source,
@@ -331,48 +332,48 @@
         return bool(in_cycle)
 
     def _check_own_link(self):
-        """Give nothing of this version where far less comes here."""
+        """Stop serving this version if the own link is too narrow."""
         chunk_store = self.chunk_store
         if chunk_store.is_upload_disabled:
             return
         share = 1 - chunk_store.missing_share
-        told = [
+        reported = [
             self.peers.reported_share(
                 source, chunk_store.model, chunk_store.version
             )
             for source in self._queues
             if source != _plan.ORIGIN
         ]
-        shares = [share for share in told if share is not None]
+        shares = [share for share in reported if share is not None]
         if self._speeds.is_own_link_narrow(share, shares):
             _log.info(
-                'Gives nothing of version {}; its link is too narrow.',
+                'Stops serving version {}; the own link is too narrow.',
                 chunk_store.version,
                 has=round(share, 3),
             )
             chunk_store.disable_upload()
 
     def _return_to_members(self, queue):
-        """Give chunks back to members that can be reached again.
+        """Reassign chunks from the origin to members that are usable again.
 
-        Whoever stands before this one and has died and started again fetches
-        them itself. Returns whether there was such a chunk.
+        An owner that restarted fetches its chunks itself. Returns whether
+        there was such a chunk.
         """
-        recalled = [
+        returned = [
             index
             for index in queue
             if not self._may_use_origin(
                 index, self._health.usable(self._sources_of(index))
             )
         ]
-        for index in recalled:
+        for index in returned:
             queue.remove(index)
             self._tried[index].clear()
             self._assign(index)
-        return bool(recalled)
+        return bool(returned)
 
     async def _fetch_one(self, source, queue):
-        """Ask for one of the chunks; return the `_Outcome`."""
+        """Request one of the queued chunks; return the `_Outcome`."""
         if source == _plan.ORIGIN:
             indices = [queue.pop(0)]
         else:
@@ -422,16 +423,16 @@
         return await self.peers.chunk(source, model, version, indices, relay)
 
     async def fetch_manifest(self):
-        """Fetch the manifest unless it is here."""
+        """Fetch the manifest unless it is present."""
         await _manifests.fetch(
             self.chunk_store, self.plan, self.peers, self.origin, self._health
         )
 
     def _check_manifest(self):
-        """Drop the manifest where all sources differ from it.
+        """Drop the manifest after too many corrupt chunks in a row.
 
-        The manifest itself may have been damaged on its way; one notices
-        it by chunks of all sources being refused, for ever.
+        If the manifest was damaged in transit, the chunks of all sources are
+        rejected forever.
         """
         if self._corrupt_in_row < MAX_CORRUPT_IN_ROW:
             return
