--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -1,4 +1,4 @@
-"""Decides when an engine loads a version, and gives the orders."""
+"""Schedules the loads of one engine and sends the load orders."""
 
 import asyncio
 import math
@@ -9,29 +9,28 @@
 from catkinshunt.spread import _staging
 from catkinshunt.spread import base
 
-#: Seconds after which an order that shows no effect is given again.
+#: Time after which an order without effect is sent again.
 ORDER_TIMEOUT_S = 3.0
-#: Pause before an order whose answer was lost is given again, in seconds.
+#: Pause before an order without a reply is sent again.
 ORDER_RETRY_S = 0.3
-#: Groups in which engines that serve load a version, one after the other, so
-#: that the others go on meanwhile.
+#: Number of waves in which serving engines load a version, so that the other
+#: engines serve meanwhile.
 WAVES = 3
-#: Seconds in which an engine runs empty and loads; groups need not follow
-#: each other more slowly.
+#: Longest interval between waves: the time in which an engine drains and
+#: loads.
 WAVE_INTERVAL_S = 1.6
-#: Seconds before the version is due at which the last group begins at the
-#: latest; from then on the engines with the older one get no requests.
+#: Least lead of the last wave before the version is due. From the due time
+#: on, engines at the older version receive no requests.
 LAST_WAVE_LEAD_S = 0.75
-#: Seconds from the order in which answers that were let in may still end.
+#: Time after the order in which admitted requests may still finish.
 DRAIN_S = 0.4
-#: Seconds that an engine is taken to need for loading a version, once it has
-#: ended its answers.
+#: Estimated load time of a drained engine.
 LOAD_S = 0.3
-#: Seconds that an engine may stand idle between two versions rather than load
-#: both: each load keeps it from work, and while it stands idle it still ends
-#: its answers.
+#: Longest idle time between two versions for which an engine skips the first.
+#: A load interrupts service, whereas an idle engine still finishes its
+#: requests.
 MAX_IDLE_S = 2.9
-#: Seconds before the turn of an engine from which on it is looked at often.
+#: Time before a load from which on the engine is polled frequently.
 FREQUENT_POLL_LEAD_S = 0.5
 
 _log = logs.get_logger('agent')
@@ -39,16 +38,16 @@
 
 @attrs.frozen
 class LoadTiming:
-    """What is known of the way of one engine to a version.
+    """Inputs that decide when an engine loads a version.
 
     Attributes:
-        complete_in_s: seconds until the version is complete here; negative
-            once it is.
-        due_in_s: seconds until engines with what it serves get no more
+        complete_in_s: seconds until the version is complete; negative after
+            that.
+        due_in_s: seconds until engines at the served version receive no more
             requests.
-        wave: number of its group, from 0.
-        newer_complete_in_s: seconds until a newer version is whole here;
-            infinite where none is on its way.
+        wave: number of the engine's wave, from 0.
+        newer_complete_in_s: seconds until a newer version is complete;
+            infinite if there is none.
     """
 
     complete_in_s: float
@@ -58,16 +57,16 @@
 
 
 def load_in_s(timing):
-    """Return in how many seconds the engine is to load; infinite for not.
+    """Return the seconds until the engine loads; infinite to skip the version.
 
-    Groups follow each other as slowly as the time until the version is due
-    allows, since engines that load together take no requests together. Where
-    a newer version comes soon after, the last group leaves this one out: it
-    serves until the version is due, and loads the newer one first. Otherwise
-    all engines would have to load the second one at nearly the same time.
+    Waves are spread over the time until the version is due, since engines of
+    one wave serve no requests while they load. If a newer version follows
+    soon, the last wave skips this one: it serves the older version until the
+    due time and then loads the newer one. Otherwise all engines would load
+    the newer version at nearly the same time.
 
     Args:
-        move: `LoadTiming`.
+        timing: `LoadTiming`.
 
     Examples:
         >>> [load_in_s(LoadTiming(0.0, 10.0, wave)) for wave in range(3)]
@@ -91,14 +90,14 @@
 
 
 class Loader:
-    """Empties one engine in its turn and orders it to load.
+    """Drains one engine and orders it to load a version.
 
     Args:
         engine: `base.BaseEngine`.
-        outlook: `base.BaseClusterView`.
-        door: `places.BaseAdmission` that lets requests in to the engine.
-        clock: gives seconds on the steady clock.
-        staging_lock: lock of whoever puts chunks beside the engine.
+        cluster_view: `base.BaseClusterView`.
+        admission: `places.BaseAdmission` of the engine.
+        clock: returns seconds on the steady clock.
+        staging_lock: held by tasks that write to the engine's staging area.
     """
 
     def __init__(self, engine, cluster_view, admission, clock, staging_lock):
@@ -116,17 +115,17 @@
 
     @property
     def is_load_near(self):
-        """Whether the engine is about to load, or loads."""
+        """Whether the engine is loading or will load soon."""
         if self._draining_for is None:
             return False
         return self.clock() > self._load_at - FREQUENT_POLL_LEAD_S
 
     def set_wave(self, version, wave):
-        """Note in which group the engine loads a version."""
+        """Set the wave in which the engine loads a version."""
         self._waves[version] = wave
 
     def observe(self, report):
-        """Let requests in again once the engine serves what was ordered."""
+        """Reopen the admission once the engine has loaded the version."""
         if self._draining_for is None:
             return
         model, version = self._draining_for
@@ -143,13 +142,14 @@
     async def step(
         self, report, chunk_store, complete_in_s, newer_complete_in_s
     ):
-        """Do what is due to bring the engine to a version.
+        """Drain the engine or order the load when it is time.
 
         Args:
-            report: the `base.EngineReport` of this moment.
-            holding: the `ChunkStore` of the version.
-            complete_in_s: seconds until it is likely to be whole; 0 if it is.
-            newer_complete_in_s: the same for a newer version on its way.
+            report: the current `base.EngineReport`.
+            chunk_store: the `ChunkStore` of the version.
+            complete_in_s: estimated seconds until it is complete; 0 if it is.
+            newer_complete_in_s: the same for a newer version; infinite if
+                there is none.
         """
         if report.is_loading:
             return
@@ -165,9 +165,9 @@
         self._drain(key, left_s)
         if left_s > 0 or not chunk_store.is_complete or self._was_ordered(key):
             return
-        # The engine loads what is staged when it takes the order. Chunks of
-        # another version put there meanwhile would give mixed weights, so
-        # none is put until it is known whether the order was taken.
+        # The engine loads the chunks that are staged when it accepts the
+        # order. The lock is held until the outcome is known: chunks of another
+        # version staged meanwhile would lead to mixed weights.
         async with self.staging_lock:
             await _staging.verify_staged(chunk_store, self.engine)
             self._ordered = key
@@ -192,7 +192,7 @@
         )
 
     def _drain(self, key, left_s):
-        """Let the engine run empty until its turn."""
+        """Close the admission so that the engine is empty at its load."""
         if math.isinf(left_s):
             if self._draining_for is not None:
                 self._draining_for = None
@@ -204,7 +204,7 @@
         self.admission.close(closes_in_s, closes_in_s + LOAD_S)
 
     def _was_ordered(self, key):
-        """Return whether the order was given and may still take effect."""
+        """Return whether a sent order may still take effect."""
         waited_s = self.clock() - self._ordered_at
         return self._ordered == key and waited_s < ORDER_TIMEOUT_S
 
@@ -213,8 +213,8 @@
             try:
                 await self.engine.load(model, version)
             except base.LoadOutcomeUnknownError as exc:
-                _log.warning('The answer to an order was lost: {}.', exc)
+                _log.warning('No reply to a load order: {}.', exc)
                 await asyncio.sleep(ORDER_RETRY_S)
                 continue
-            _log.info('Ordered version {} of {}.', version, model)
+            _log.info('Ordered the load of version {} of {}.', version, model)
             return
--- a/catkinshunt/spread/_manifests.py
+++ b/catkinshunt/spread/_manifests.py
@@ -7,15 +7,15 @@
 from catkinshunt.spread import _plan
 from catkinshunt import weights
 
-#: Pause after all sources failed, in seconds.
+#: Pause after all sources failed.
 RETRY_S = 0.2
 
 
 async def fetch(chunk_store, plan, peers, origin, health):
-    """Fill in the manifest of a holding unless it is here.
+    """Fetch the manifest of a `ChunkStore` unless it is present.
 
     Args:
-        holding: `ChunkStore`.
+        chunk_store: `ChunkStore`.
         plan: `SourcePlan`.
         peers: `PeerClient`.
         origin: `base.BaseOrigin`.
@@ -24,8 +24,8 @@
     try:
         while chunk_store.manifest is None:
             sources = plan.manifest_sources()
-            # Where none is left the best one is asked all the same: whoever
-            # takes it from the origin learns so that it is back.
+            # Without a usable source the best one is retried: an owner detects
+            # the recovery of the origin this way.
             for source in health.usable(sources) or sources[:1]:
                 if await _fetch_from(
                     source, chunk_store, peers, origin, health
@@ -37,7 +37,7 @@
 
 
 async def _fetch_from(source, chunk_store, peers, origin, health):
-    """Ask one source; return whether it gave the manifest."""
+    """Request the manifest; return whether it was received."""
     model, version = chunk_store.model, chunk_store.version
     try:
         if source == _plan.ORIGIN:
--- a/catkinshunt/spread/_peer_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -1,4 +1,4 @@
-"""Asks other sidecars for chunks, over HTTP."""
+"""Requests chunks from other sidecars over HTTP."""
 
 from catkinshunt import errors
 from catkinshunt import http1
@@ -7,21 +7,21 @@
 from catkinshunt.spread import _chunk_store
 from catkinshunt.spread import _wait_graph
 
-#: Seconds within which a connection must be made. The first packets wait
-#: behind all else on a link between regions, over 0.6 s after a cold start.
+#: The first packets are queued on a link between regions, for over 0.6 s after
+#: a cold start.
 CONNECT_TIMEOUT_S = 1.5
 
 _log = logs.get_logger('chunks')
 
 
 class PeerClient:
-    """Asks other sidecars for chunks.
+    """Client of the `ChunkServer` of other sidecars.
 
     Args:
         port: port of all sidecars.
-        clock: gives seconds on the steady clock.
-        timeout_s: seconds after which a request is given up.
-        name: of the member that asks.
+        clock: returns seconds on the steady clock.
+        timeout_s: timeout of a request in seconds.
+        name: name of the requesting member.
     """
 
     def __init__(self, port, clock, timeout_s=3.0, name=''):
@@ -33,26 +33,23 @@
         self._reported_shares = {}
 
     def reported_share(self, peer, model, version):
-        """Return the share of a version that a peer had, or None.
-
-        As its last reply told it.
-        """
+        """Return the share of a version in the peer's last reply, or None."""
         return self._reported_shares.get((peer, model, version))
 
     async def chunk(self, peer, model, version, indices, relay=False):
-        """Return (index, bytes) of one of these chunks, unchecked.
+        """Return (index, bytes) of one of these chunks, not verified.
 
         Args:
             peer: address of the sidecar.
             model: name of the model.
             version: its version.
-            indices: chunks, any of which will do.
-            relays: whether others wait for this member to pass them on.
+            indices: acceptable chunks.
+            relay: whether this member forwards the chunk to others.
 
         Raises:
-            errors.SourceUnableError: the peer will not have it soon.
-            errors.SourceBusyError: the peer does not have it yet.
-            errors.TransferError: the peer gave no answer.
+            errors.SourceUnableError: no chunk will be available soon.
+            errors.SourceBusyError: no chunk is available yet.
+            errors.TransferError: the peer did not answer.
         """
         items = [(_chunk_server.RELAY_HEADER, '1')] if relay else []
         if self.name:
@@ -60,11 +57,11 @@
         return await self._fetch(peer, model, version, indices, items)
 
     async def chunk_if_idle(self, peer, model, version, indices):
-        """Return (index, bytes) of one of these if the peer is idle.
+        """Return (index, bytes) of one of these chunks if the peer is idle.
 
         Raises:
-            errors.SourceBusyError: it has none, or gives to others.
-            errors.TransferError: the peer gave no answer.
+            errors.SourceBusyError: the peer has none, or is sending another.
+            errors.TransferError: the peer did not answer.
         """
         items = [(_chunk_server.IDLE_ONLY_HEADER, '1')]
         return await self._fetch(peer, model, version, indices, items)
@@ -92,11 +89,13 @@
             ) from exc
         if head.headers.get(_chunk_server.UNAVAILABLE_HEADER):
             raise errors.SourceUnableError(
-                'will not have it soon', step='fetch chunk', peer=peer
+                'chunk will not be available soon',
+                step='fetch chunk',
+                peer=peer,
             )
         if head.status != 200:
             raise errors.SourceBusyError(
-                'not there yet',
+                'chunk not available yet',
                 step='fetch chunk',
                 peer=peer,
                 chains=_read_chains(head, peer),
@@ -107,24 +106,24 @@
         index = head.headers.get(_chunk_server.INDEX_HEADER, '')
         if not index.removeprefix('-').isdigit() or int(index) not in indices:
             raise errors.TransferError(
-                f'sent chunk {index!r}', step='fetch chunk', peer=peer
+                f'unexpected chunk {index!r}', step='fetch chunk', peer=peer
             )
         return int(index), body
 
     async def manifest(self, peer, model, version):
-        """Return the bytes of the manifest."""
+        """Return the encoded manifest, not verified."""
         indices = [_chunk_store.MANIFEST_INDEX]
         _, body = await self.chunk(peer, model, version, indices)
         return body
 
 
 def _read_chains(head, peer):
-    """Return the chains that a reply tells; none where they are unreadable."""
+    """Return the wait chains of a reply; {} if they are invalid."""
     text = head.headers.get(_chunk_server.WAIT_CHAINS_HEADER)
     if not text:
         return {}
     try:
         return _wait_graph.load_chains(text)
     except ValueError as exc:
-        _log.warning('Left aside what {} waits for: {}.', peer, exc)
+        _log.warning('Ignored invalid wait chains of {}: {}.', peer, exc)
         return {}
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -1,16 +1,16 @@
-"""Which source gives which chunk, agreed without a message.
+"""Assigns sources to chunks without communication between members.
 
-Every sidecar knows the members of its service from the store. Each chunk has
-an owner, who takes it from the origin. In every other data centre one member
-takes it from the owner; the rest take it from the member of their own data
-centre. So a chunk leaves the origin once and enters each data centre once.
+Every sidecar lists the members of its service from the store. Each chunk has
+an owner, which fetches it from the origin. In every other data centre one
+member fetches it from the owner, and the rest fetch it from that member. A
+chunk thus leaves the origin once and enters each data centre once.
 
-Whoever cannot be reached is left out: the next member of its data centre, in
-an order that all agree on, stands in for it, and the others ask that one.
+An unreachable member is excluded: the next member of its data centre, in an
+order common to all members, is the failover owner, and the others fetch the
+chunk from there.
 
-Owners are found by rendezvous hashing with a bound on the chunks of each, so
-that sidecars whose lists differ by a member still agree on most, and nobody
-has to give much more than it takes.
+Owners are chosen by bounded rendezvous hashing. Sidecars whose lists differ by
+one member still agree on most owners, and uploads are balanced.
 """
 
 import collections
@@ -20,28 +20,28 @@
 
 from catkinshunt import rendezvous
 
-#: Name of the origin among the sources.
+#: Name of the origin as a source.
 ORIGIN = 'origin'
-#: Share of the connections that the origin accepts for which there are members
-#: that take chunks from it. After a loss of power it still counts those of
-#: before, and others turn to it as well where their sources fail.
+#: Number of owners relative to the connection limit of the origin. After a
+#: power failure the origin still counts old connections, and other members
+#: use it too if their sources fail.
 OWNER_SHARE = 0.4
-#: Connections that an origin is taken to accept where it is not known.
+#: Assumed connection limit of the origin if it is unknown.
 UNKNOWN_CONNECTIONS = 20
-#: Members that are asked for a chunk when the best one has nothing, before
-#: the origin. Those nearby wait for this member themselves.
+#: Members tried after the best source and before the origin. Most members of
+#: the same data centre wait for this member themselves.
 MAX_FALLBACKS = 2
-#: Owners that are asked for the manifest before the origin.
+#: Owners tried for the manifest before the origin.
 MAX_MANIFEST_OWNERS = 3
 
 
 @attrs.frozen
 class Member:
-    """A sidecar beside an engine of the service.
+    """A sidecar of the service, which receives and serves chunks.
 
     Attributes:
-        name: unique among the members; the address of its instance.
-        data_centre: where it stands.
+        name: unique name; the address of its instance.
+        data_centre: data centre of its instance.
         versions: version by model that its engine serves.
     """
 
@@ -55,12 +55,13 @@
 
     Args:
         local_member: the `Member` that fetches.
-        members: all members that stay, `local_member` among them or not.
+        members: all members that are not stopping, with or without
+            `local_member`.
         regions: region by data centre.
         model: name of the model.
         version: its version.
         chunks: number of chunks; 0 until the manifest is known.
-        connections: connections that the origin accepts.
+        connections: connection limit of the origin.
 
     Examples:
         >>> here = [Member(name, 'larisa-a') for name in ('a', 'b', 'c')]
@@ -75,7 +76,7 @@
         connections=UNKNOWN_CONNECTIONS,
     ):  # fmt: skip
         self.local_member = local_member
-        # An engine that started again can be listed twice for a while.
+        # A restarted engine may be listed twice for a while.
         named = {member.name: member for member in members}
         self.members = list(
             {**named, local_member.name: local_member}.values()
@@ -92,18 +93,18 @@
         self._excluded = frozenset()
 
     def set_excluded(self, names):
-        """Take nothing from members that cannot be reached.
+        """Set the members that are not used as sources.
 
         Args:
-            names: frozenset of their names, instead of those before; this
-                member is among them where others do not wait for it.
+            names: frozenset of names. It contains the local member if that
+                serves no chunks.
         """
         if names != self._excluded:
             self._excluded = names
             self._sources.clear()
 
     def set_chunk_count(self, chunks):
-        """Share out `chunks` chunks among the members."""
+        """Assign `chunks` chunks to the members again."""
         self.chunks = chunks
         self._first_receivers = None
         self._sources.clear()
@@ -111,8 +112,8 @@
     def sources(self, index):
         """Return the names of sources for a chunk, best first.
 
-        They are worked out once: a member that waits asks for them again
-        and again, and with many members each time takes milliseconds.
+        The result is cached: it is needed for each attempt, and its
+        computation takes milliseconds with many members.
         """
         found = self._sources.get(index)
         if found is None:
@@ -138,22 +139,22 @@
         return [*list(dict.fromkeys(names))[: 1 + MAX_FALLBACKS], ORIGIN]
 
     def _earlier_members(self, receivers, index):
-        """Return who is to get a chunk sooner in this data centre."""
+        """Return the local members that receive a chunk before this one."""
         ranked = [*receivers, *self._rank(index)]
         order = self._receive_order(
             next(filter(self._is_local, ranked)), index
         )
         if self.local_member.name in self._excluded:
-            # Nobody waits for what passes through here.
+            # No other member waits for this one.
             order.remove(self.local_member)
             return self._reachable(order)
         return self._reachable(order[: order.index(self.local_member)])
 
     def _remote_sources(self, owner, index, earlier):
-        """Return who gives a chunk to this data centre.
+        """Return the members that send a chunk to this data centre.
 
-        The first of them is asked by whoever stands first here, and by the
-        others where that one has nothing.
+        The first one is the source of the first local receiver, and a
+        fallback for the others.
         """
         if self._is_local(owner):
             return []
@@ -161,7 +162,7 @@
         return order[: 1 if earlier else 2]
 
     def _receive_order(self, first, index):
-        """Return the members of a data centre by who gets a chunk first."""
+        """Return the members of a data centre in the order of receipt."""
         data_centre = first.data_centre
         return [
             first,
@@ -178,8 +179,8 @@
     def manifest_sources(self):
         """Return the names of sources for the manifest, best first.
 
-        It is small, and all wait for it, so each owner takes it from the
-        origin, and the others from an owner.
+        It is small and needed by all members first, so each owner fetches it
+        from the origin, and the others fetch it from an owner.
         """
         if self.local_member in self._owners:
             return [ORIGIN]
@@ -193,13 +194,13 @@
         return [*dict.fromkeys(names), ORIGIN]
 
     def is_remote(self, name):
-        """Return whether a member stands in another data centre."""
+        """Return whether a member is in another data centre."""
         return any(
             m.name == name and not self._is_local(m) for m in self.members
         )
 
     def wave(self, waves):
-        """Return in which of `waves` groups this member loads, from 0."""
+        """Return the wave of this member, from 0 to `waves` - 1."""
         names = sorted(member.name for member in self.members)
         order = rendezvous.rank(f'{self.model}/{self.version}', names)
         return order.index(self.local_member.name) % waves
@@ -247,7 +248,7 @@
         return found or self._rank(index)[:1]
 
     def _assign_receivers(self):
-        """Return by chunk its owner, then one member of each other place."""
+        """Return the first receivers of each chunk, the owner first."""
         found = {}
         bound = math.ceil(self.chunks / len(self._owners))
         owned = collections.Counter()
@@ -269,15 +270,15 @@
     def _add_receivers(self, found, data_centre, member_counts, owned):
         """Add a member of `data_centre` to each chunk that is owned elsewhere.
 
-        Owners have much to give already: each chunk to all nearby and to one
-        member of each other place. With as many to pass on as the others,
-        all would wait for them.
+        Owners upload each chunk to all local members and to one member of each
+        other data centre. If they also relayed as many chunks as the other
+        members, all would wait for them.
 
         Args:
-            found: owner by index of a chunk; is extended.
-            place: name of the data centre.
-            places: members by data centre.
-            owned: chunks by the name of their owner.
+            found: receivers by chunk, with the owner first; extended in place.
+            data_centre: name of the data centre.
+            member_counts: number of members by data centre.
+            owned: number of owned chunks by member name.
         """
         residents = [m for m in self.members if m.data_centre == data_centre]
         incoming = [
@@ -295,7 +296,7 @@
             local = [
                 m for m in self._rank(index) if m.data_centre == data_centre
             ]
-            # Where owners alone give more than the mean, whoever gives least.
+            # If all exceed the mean, the member with the fewest uploads.
             receiver = next(
                 (
                     m
@@ -311,16 +312,16 @@
 def finish_older_first(
     missing_share, copy_s, load_s, older_due_s, newer_due_s
 ):
-    """Return whether a transfer goes on although a newer version was named.
+    """Return whether a transfer continues though a newer version exists.
 
-    From the moment a version is due until one at least as new is loaded, no
-    request can begin. Both ways are compared by how long that lasts; the
-    older version is dropped where that is no worse.
+    From the due time of a version until a version at least as new is loaded,
+    no request can start. Compares the length of this gap for both choices and
+    drops the older version if the gap does not grow.
 
     Args:
-        missing_share: share of the older version that is missing, 0 to 1.
-        copy_s: seconds that a whole copy takes.
-        load_s: seconds that an engine takes to load it.
+        missing_share: missing share of the older version, from 0 to 1.
+        copy_s: seconds to transfer a complete copy.
+        load_s: seconds to load a version.
         older_due_s: seconds until requests need the older version.
         newer_due_s: seconds until requests need the newer one.
 
--- a/catkinshunt/spread/_progress.py
+++ b/catkinshunt/spread/_progress.py
@@ -1,15 +1,15 @@
-"""Tells when a transfer is likely to end."""
+"""Estimates the remaining time of a transfer."""
 
 import collections
 
 from catkinshunt import base
 
-#: Seconds over which the speed of a transfer is measured.
+#: Time over which the speed is measured.
 WINDOW_S = 1.0
 
 
 class Progress(base.ParamsMixin):
-    """Follows what is missing of one version.
+    """Estimates the remaining time from samples of the missing share.
 
     Examples:
         >>> progress = Progress()
@@ -20,24 +20,23 @@
     """
 
     def __init__(self):
-        self._seen = collections.deque()
+        self._samples = collections.deque()
 
     def add_sample(self, missing_share, now):
-        """Note the share that is missing, from 0 to 1."""
-        self._seen.append((now, missing_share))
-        while self._seen[0][0] < now - WINDOW_S and len(self._seen) > 2:
-            self._seen.popleft()
+        """Add the missing share, from 0 to 1."""
+        self._samples.append((now, missing_share))
+        while self._samples[0][0] < now - WINDOW_S and len(self._samples) > 2:
+            self._samples.popleft()
 
     def remaining_s(self, now):
-        """Return the seconds until nothing is missing, by its speed lately.
+        """Return the remaining seconds at the recent speed.
 
-        It is infinite where nothing has come for a while, and 0 as long as
-        too little is known.
+        Infinite if nothing arrived recently, 0 if there are too few samples.
         """
-        if len(self._seen) < 2:
+        if len(self._samples) < 2:
             return 0.0
-        start, before = self._seen[0]
-        _, left = self._seen[-1]
+        start, before = self._samples[0]
+        _, left = self._samples[-1]
         if now - start < WINDOW_S / 2:
             return 0.0
         if left <= 0:
--- a/catkinshunt/spread/_source_health.py
+++ b/catkinshunt/spread/_source_health.py
@@ -1,13 +1,13 @@
-"""Which sources of chunks answer, as one transfer knows it."""
+"""Tracks failures of sources during one transfer."""
 
 import collections
 
 from catkinshunt import logs
 from catkinshunt.spread import _plan
 
-#: Seconds for which a source that gave no answer is left out, at first; for
-#: a member twice as long after each further try, up to the longest. Each try
-#: of one that stands still takes seconds in which its chunks wait.
+#: Time for which a failed source is excluded. For members it doubles with each
+#: failure up to the limit: each attempt at an unresponsive member delays its
+#: chunks by seconds.
 EXCLUSION_S = 1.5
 MAX_EXCLUSION_S = 12.0
 
@@ -15,11 +15,11 @@
 
 
 class SourceHealth:
-    """Leaves out sources that fail, for a while.
+    """Excludes failed sources for a limited time.
 
     Args:
-        holding: the `ChunkStore` that is filled, named in log lines.
-        clock: gives seconds on the steady clock.
+        chunk_store: the `ChunkStore` to fill; named in log lines.
+        clock: returns seconds on the steady clock.
     """
 
     def __init__(self, chunk_store, clock):
@@ -30,15 +30,15 @@
         self._failing = set()
 
     def is_excluded(self, source):
-        """Return whether a source is left out now."""
+        """Return whether a source is excluded now."""
         return self._excluded_until.get(source, 0) > self.clock()
 
     def usable(self, sources):
-        """Return those that are not left out, in their order."""
+        """Return the sources that are not excluded, in order."""
         return [source for source in sources if not self.is_excluded(source)]
 
     def excluded_members(self):
-        """Return the names of the members that are left out."""
+        """Return the names of the excluded members."""
         excluded = {
             source
             for source in self._excluded_until
@@ -47,7 +47,7 @@
         return excluded - {_plan.ORIGIN}
 
     def record_failure(self, source, exc):
-        """Leave out a source that failed; tell of it once."""
+        """Exclude a source; log its first failure."""
         for_s = EXCLUSION_S
         if source != _plan.ORIGIN:
             for_s = min(
@@ -60,18 +60,17 @@
             self.log_failure(source, exc)
 
     def record_answer(self, source):
-        """Note that a source answers, though it has nothing yet."""
+        """Reset the failures of a source that answered without a chunk."""
         self._failures.pop(source, None)
 
     def record_success(self, source):
-        """Note that a source gave something."""
+        """Reset the failures of a source that sent a chunk."""
         self.record_answer(source)
         if source in self._failing:
             self._failing.discard(source)
-            _log.info('Source {} gives again.', source)
+            _log.info('Source {} recovered.', source)
 
     def log_failure(self, source, exc):
-        """Write a line on a failure."""
         _log.warning(
             'Source {} failed: {}.',
             source,
--- a/catkinshunt/spread/_source_speeds.py
+++ b/catkinshunt/spread/_source_speeds.py
@@ -1,37 +1,37 @@
-"""Judges the speed of sources, and of the own link."""
+"""Detects slow sources and a narrow own link."""
 
 import collections
 import math
 
 from catkinshunt.spread import _plan
 
-#: Share of the time of a copy after which the speed of sources is judged.
+#: Elapsed share of the copy time from which on slow sources are detected.
 MIN_ELAPSED_SHARE = 0.9
-#: A source is slow that would end after this many times the time of a copy,
-#: where most others end within the second number. Usual delays at the begin
-#: must not count as slow: the chunks would be taken from the origin again.
+#: A source is slow if its estimated end exceeds the first multiple of the copy
+#: time while the median of the others is below the second. Normal delays at
+#: the start must not count: chunks would be fetched from the origin again.
 SLOW_END_RATIO = 2.0
 MEDIAN_END_RATIO = 1.4
-#: A member gives nothing of a version where it has less than this part of what
-#: most others have, and less than this part of what its link should have
-#: brought; with a quarter of the link it has 0.25 of both.
+#: The own link is narrow if the present share is below this fraction both of
+#: the median of the peers and of the share expected at link speed. A link at a
+#: quarter of its speed reaches 0.25 of both.
 NARROW_RATIO = 0.45
-#: Peers that must have told what they have, the share of a version that most
-#: must have, and the seconds after the begin from which on that is judged.
+#: Conditions of that check: least number of peers with a reported share, least
+#: median of these shares, and time since the start of the transfer.
 MIN_REPORTS = 3
 MIN_MEDIAN_SHARE = 0.12
 LINK_CHECK_AFTER_S = 1.0
 
 
 class SourceSpeeds:
-    """Follows what each source gives in one transfer.
+    """Measures the speed of each source in one transfer.
 
     Args:
-        clock: gives seconds on the steady clock.
+        clock: returns seconds on the steady clock.
 
     Attributes:
-        given: chunks by source.
-        copy_s: seconds that a whole copy takes over the own link.
+        received: number of received chunks by source.
+        copy_s: seconds in which a copy crosses the own link.
     """
 
     def __init__(self, clock):
@@ -42,25 +42,24 @@
         self._began = clock()
 
     def start(self, copy_s):
-        """Note that the transfer begins, and how long a copy takes."""
+        """Start the measurement for a copy that takes `copy_s` seconds."""
         self._began = self.clock()
         self.copy_s = copy_s
 
     def record_chunk(self, source):
-        """Note that a source gave a chunk."""
         self.received[source] += 1
         self._last_s[source] = self._elapsed_s()
 
     def is_slow(self, source, queue_lengths):
-        """Return whether a source is far slower than most of the others.
+        """Return whether a source is far slower than most others.
 
-        A member whose link is narrowed still gives a chunk now and then; all
-        that wait for its share would be late with it. Where all are equally
-        slow, the own link is the cause and other sources would not help.
+        A member with a narrow link still sends a chunk now and then, but
+        delays all members that wait for its queue. If all sources are equally
+        slow, the own link is the cause, and other sources would not help.
 
         Args:
-            source: the source.
-            left: chunks that are left to each source.
+            source: name of the source.
+            queue_lengths: number of queued chunks by source.
         """
         if self._elapsed_s() < MIN_ELAPSED_SHARE * self.copy_s:
             return False
@@ -80,29 +79,29 @@
             and median_s < MEDIAN_END_RATIO * self.copy_s
         )
 
-    def _estimated_end_s(self, source, queue_lengths):
-        """Return when a source ends at its speed, in seconds from the begin.
+    def _estimated_end_s(self, source, queue_length):
+        """Return the end of a source's queue in seconds since the start.
 
-        The time of its last chunk where nothing is left to it.
+        The time of its last chunk if the queue is empty.
         """
         elapsed_s = self._elapsed_s()
-        if not queue_lengths:
+        if not queue_length:
             return self._last_s.get(source, elapsed_s)
-        return elapsed_s * (1 + queue_lengths / max(1, self.received[source]))
+        return elapsed_s * (1 + queue_length / max(1, self.received[source]))
 
     def is_own_link_narrow(self, share, shares):
-        """Return whether far less comes here than elsewhere.
+        """Return whether this member receives far less than its peers.
 
-        Others wait for what passes through this member, each for seconds.
+        Members that wait for chunks relayed by it are delayed by seconds.
 
         Args:
-            share: share of the version that is here.
-            shares: what other members told of theirs.
+            share: present share of the version.
+            shares: shares reported by other members.
         """
         elapsed_s = self._elapsed_s()
         if not LINK_CHECK_AFTER_S <= elapsed_s <= self.copy_s:
             return False
-        # One that began later than the others is no reason to leave it out.
+        # A member that started late may have less than its peers.
         if share >= NARROW_RATIO * elapsed_s / self.copy_s:
             return False
         if len(shares) < MIN_REPORTS:
--- a/catkinshunt/spread/_staging.py
+++ b/catkinshunt/spread/_staging.py
@@ -1,4 +1,4 @@
-"""Chunks staged beside the engine."""
+"""Reads and verifies the staging area of the engine."""
 
 from catkinshunt import errors
 from catkinshunt import logs
@@ -7,13 +7,13 @@
 
 
 async def restore_staged(chunk_store, engine):
-    """Take staged chunks that fit the manifest into `chunk_store`.
+    """Add the staged chunks that match the manifest to `chunk_store`.
 
-    After a restart of the sidecar this spares fetching them again. Chunks
-    of another version, and damaged ones, are left.
+    A restarted sidecar does not have to fetch them again. Chunks of other
+    versions and corrupt ones are skipped.
 
     Returns:
-        Number of chunks taken.
+        Number of chunks added.
     """
     count = 0
     for index in await engine.list_staged(chunk_store.model):
@@ -24,7 +24,7 @@
         data = await engine.get_chunk(chunk_store.model, index)
         try:
             if data is not None:
-                chunk_store.rewritten(index, data)
+                chunk_store.put(index, data)
                 count += 1
         except errors.CorruptChunkError:
             continue
@@ -32,14 +32,13 @@
 
 
 async def verify_staged(chunk_store, engine):
-    """Make sure that all chunks lie beside the engine as they should.
+    """Replace staged chunks that differ from `chunk_store`.
 
-    Staged chunks can turn bad after they were put there; an engine that
-    loads one would serve damaged weights. So each is read back right before
-    the order.
+    Chunks can be corrupted after they were staged, and an engine that loads
+    them would serve damaged weights. Each is read back right before the order.
 
     Returns:
-        Number of chunks that were put again.
+        Number of chunks replaced.
     """
     rewritten = 0
     for index, data in sorted(chunk_store.chunks.items()):
@@ -48,7 +47,7 @@
             rewritten += 1
     if rewritten:
         _log.info(
-            'Put {} chunks of {} again.',
+            'Replaced {} staged chunks of {}.',
             rewritten,
             chunk_store.model,
             version=chunk_store.version,
--- a/catkinshunt/spread/_wait_graph.py
+++ b/catkinshunt/spread/_wait_graph.py
@@ -1,23 +1,23 @@
-"""Finds members that wait for each other for the same chunk.
+"""Detects members that wait for each other for the same chunk.
 
-Members whose lists differ choose different sources: each of two may take the
-other for the one that gets a chunk first, and both would wait for ever. Each
-member therefore tells those that it keeps waiting whom it waits for itself.
+Members with different lists choose different sources: each of two may take the
+other for the first receiver of a chunk, and both would wait forever. Each
+member therefore reports in its replies for whom it waits itself.
 """
 
 import json
 
 from catkinshunt import checks
 
-#: Seconds for which whoever asked for a chunk counts as one that waits.
+#: Time after its last request for which a member counts as waiting.
 REQUEST_TTL_S = 1.5
-#: Members of a chain that are told, and chunks whose chain is told at once.
+#: Limits of a report: members of one chain, and chunks with a chain.
 MAX_CHAIN_LENGTH = 8
 MAX_REPORTED_CHAINS = 16
 
 
 class WaitGraph:
-    """Who waits for this member, and for whom it waits, by chunk.
+    """Members that wait for this one and for which it waits, by chunk.
 
     Examples:
         >>> wait_graph = WaitGraph()
@@ -33,21 +33,21 @@
         self._requesters = {}
 
     def set_source(self, index, source):
-        """Note that a chunk is asked of a source from now on."""
+        """Set the source of which a chunk is requested."""
         self._chains[index] = (source,)
 
     def extend_chain(self, index, source, chain):
-        """Note for whom a source waits itself for a chunk."""
+        """Append the chain for which a source waits itself."""
         known = self._chains.get(index)
         if known is not None and known[0] == source:
             self._chains[index] = (source, *chain)[:MAX_CHAIN_LENGTH]
 
     def note_requester(self, index, requester, now):
-        """Note that `requester` waits for a chunk from here."""
+        """Record that `requester` waits for a chunk of this member."""
         self._requesters.setdefault(index, {})[requester] = now
 
     def chains(self, indices):
-        """Return the chains of some of these chunks, to be told."""
+        """Return the wait chains of these chunks, up to a limit."""
         known = [index for index in indices if index in self._chains]
         return {
             index: self._chains[index] for index in known[:MAX_REPORTED_CHAINS]
@@ -56,7 +56,7 @@
     def find_cycle(self, index, local_name, now):
         """Return the names of the members of a wait cycle with `local_name`.
 
-        It is empty where the chunk comes from somewhere.
+        Empty if there is none.
         """
         chain = self._chains.get(index, ())
         requesters = self._requesters.get(index, {})
@@ -69,19 +69,19 @@
 
 
 def dump_chains(chains):
-    """Return chains by index as text."""
+    """Return chains by index as JSON."""
     return json.dumps(chains, separators=(',', ':'))
 
 
 def load_chains(text):
-    """Return the chains by index in a text.
+    """Return the chains by index in a JSON text.
 
     Raises:
-        ValueError: it tells none.
+        ValueError: the text is invalid.
     """
     document = checks.load_json(text)
     if not isinstance(document, dict):
-        raise ValueError(f'chains are {document!r:.60}')
+        raise ValueError(f'chains are not an object: {document!r:.60}')
     if not all(isinstance(chain, list) for chain in document.values()):
-        raise ValueError('a chain is no list')
+        raise ValueError('a chain is not a list')
     return {int(index): tuple(map(str, c)) for index, c in document.items()}
