--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Engines, an origin and an outlook in memory."""
+"""In-memory fakes of an engine, an origin, peers and a cluster view."""
 
 import asyncio
 import hashlib
@@ -17,7 +17,6 @@
 
 
 def chunk(version, index):
-    """Return the bytes of a chunk."""
     return f'{version}:{index}:'.encode() * 50
 
 
@@ -44,7 +43,7 @@
 
 
 class FakeOrigin(spread.BaseOrigin):
-    """Gives chunks; some of them bad."""
+    """An origin that can be down or send corrupt data."""
 
     def __init__(self):
         self.sent_chunks = []
@@ -71,7 +70,7 @@
         self.sent_chunks.append(index)
         if index in self.corrupt:
             self.corrupt.discard(index)
-            return b'spoilt'
+            return b'corrupt'
         return chunk(version, index)
 
     def release(self):
@@ -79,7 +78,7 @@
 
 
 class FakePeers:
-    """Holdings of other members, by name."""
+    """Peers that have the chunks in `stores`, by name and version."""
 
     def __init__(self, **stores):
         self.stores = stores
@@ -98,27 +97,27 @@
         await asyncio.sleep(0)
         self.requested.append((peer, tuple(indices)))
         if peer in self.dead:
-            raise errors.TransferError('gone', step='chunk', peer=peer)
-        held = self.stores.get(peer, {})
+            raise errors.TransferError('unreachable', step='chunk', peer=peer)
+        stored = self.stores.get(peer, {})
         for index in indices:
-            if index in held.get(version, ()):
+            if index in stored.get(version, ()):
                 data = chunk(version, index)
                 return index, b'x' if peer in self.corrupt else data
-        raise errors.SourceBusyError('not there yet', peer=peer)
+        raise errors.SourceBusyError('not available yet', peer=peer)
 
     async def manifest(self, peer, model, version):
-        raise errors.SourceBusyError('not there yet', peer=peer)
+        raise errors.SourceBusyError('not available yet', peer=peer)
 
 
 class FakeAdmission(places.BaseAdmission):
-    """Notes what it is told."""
+    """Records its calls."""
 
     def __init__(self):
         self.calls = []
         self.expires_in_s = None
 
     def reconcile(self, present):
-        self.calls.append(('correct', present))
+        self.calls.append(('reconcile', present))
 
     def close(self, closes_in_s, opens_in_s):
         self.calls.append(('close', closes_in_s))
@@ -131,11 +130,11 @@
 
 
 class FakeEngine(spread.BaseEngine):
-    """An engine that loads what is staged when it takes an order.
+    """An engine that loads the staged chunks when it receives an order.
 
     Attributes:
-        loaded: the staged bytes at the order, by index.
-        lost_answers: orders that take effect without an answer.
+        loaded: staged chunks at the last load, by index.
+        lost_replies: number of orders that take effect without a reply.
     """
 
     def __init__(self, version=0):
@@ -143,7 +142,7 @@
         self.stage = {}
         self.loaded = None
         self.orders = []
-        self.lost_answers = 0
+        self.lost_replies = 0
         self.down = False
 
     async def report(self):
@@ -168,13 +167,13 @@
         if self.version != version:
             self.version = version
             self.loaded = dict(self.stage)
-        if self.lost_answers:
-            self.lost_answers -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             raise spread.LoadOutcomeUnknownError('lost', step='load')
 
 
 class FakeClusterView(spread.BaseClusterView):
-    """Names versions as the test wants them."""
+    """Targets the last version announced by the test."""
 
     regions = {}
 
@@ -182,12 +181,12 @@
         self.versions = []
         self.noted = []
         self.listed = list(members)
-        self._named = asyncio.Event()
+        self._announced = asyncio.Event()
 
     def announce_version(self, version, due_s=8.0):
         due_at = self.now() + due_s
         self.versions.append(_agent.TargetVersion(MODEL, version, due_at))
-        self._named.set()
+        self._announced.set()
 
     def now(self):
         return asyncio.get_running_loop().time()
@@ -196,8 +195,8 @@
         return self.versions[-1] if self.versions else None
 
     async def wait_for_version(self):
-        await self._named.wait()
-        self._named.clear()
+        await self._announced.wait()
+        self._announced.clear()
 
     def superseded_at(self, model, version):
         return min(w.due_at for w in self.versions if w.version > version)
--- a/catkinshunt/spread/tests/swarm.py
+++ b/catkinshunt/spread/tests/swarm.py
@@ -1,8 +1,8 @@
-"""A service of many members that fetch a version together, in virtual time.
+"""Simulates a service whose members fetch a version, in virtual time.
 
-Plans, fetchers and holdings are the product's own; links, the origin and the
-members' lives are modelled. A chunk is sent as a whole over one link after
-the other, in the order in which links were asked.
+Plans, fetchers and chunk stores are the real ones; links, the origin and the
+life cycle of instances are simulated. A chunk crosses its links one after the
+other as a unit, and each link sends chunks in the order of requests.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 from catkinshunt.spread.tests import fakes
 from catkinshunt import weights
 
-#: Time on the way between two machines, in seconds.
+#: One-way latency between two instances.
 LATENCY_S = 0.001
-#: Seconds after which a peer that sends nothing is given up.
+#: Timeout of a request to a peer.
 PEER_TIMEOUT_S = 3.0
-#: The same for the origin.
+#: Timeout of a request to the origin.
 ORIGIN_TIMEOUT_S = 4.0
-#: Pause of a member before a transfer that failed is begun again.
+#: Pause after a failed transfer.
 RETRY_S = 0.25
 
 
 class _Selector(selectors.SelectSelector):
-    """Passes the time that a loop would wait for at once."""
+    """Advances the virtual time instead of waiting."""
 
     now = 0.0
 
@@ -46,16 +46,16 @@
     """An event loop whose clock jumps to the next timer."""
 
     def __init__(self):
-        self._selector = _Selector()
-        super().__init__(self._selector)
+        self._virtual_selector = _Selector()
+        super().__init__(self._virtual_selector)
 
     def time(self):
-        """Return the virtual seconds since the begin."""
-        return self._selector.now
+        """Return the virtual seconds since the start."""
+        return self._virtual_selector.now
 
 
 class Link:
-    """Sends one piece after the other at a given speed."""
+    """A serial link of a given speed."""
 
     def __init__(self, mbps):
         self.bytes_per_s = mbps * spread.BYTES_PER_MBIT
@@ -63,7 +63,7 @@
         self._lock = asyncio.Lock()
 
     async def send(self, size):
-        """Return when `size` bytes have passed."""
+        """Wait until `size` bytes have been sent."""
         async with self._lock:
             self.sent += size
             await asyncio.sleep(size / self.bytes_per_s)
@@ -71,7 +71,11 @@
 
 @attrs.frozen
 class Scale:
-    """Sizes of a deployment; speeds in Mbit/s, sizes in bytes."""
+    """Dimensions of a deployment.
+
+    Attributes:
+        member_counts: number of members by data centre.
+    """
 
     member_counts: dict
     chunks: int = 96
@@ -83,17 +87,17 @@
 
     @property
     def copy_bytes(self):
-        """Bytes of one version."""
+        """Size of one version."""
         return self.chunks * self.chunk_bytes
 
     @property
     def copy_s(self):
-        """Seconds of one copy over the link of one member."""
+        """Seconds in which a copy crosses the link of one member."""
         return self.copy_bytes / (self.link_mbps * spread.BYTES_PER_MBIT)
 
 
 class SimulatedInstance:
-    """One instance with its sidecar, which can die and start again."""
+    """An instance with a sidecar that can die and restart."""
 
     def __init__(self, swarm, member):
         self.swarm = swarm
@@ -109,7 +113,7 @@
         self._task = None
 
     def start(self, version):
-        """Fetch a version; what lies staged of it is taken first."""
+        """Start the sidecar and fetch a version, staged chunks first."""
         self.alive = True
         self.send_lock = _chunk_server.PriorityLock()
         self.chunk_store = spread.ChunkStore(fakes.MODEL, version)
@@ -117,18 +121,18 @@
         self._task = asyncio.ensure_future(self._fetch())
 
     def run_without_transfer(self):
-        """Answer others, without a transfer of the version."""
+        """Start the sidecar without a transfer of the version."""
         self.alive = True
         self.send_lock = _chunk_server.PriorityLock()
 
     def kill(self):
-        """End the sidecar; what it staged stays."""
+        """Kill the sidecar; staged chunks remain."""
         self.alive = False
         if self._task is not None:
             self._task.cancel()
 
     def cancel_transfer(self):
-        """Fetch this version no more, but give what is here."""
+        """Cancel the transfer, but serve the present chunks."""
         self._task.cancel()
         self.chunk_store.end_transfer()
 
@@ -174,7 +178,7 @@
 
 
 class SwarmOrigin(spread.BaseOrigin):
-    """The origin as one member sees it."""
+    """The origin, with the link of one member."""
 
     def __init__(self, instance):
         self.instance = instance
@@ -188,7 +192,7 @@
     async def chunk(self, model, version, index):
         """See `spread.BaseOrigin.chunk`."""
         await self._receive(self.swarm.scale.chunk_bytes)
-        self.swarm.origin_given[index] += 1
+        self.swarm.origin_sent_counts[index] += 1
         return self.swarm.chunk(version, index)
 
     def release(self):
@@ -202,12 +206,12 @@
             async with asyncio.timeout(ORIGIN_TIMEOUT_S):
                 await self.swarm.origin.send(size)
         except TimeoutError as exc:
-            raise errors.TransferError('silent', peer='origin') from exc
+            raise errors.TransferError('unresponsive', peer='origin') from exc
         await self.instance.downlink.send(size)
 
 
 class SwarmPeers:
-    """The other members as one of them sees them."""
+    """The peers of one member, with its link."""
 
     def __init__(self, instance):
         self.instance = instance
@@ -215,15 +219,15 @@
         self.reported_shares = {}
 
     def reported_share(self, peer, model, version):
-        """Return the share of the version that a peer had, or None."""
+        """See `spread.PeerClient.reported_share`."""
         return self.reported_shares.get(peer)
 
     async def chunk(self, peer, model, version, indices, relay=False):
-        """Return (index, bytes) of one of these chunks."""
+        """See `spread.PeerClient.chunk`."""
         return await self._ask(peer, version, indices, 0 if relay else 1)
 
     async def chunk_if_idle(self, peer, model, version, indices):
-        """Return (index, bytes) of one of these if the peer is idle."""
+        """See `spread.PeerClient.chunk_if_idle`."""
         return await self._ask(peer, version, indices, None)
 
     async def _ask(self, peer, version, indices, priority):
@@ -239,10 +243,10 @@
                     instance, version, indices, priority
                 )
         except TimeoutError as exc:
-            raise errors.TransferError('silent', peer=peer) from exc
+            raise errors.TransferError('unresponsive', peer=peer) from exc
 
     async def manifest(self, peer, model, version):
-        """Return the bytes of the manifest."""
+        """See `spread.PeerClient.manifest`."""
         _, data = await self.chunk(
             peer, model, version, [_chunk_store.MANIFEST_INDEX]
         )
@@ -258,15 +262,15 @@
             self._note_requester(chunk_store, indices)
             await chunk_store.wait_for_any(indices, _chunk_server.MAX_WAIT_S)
         elif not send_lock.is_free:
-            raise errors.SourceBusyError('gives to others', peer=peer)
+            raise errors.SourceBusyError('sending another chunk', peer=peer)
         found = chunk_store.find_any(indices)
         if found is None and not (
             chunk_store.is_expecting(indices) or chunk_store.is_complete
         ):
-            raise errors.SourceUnableError('left out', peer=peer)
+            raise errors.SourceUnableError('uploads disabled', peer=peer)
         if found is None:
             raise errors.SourceBusyError(
-                'not there yet',
+                'not available yet',
                 peer=peer,
                 chains=chunk_store.wait_graph.chains(indices),
             )
@@ -274,7 +278,7 @@
         try:
             found = chunk_store.find_any(indices)
             if found is None:
-                raise errors.SourceUnableError('left out', peer=peer)
+                raise errors.SourceUnableError('uploads disabled', peer=peer)
             chunk_store.count_served(found[0])
             self.reported_shares[peer] = 1 - chunk_store.missing_share
             await instance.uplink.send(self.swarm.scale.chunk_bytes)
@@ -304,23 +308,27 @@
 
 
 class Swarm:
-    """All members of one service, and what they take versions from.
+    """The members of one service, their links and the origin.
 
     Args:
         scale: `Scale`.
+
+    Attributes:
+        unlisted: names of members missing from the list of a member, by its
+            name.
     """
 
     def __init__(self, scale):
         self.scale = scale
         self.members = [
-            spread.Member(f'{place}{number}', place)
-            for place, count in scale.member_counts.items()
+            spread.Member(f'{data_centre}{number}', data_centre)
+            for data_centre, count in scale.member_counts.items()
             for number in range(count)
         ]
         self.origin = Link(scale.origin_mbps)
         self.unlisted = {}
         self.origin_down = False
-        self.origin_given = collections.Counter()
+        self.origin_sent_counts = collections.Counter()
         self.instances = {
             m.name: SimulatedInstance(self, m) for m in self.members
         }
@@ -328,7 +336,7 @@
         self._manifests = {}
 
     def members_listed_by(self, member):
-        """Return the members that one of them knows."""
+        """Return the members in the list of one of them."""
         unlisted = self.unlisted.get(member.name, ())
         return [m for m in self.members if m.name not in unlisted]
 
@@ -339,7 +347,7 @@
         return self._links_between[(one, other)]
 
     def chunk(self, version, index):
-        """Return the bytes that stand for a chunk."""
+        """Return the content of a chunk."""
         return f'{version}:{index}:'.encode().ljust(self.scale.chunk_bytes)
 
     def manifest(self, version):
@@ -360,29 +368,30 @@
         return self._manifests[version]
 
     def announce_version(self, version):
-        """Let all members that live fetch a version."""
+        """Start the transfer of a version on all running instances."""
         for instance in self.instances.values():
             if instance.alive:
                 instance.start(version)
 
     async def wait(self, longest_s):
-        """Return once all members have it whole, or after `longest_s`."""
+        """Wait until the version is complete everywhere, or `longest_s`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(longest_s):
                 while any(
-                    b.completed_at is None for b in self.instances.values()
+                    instance.completed_at is None
+                    for instance in self.instances.values()
                 ):
                     await asyncio.sleep(0.05)
 
     @property
     def origin_copies(self):
-        """Copies that the origin has sent."""
+        """Data sent by the origin, in copies of the version."""
         return self.origin.sent / self.scale.copy_bytes
 
     def completion_times_s(self):
-        """Return when members had it whole, in order.
+        """Return the sorted times at which the version was complete.
 
-        Members that do not have it are left out.
+        Members where it is incomplete are omitted.
         """
         ends = (instance.completed_at for instance in self.instances.values())
         return sorted(end for end in ends if end is not None)
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -12,7 +12,7 @@
 
 
 class Sidecar:
-    """An agent with its surroundings in memory."""
+    """An agent with in-memory fakes."""
 
     def __init__(self, engine=None, version_store=None):
         self.engine = engine or fakes.FakeEngine()
@@ -46,7 +46,7 @@
                 await asyncio.sleep(0.005)
 
 
-def whole(version):
+def all_chunks(version):
     return {i: fakes.chunk(version, i) for i in range(fakes.CHUNKS)}
 
 
@@ -64,36 +64,36 @@
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
-    assert run(main) == whole(2)
+    assert run(main) == all_chunks(2)
 
 
 def test_expiry_follows_the_served_version():
-    """A newer version is named, and cannot be had before it is due.
+    """A newer version is announced but unavailable until it is due.
 
-    Entries may hear of it too late; their requests would begin on the old
-    one for as long. The door closes in time, and opens after the load.
+    Entries may learn of it late, and their requests would start on the older
+    version. The admission expires in time and reopens after the load.
     """
 
     async def main(sidecar):
         admission = sidecar.agent.admission
         await sidecar.until(lambda: admission.expires_in_s is not None)
-        calm_s = admission.expires_in_s
+        initial_s = admission.expires_in_s
         sidecar.origin.down = True
         sidecar.cluster_view.announce_version(2, due_s=3.0)
-        await sidecar.until(lambda: admission.expires_in_s != calm_s)
-        named_s = admission.expires_in_s
+        await sidecar.until(lambda: admission.expires_in_s != initial_s)
+        announced_s = admission.expires_in_s
         sidecar.origin.down = False
-        await sidecar.until(lambda: admission.expires_in_s == calm_s)
-        return calm_s, named_s, sidecar.engine.version
+        await sidecar.until(lambda: admission.expires_in_s == initial_s)
+        return initial_s, announced_s, sidecar.engine.version
 
-    calm_s, named_s, version = run(main, engine=fakes.FakeEngine(1))
-    assert calm_s == float('inf')
-    assert named_s <= 3.0
+    initial_s, announced_s, version = run(main, engine=fakes.FakeEngine(1))
+    assert initial_s == float('inf')
+    assert announced_s <= 3.0
     assert version == 2
 
 
 def test_expiry_is_earlier_during_a_transfer():
-    """A request that waits behind them begins on a version too old."""
+    """A request queued on the link behind chunks starts too late."""
 
     async def main(sidecar):
         admission = sidecar.agent.admission
@@ -111,9 +111,9 @@
 
 
 def test_corrupted_staged_chunks_are_replaced_before_the_load():
-    """Staged chunks can turn bad after they were checked.
+    """Staged chunks are corrupted after their verification.
 
-    The engine loads what lies there, and would answer from damaged weights.
+    The engine would load them and serve damaged weights.
     """
 
     async def main(sidecar):
@@ -122,7 +122,7 @@
         async def put(model, index, data):
             await original(model, index, data)
             if len(sidecar.engine.stage) == fakes.CHUNKS - 1:
-                sidecar.engine.stage[0] = b'rotten'
+                sidecar.engine.stage[0] = b'corrupt'
                 sidecar.engine.put_chunk = original
 
         sidecar.engine.put_chunk = put
@@ -130,14 +130,14 @@
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
-    assert run(main) == whole(2)
+    assert run(main) == all_chunks(2)
 
 
 def test_restarted_sidecar_fetches_only_missing_chunks():
-    """A sidecar is killed in the middle of a transfer.
+    """A sidecar is killed during a transfer.
 
-    Its chunks lie staged beside the engine; fetched anew they would take
-    the time and the bytes of a whole copy again.
+    Its chunks are still staged; fetching them again would take the time and
+    the bytes of another copy.
     """
 
     async def main():
@@ -145,7 +145,7 @@
         sidecar.engine.stage = {
             0: fakes.chunk(2, 0),
             1: fakes.chunk(1, 1),
-            2: b'rotten',
+            2: b'corrupt',
         }
         async with sidecar.running():
             sidecar.cluster_view.announce_version(2)
@@ -153,7 +153,7 @@
         return sidecar
 
     sidecar = asyncio.run(main())
-    assert sidecar.engine.loaded == whole(2)
+    assert sidecar.engine.loaded == all_chunks(2)
     assert 0 not in sidecar.origin.sent_chunks
 
 
@@ -163,19 +163,18 @@
         await sidecar.until(lambda: sidecar.engine.version == 2)
         sidecar.engine.version = 0
         sidecar.agent._loader._ordered_at -= 10
-        given = len(sidecar.origin.sent_chunks)
+        sent_before = len(sidecar.origin.sent_chunks)
         await sidecar.until(lambda: sidecar.engine.version == 2)
-        return len(sidecar.origin.sent_chunks) - given
+        return len(sidecar.origin.sent_chunks) - sent_before
 
     assert run(main) == 0
 
 
 def test_lost_reply_to_a_load_order_never_mixes_versions():
-    """The answer to an order is lost, and a newer version is on its way.
+    """The reply to a load order is lost during the next transfer.
 
-    Whether the engine took the order is unknown. If chunks of the newer
-    version were staged now, it could load both together. They wait until
-    the order has an answer.
+    Whether the engine accepted the order is unknown. If chunks of the newer
+    version were staged now, the engine could load both versions mixed.
     """
 
     async def main(sidecar):
@@ -183,11 +182,11 @@
         original = sidecar.engine.put_chunk
 
         async def put(model, index, data):
-            staged.append((data.split(b':')[0], sidecar.engine.lost_answers))
+            staged.append((data.split(b':')[0], sidecar.engine.lost_replies))
             await original(model, index, data)
 
         sidecar.engine.put_chunk = put
-        sidecar.engine.lost_answers = 2
+        sidecar.engine.lost_replies = 2
         sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.orders)
         sidecar.cluster_view.announce_version(3)
@@ -197,14 +196,14 @@
     staged, engine = run(main)
     assert engine.orders[:3] == [2, 2, 2]
     assert all(lost == 0 for name, lost in staged if name == b'3')
-    assert engine.loaded == whole(3)
+    assert engine.loaded == all_chunks(3)
 
 
 def test_serving_engine_waits_for_its_wave(monkeypatch):
-    """All engines are whole at about the same time.
+    """All members complete a version at about the same time.
 
-    If all load at once nobody serves meanwhile; the last group goes on
-    until shortly before the version is due.
+    If all engines loaded at once, none would serve meanwhile. The last wave
+    serves until shortly before the version is due.
     """
     monkeypatch.setattr(_loader, 'LAST_WAVE_LEAD_S', 0.2)
     monkeypatch.setattr(
@@ -215,24 +214,24 @@
         sidecar.cluster_view.announce_version(2, due_s=0.8)
         chunk_store = sidecar.version_store.chunk_store(fakes.MODEL, 2)
         await sidecar.until(lambda: chunk_store.is_complete)
-        early = list(sidecar.engine.orders)
+        ordered_early = list(sidecar.engine.orders)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         left_s = (
             sidecar.cluster_view.versions[0].due_at
             - sidecar.cluster_view.now()
         )
-        return early, left_s
+        return ordered_early, left_s
 
-    early, left_s = run(main, engine=fakes.FakeEngine(version=1))
-    assert early == []
+    ordered_early, left_s = run(main, engine=fakes.FakeEngine(version=1))
+    assert ordered_early == []
     assert left_s <= 0.25
 
 
 def test_newer_version_does_not_delay_the_load(monkeypatch):
-    """Version 2 is named, and version 3 long before version 2 is due.
+    """Version 3 is announced long before version 2 is due.
 
-    Engines with version 1 get no requests once version 2 is due. Waiting
-    for the time of version 3 they would stand idle in between.
+    Engines at version 1 receive no requests once version 2 is due. If they
+    waited for the due time of version 3, they would be idle in between.
     """
     monkeypatch.setattr(
         spread.SourcePlan, 'wave', lambda self, waves: waves - 1
@@ -254,7 +253,7 @@
         async def report():
             if len(failures) < 2:
                 failures.append(1)
-                raise RuntimeError('not foreseen')
+                raise RuntimeError('unexpected')
             return await original()
 
         sidecar.engine.report = report
@@ -265,10 +264,7 @@
 
 
 def test_chunk_request_reveals_a_new_version():
-    """A sidecar is cut off from the store, but its peers reach it.
-
-    From their requests it learns that a newer version was named.
-    """
+    """A sidecar without access to the store learns versions from peers."""
 
     async def main(sidecar):
         sidecar.agent.on_chunk_request(fakes.MODEL, 7)
@@ -280,7 +276,7 @@
 def test_staged_chunks_of_the_served_version_are_offered():
     async def main():
         sidecar = Sidecar(fakes.FakeEngine(version=1))
-        sidecar.engine.stage = whole(1)
+        sidecar.engine.stage = all_chunks(1)
         sidecar.agent.on_chunk_request(fakes.MODEL, 1)
         await sidecar.until(lambda: sidecar.version_store.find(fakes.MODEL, 1))
         return sidecar.version_store.find(fakes.MODEL, 1)
@@ -289,20 +285,20 @@
 
 
 def test_transfer_is_not_dropped_for_an_unavailable_version():
-    """A newer version is named, and the origin goes away in that moment.
+    """A newer version is announced just as the origin becomes unreachable.
 
-    Peers hold all that is missing of the older one. Dropped, neither is
-    there when the older one is due, and nobody serves.
+    Peers have all missing chunks of the older version. If its transfer were
+    dropped, neither version would be complete when the older one is due.
     """
 
     async def main():
         sidecar = Sidecar(fakes.FakeEngine(version=1))
-        held = asyncio.Event()
+        resume = asyncio.Event()
         original = sidecar.origin.chunk
 
         async def chunk(model, version, index):
             if version == 2:
-                await held.wait()
+                await resume.wait()
             return await original(model, version, index)
 
         async def manifest(model, version):
@@ -318,18 +314,18 @@
             await sidecar.until(lambda: older.manifest is not None)
             sidecar.cluster_view.announce_version(3, due_s=30.0)
             await asyncio.sleep(0.1)
-            held.set()
+            resume.set()
             await sidecar.until(lambda: sidecar.engine.version == 2)
 
     asyncio.run(main())
 
 
 def test_failed_transfer_is_retried_after_a_pause():
-    """The store is away, so the members cannot be listed.
+    """An outage of the store prevents the listing of members.
 
-    While an engine is about to load its sidecar looks 20 times a second, and
-    each look began the transfer again: hundreds of calls to a store that was
-    overloaded already, and as many log lines.
+    Shortly before a load the sidecar polls 20 times a second. Each poll
+    started the transfer again: hundreds of calls to an overloaded store, and
+    as many log lines.
     """
     calls = []
 
--- a/catkinshunt/spread/tests/test_chunk_server.py
+++ b/catkinshunt/spread/tests/test_chunk_server.py
@@ -36,30 +36,33 @@
         chunk_store = version_store.chunk_store(fakes.MODEL, 2)
         chunk_store.set_manifest(fakes.manifest(2))
         chunk_store.put(3, fakes.chunk(2, 3))
-        asked = []
+        requests = []
         server = spread.ChunkServer(
             version_store,
             clock,
             100.0,
             fakes.Counter(),
-            lambda model, version: asked.append((model, version)),
+            lambda model, version: requests.append((model, version)),
         )
         await server.start('127.0.0.1', 0)
         client = spread.PeerClient(server.port, clock)
-        got = await client.chunk('127.0.0.1', fakes.MODEL, 2, [1, 3])
+        received = await client.chunk('127.0.0.1', fakes.MODEL, 2, [1, 3])
         with pytest.raises(errors.SourceBusyError):
             await client.chunk('127.0.0.1', fakes.MODEL, 2, [1])
         raw = await client.manifest('127.0.0.1', fakes.MODEL, 2)
-        return got, asked[0], raw
+        return received, requests[0], raw
 
-    got, asked, raw = asyncio.run(main())
-    assert got == (3, fakes.chunk(2, 3))
-    assert asked == (fakes.MODEL, 2)
+    received, requests, raw = asyncio.run(main())
+    assert received == (3, fakes.chunk(2, 3))
+    assert requests == (fakes.MODEL, 2)
     assert raw == fakes.manifest(2).dumps()
 
 
-def ask_server(prepare, ask):
-    """Ask a server for chunk 1 of version 2 after `prepare` of its shelf."""
+def request_chunk(prepare, method):
+    """Request chunk 1 of version 2 from a server set up by `prepare`.
+
+    Returns the type of the error, if any, and the seconds that it took.
+    """
 
     async def main():
         clock = asyncio.get_running_loop().time
@@ -76,7 +79,7 @@
         client = spread.PeerClient(server.port, clock)
         began = clock()
         try:
-            await ask(client)('127.0.0.1', fakes.MODEL, 2, [1])
+            await method(client)('127.0.0.1', fakes.MODEL, 2, [1])
         except errors.SourceBusyError as exc:
             return type(exc), clock() - began
         return None, clock() - began
@@ -92,13 +95,15 @@
 
 
 def test_member_rejects_a_version_it_does_not_fetch():
-    """A member ends the transfer of an older version first.
+    """A member finishes the transfer of an older version first.
 
-    Those who are to take chunks of the newer one from it would wait for it
-    for seconds each, as if it were about to have them.
+    Members that have it as source for the newer version would each wait for
+    seconds.
     """
-    kind, took_s = ask_server(lambda version_store: None, lambda c: c.chunk)
-    assert kind is errors.SourceUnableError
+    error, took_s = request_chunk(
+        lambda version_store: None, lambda c: c.chunk
+    )
+    assert error is errors.SourceUnableError
     assert took_s < 1.0
 
 
@@ -108,15 +113,16 @@
         chunk_store.put(1, fakes.chunk(2, 1))
         chunk_store.disable_upload()
 
-    kind, _ = ask_server(prepare, lambda c: c.chunk)
-    assert kind is errors.SourceUnableError
+    error, _ = request_chunk(prepare, lambda c: c.chunk)
+    assert error is errors.SourceUnableError
 
 
 def test_manifest_request_waits_before_the_transfer_starts():
-    """A newer version is named while the one before is on its way.
+    """A newer version is announced during a transfer.
 
-    Whoever is to pass its manifest on asks for it first and goes on with the
-    older one until then. Said not to come, it was asked of the origin by all.
+    Members probe for its manifest before they start its transfer. If they
+    rejected requests for the manifest meanwhile, all members would fetch it
+    from the origin.
     """
 
     async def main():
@@ -132,28 +138,28 @@
         )
         await server.start('127.0.0.1', 0)
         client = spread.PeerClient(server.port, clock)
-        asking = asyncio.ensure_future(
+        request = asyncio.ensure_future(
             client.manifest('127.0.0.1', fakes.MODEL, 2)
         )
         await asyncio.sleep(1.5 * _chunk_server.START_WAIT_S)
         chunk_store.set_manifest(fakes.manifest(2))
-        return await asking
+        return await request
 
     assert asyncio.run(main()) == fakes.manifest(2).dumps()
 
 
 def test_member_expecting_the_chunk_replies_busy():
-    kind, _ = ask_server(begin_transfer, lambda c: c.chunk)
-    assert kind is errors.SourceBusyError
+    error, _ = request_chunk(begin_transfer, lambda c: c.chunk)
+    assert error is errors.SourceBusyError
 
 
 def test_idle_only_request_does_not_wait():
-    """Whoever asks for what others are slow to give asks several members.
+    """Work stealing requests a chunk from several members.
 
-    Each would hold up the chunk for a second if it waited for it.
+    Each would delay the chunk by a second if it waited for it.
     """
-    kind, took_s = ask_server(begin_transfer, lambda c: c.chunk_if_idle)
-    assert kind is errors.SourceBusyError
+    error, took_s = request_chunk(begin_transfer, lambda c: c.chunk_if_idle)
+    assert error is errors.SourceBusyError
     assert took_s < 0.5
 
 
@@ -171,7 +177,7 @@
         await send_lock.acquire(0)
         tasks = [
             asyncio.ensure_future(send(name, priority))
-            for name, priority in (('leaf', 1), ('relay', 0), ('gone', 0))
+            for name, priority in (('leaf', 1), ('relay', 0), ('cancelled', 0))
         ]
         await asyncio.sleep(0)
         tasks[2].cancel()
--- a/catkinshunt/spread/tests/test_chunk_store.py
+++ b/catkinshunt/spread/tests/test_chunk_store.py
@@ -24,11 +24,11 @@
 
 
 def test_equal_requests_receive_different_chunks():
-    """With the same one first, they have nothing to pass on to each other."""
+    """Members that receive the same chunk first have nothing to exchange."""
     chunk_store = make_chunk_store([b'aa', b'bb', b'cc'])
-    given = []
+    served = []
     for _ in range(6):
         index, _ = chunk_store.find_any([0, 1, 2])
         chunk_store.count_served(index)
-        given.append(index)
-    assert sorted(given[:3]) == sorted(given[3:]) == [0, 1, 2]
+        served.append(index)
+    assert sorted(served[:3]) == sorted(served[3:]) == [0, 1, 2]
--- a/catkinshunt/spread/tests/test_loader.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -8,7 +8,7 @@
 
 
 class FixedClusterView:
-    """Tells the time, and when engines with the old version end."""
+    """A view with a fixed due time."""
 
     def __init__(self, clock, due_at):
         self.now = clock
@@ -19,7 +19,7 @@
 
 
 class Engine:
-    """A loader beside a fake engine, at a time that the test sets."""
+    """A loader of a fake engine, with a clock set by the test."""
 
     def __init__(self, version=1, wave=0, due_in_s=5.0):
         self.time = 50.0
@@ -53,18 +53,18 @@
         )
 
     def closes_in_s(self):
-        """Return when the door closes by the last word, or None."""
-        told = [
+        """Return the closing time last set, None if open."""
+        calls = [
             one for one in self.admission.calls if one[0] in ('close', 'open')
         ]
-        return told[-1][1] if told and told[-1][0] == 'close' else None
+        return calls[-1][1] if calls and calls[-1][0] == 'close' else None
 
 
 def test_engine_is_drained_while_the_version_arrives():
-    """Its turn comes with the last chunk.
+    """The engine loads as soon as the last chunk arrives.
 
-    Long answers that begin right before keep it from loading for seconds,
-    and it takes nothing new meanwhile.
+    Long requests that start right before would delay the load by seconds, in
+    which the engine accepts no other requests.
     """
 
     async def main():
@@ -85,16 +85,16 @@
         await found.step()
         return found.engine.orders, found.admission.calls[-1]
 
-    orders, told = asyncio.run(main())
+    orders, call = asyncio.run(main())
     assert orders == [2]
-    assert told == ('open',)
+    assert call == ('open',)
 
 
 def test_last_wave_skips_a_version_that_is_soon_replaced():
-    """Two versions are named four seconds apart.
+    """Two versions are announced four seconds apart.
 
-    All engines have the second one when the first is due, and would have to
-    load it in the second that is left: nobody serves meanwhile.
+    The second is complete everywhere when the first is due. All engines would
+    have to load it within one second, and none would serve meanwhile.
     """
 
     async def main(newer_complete_in_s):
@@ -111,10 +111,10 @@
 
 
 def test_skipped_version_is_loaded_if_the_newer_one_is_late():
-    """The origin went away in the middle of the newer version.
+    """The origin becomes unreachable during the newer transfer.
 
-    The engine would stand idle until it is back, with a version that it
-    could serve.
+    The engine would be idle until it is back, although it could load the
+    skipped version.
     """
 
     async def main():
@@ -139,10 +139,10 @@
 
 
 def test_stalled_transfer_has_a_long_remaining_time():
-    """One source has a narrow link, and the last chunks come through it.
+    """The last chunks come from a source with a narrow link.
 
-    By the share that is missing the version would be whole in a moment, and
-    all engines refuse what they could answer until then.
+    By the missing share alone the version would seem complete soon, and
+    drained engines would reject requests that they could serve.
     """
     progress = _progress.Progress()
     for step in range(5):
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -9,8 +9,8 @@
 
 def members(sizes, versions=None):
     return [
-        spread.Member(f'{place}{number}', place, versions or {})
-        for place, size in sizes.items()
+        spread.Member(f'{data_centre}{number}', data_centre, versions or {})
+        for data_centre, size in sizes.items()
         for number in range(size)
     ]
 
@@ -24,7 +24,7 @@
     }
 
 
-def place_of(name):
+def data_centre_of(name):
     return name[0]
 
 
@@ -45,47 +45,47 @@
         for name, plan in made.items():
             source = plan.sources(index)[0]
             outside = source == spread.ORIGIN
-            if outside or place_of(source) != place_of(name):
-                entered[place_of(name)] += 1
+            if outside or data_centre_of(source) != data_centre_of(name):
+                entered[data_centre_of(name)] += 1
         assert entered == {'a': 1, 'b': 1, 'c': 1}
 
 
 def test_uploads_are_balanced():
-    """Random owners gave some members half as much again as the mean.
+    """All members wait for the one with the most uploads.
 
-    All wait for the chunks of the busiest one, so that a copy took 7.5 s
-    where the links need 5.2 s.
+    With random owners, some uploaded 1.5 times the mean, and a copy took 7.5 s
+    instead of the 5.2 s that the links need.
     """
     made = plans(members({'a': 4, 'b': 3, 'c': 3}))
-    given = collections.Counter(
+    uploads = collections.Counter(
         plan.sources(index)[0] for plan in made.values() for index in range(96)
     )
-    del given[spread.ORIGIN]
-    mean = sum(given.values()) / 10
-    assert max(given.values()) <= 1.2 * mean
+    del uploads[spread.ORIGIN]
+    mean = sum(uploads.values()) / 10
+    assert max(uploads.values()) <= 1.2 * mean
 
 
 def test_uploads_of_owners_are_balanced_in_a_large_service():
-    """Of many members only some take chunks from the origin.
+    """In a large service only some members are owners.
 
-    With as many chunks to pass on as the others besides, they gave half as
-    much again as the mean, and a copy took 8.4 s in place of 7.0.
+    When owners relayed as many chunks as the others, they uploaded 1.5 times
+    the mean, and a copy took 8.4 s instead of 7.0 s.
     """
     made = plans(members({'a': 11, 'b': 10, 'c': 10}))
-    given = collections.Counter(
+    uploads = collections.Counter(
         plan.sources(index)[0] for plan in made.values() for index in range(96)
     )
-    del given[spread.ORIGIN]
-    mean = sum(given.values()) / 31
-    assert max(given.values()) <= 1.2 * mean
+    del uploads[spread.ORIGIN]
+    mean = sum(uploads.values()) / 31
+    assert max(uploads.values()) <= 1.2 * mean
 
 
 def test_one_failover_owner_replaces_an_unreachable_owner():
     """The owner of a chunk dies.
 
-    One member takes the chunk from the origin in its place, and the others
-    take it from that one. Were each to ask the origin, its link would carry
-    the chunk thirty times.
+    One failover owner fetches the chunk from the origin, and the others fetch
+    it from there. If each used the origin, its link would carry the chunk
+    thirty times.
     """
     made = plans(members({'a': 4, 'b': 3, 'c': 3}))
     for index in range(96):
@@ -105,9 +105,9 @@
 
 
 def test_excluded_member_fetches_only_from_peers():
-    """The link of a member is narrow, and it gives nothing.
+    """A member with a narrow link serves no chunks.
 
-    It must not wait for the origin as if others waited for it.
+    It must not fetch from the origin as an owner does.
     """
     listed = members({'a': 4, 'b': 3})
     plan = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2, 96)
@@ -126,23 +126,23 @@
 
 @pytest.mark.parametrize('connections', [1, 8, 48, 500])
 def test_number_of_origin_clients_is_limited(connections):
-    """Beyond the connections that it accepts, members would be reset."""
+    """Connections above the limit of the origin would be reset."""
     listed = members({'a': 20, 'b': 20, 'c': 20})
-    asking = set()
+    clients = set()
     for name, plan in plans(listed, connections=connections).items():
         firsts = [plan.sources(index)[0] for index in range(96)]
         if spread.ORIGIN in [*firsts, plan.manifest_sources()[0]]:
-            asking.add(name)
-    # As many may still be counted from before a loss of power.
-    assert 1 <= len(asking) <= max(1, connections // 2)
-    assert len(asking) >= min(len(listed), connections // 3)
+            clients.add(name)
+    # After a power failure the origin may count as many old connections.
+    assert 1 <= len(clients) <= max(1, connections // 2)
+    assert len(clients) >= min(len(listed), connections // 3)
 
 
 def test_duplicate_list_entries_count_once():
-    """An engine starts again under a new id while its old entry remains.
+    """A restarted engine has a new id while its old list entry remains.
 
-    Its instance is then listed twice. Counted as two, the shares did not add
-    up, and no transfer could begin until the old entry was gone.
+    When its instance counted as two members, the assignment was inconsistent,
+    and no transfer could start until the old entry was removed.
     """
     listed = members({'a': 3, 'b': 2})
     twice = [*listed, listed[0], listed[1]]
@@ -160,10 +160,10 @@
 
 
 def test_number_of_fallback_members_is_limited():
-    """Members nearby lack a chunk for the same reason as this one.
+    """Members of a data centre lack a chunk for the same reason.
 
-    Asked one by one, ten of them kept it for seconds while its owner had
-    got it.
+    Trying ten of them in turn took seconds, while the owner had received the
+    chunk.
     """
     for plan in plans(members({'a': 12})).values():
         for index in range(96):
@@ -173,8 +173,8 @@
 def test_setting_the_chunk_count_reassigns_owners():
     """The number of chunks is known only with the manifest.
 
-    Sources from before would leave chunks with owners that nobody else
-    agrees on.
+    Sources cached before would assign chunks to owners on which no other
+    member agrees.
     """
     listed = members({'a': 4, 'b': 3})
     early = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2)
@@ -187,10 +187,10 @@
 
 
 def test_lists_that_differ_by_one_member_agree_on_most_owners():
-    """A member leaves while others begin a transfer.
+    """A member leaves while others start a transfer, so their lists differ.
 
-    Their lists differ for a moment. With shares dealt out in turn, all
-    owners would differ, and each would wait for the other.
+    With owners assigned round-robin, all owners would differ, and members
+    would wait for each other.
     """
 
     def owners(listed):
@@ -225,10 +225,10 @@
 def test_shorter_gap_decides_which_version_is_fetched_first(
     missing_share, older_due_s, newer_due_s, finishes
 ):
-    """A version is named while the one before is on its way.
+    """A version is announced during the transfer of the previous one.
 
-    Dropped too early, no engine has the older one when it is due; kept too
-    long, the newer one is late. In between no request can begin.
+    If that is dropped, no engine has the older version when it is due; if it
+    continues, the newer version is late. No request can start in either gap.
     """
     assert (
         spread.finish_older_first(
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Sources that are slow, late, silent or gone."""
+"""Transfers from slow, late, unresponsive and dead sources."""
 
 import asyncio
 
@@ -13,9 +13,9 @@
 def test_chunks_queued_at_a_slow_source_fail_over(monkeypatch):
     """The link of one member is narrowed to a quarter.
 
-    It goes on giving a chunk now and then, so nothing fails; but all who
-    wait for its share are late (a copy took 15 s instead of 6). Most of its
-    share is taken elsewhere once the others are done.
+    It still sends a chunk now and then, so no request fails, but all members
+    wait for its queue (a copy took 15 s instead of 6 s). Most of the queue
+    fails over once the other queues are empty.
     """
 
     class NarrowPeers(fakes.FakePeers):
@@ -48,10 +48,9 @@
 
 
 def test_equally_slow_sources_keep_their_queues():
-    """The link of the member that fetches is narrow itself.
+    """The fetching member has a narrow link, so all sources seem slow.
 
-    Every source looks slow then; asked of the origin too, the chunks would
-    not come sooner, and its bytes are dear.
+    Fetching from the origin would not be faster, and its bytes are costly.
     """
 
     class SlowPeers(fakes.FakePeers):
@@ -69,11 +68,11 @@
 
 
 def test_members_without_the_chunk_do_not_delay_it(monkeypatch):
-    """The origin is down for longer than the owner of a chunk is asked.
+    """The origin is down for longer than the owner of a chunk is retried.
 
-    The others nearby wait for this member to pass the chunk on. Asked as
-    often as the owner, they kept it for seconds after the owner had it, and
-    whole data centres lacked one chunk of 96 when the version was due.
+    The local members wait for this one to relay the chunk. Tried as often as
+    the owner, they delayed it by seconds, and entire data centres lacked one
+    chunk of 96 when the version was due.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
     wait_s = 0.1
@@ -85,17 +84,19 @@
             return await super().chunk(peer, model, version, indices, relay)
 
     async def main():
-        nearby = ['a2', 'a3', 'a4', 'a5']
-        peers = WaitingPeers(a1={2: []}, **{name: {2: []} for name in nearby})
+        local_names = ['a2', 'a3', 'a4', 'a5']
+        peers = WaitingPeers(
+            a1={2: []}, **{name: {2: []} for name in local_names}
+        )
         found = transfers.Transfer(
             peers,
-            transfers.listed('a1', *nearby),
+            transfers.listed('a1', *local_names),
             origin_copy_s=lambda size: 4.0,
         )
         monkeypatch.setattr(
             spread.SourcePlan,
             'sources',
-            lambda self, index: ['a1', *nearby, 'origin'],
+            lambda self, index: ['a1', *local_names, 'origin'],
         )
         await found.fetcher.fetch_manifest()
         found.origin.down = True
@@ -112,8 +113,8 @@
 def test_unreachable_sources_are_retried_with_a_pause():
     """The owner of a chunk was removed, and the origin is down.
 
-    Asked without a pause, the two cost each member 60 connections and log
-    lines a second for as long as the origin was away.
+    Retried without a pause, they caused 60 connections and log lines a second
+    on each member during the outage.
     """
 
     async def main():
@@ -123,20 +124,20 @@
         found.origin.down = True
         running = asyncio.ensure_future(found.fetcher.run())
         await asyncio.sleep(1.0)
-        asked = len(found.peers.requested) + found.origin.requests
+        request_count = len(found.peers.requested) + found.origin.requests
         found.origin.down = False
         async with asyncio.timeout(5):
             await running
-        return asked
+        return request_count
 
     assert asyncio.run(main()) < 20
 
 
 def test_slow_owner_does_not_cause_origin_fetches():
-    """The origin is slow, so an owner has nothing for some seconds.
+    """The origin is slow, so an owner has no chunks for some seconds.
 
-    Had the others no patience, all would turn to the origin, and it would
-    be slower still. The owner gets its chunk after four empty answers.
+    If the others used the origin at once, it would be even slower. Here the
+    owner receives its chunk after four replies without one.
     """
 
     class LatePeers(fakes.FakePeers):
@@ -157,26 +158,26 @@
 
 
 def test_source_has_one_worker():
-    """The only source has nothing for a while.
+    """The only source has no chunks for a while.
 
-    Its chunks come back to it each time its patience ends. If each time one
-    more worker asked for them, every chunk would come several times.
+    Its queue is reassigned to it each time. If each time another worker were
+    started, every chunk would be fetched several times.
     """
-    asking = []
+    active = []
 
     class EmptyPeers(fakes.FakePeers):
         async def chunk(self, peer, model, version, indices, relay=False):
-            asking.append(1)
-            most.append(len(asking))
+            active.append(1)
+            concurrency.append(len(active))
             try:
                 await asyncio.sleep(0.005)
-                if len(most) < 40:
+                if len(concurrency) < 40:
                     raise errors.SourceBusyError('not there yet', peer=peer)
                 return await super().chunk(peer, model, version, indices)
             finally:
-                asking.pop()
+                active.pop()
 
-    most = []
+    concurrency = []
 
     def prepare(found):
         found.fetcher.plan.sources = lambda index: ['a1']
@@ -187,14 +188,14 @@
         listed=transfers.listed('a1'),
     )
     assert found.chunk_store.is_complete
-    assert max(most) == 1
+    assert max(concurrency) == 1
 
 
 def test_source_without_the_version_is_dropped_at_once():
-    """A member does not fetch the version that others await from it.
+    """A member does not fetch the version that others expect from it.
 
-    Asked again and again, as one that is about to have it, it held up its
-    share for seconds.
+    Retried like a member that is about to have it, it delayed its queue by
+    seconds.
     """
 
     class UnablePeers(fakes.FakePeers):
@@ -214,10 +215,10 @@
 
 
 def test_idle_source_steals_work_from_a_busy_one():
-    """One member has far more to give than the others.
+    """One member has a far longer queue than the others.
 
-    It stands in for some that died, and all would wait for the last of its
-    chunks, though others nearby have got them by then.
+    It is the failover owner for dead members. All would wait for its last
+    chunks, although other local members have received them by then.
     """
 
     class BusyPeers(fakes.FakePeers):
@@ -241,10 +242,10 @@
 
 
 def test_narrow_own_link_disables_uploads(monkeypatch):
-    """Far less comes here than to all others.
+    """This member receives far less than all others.
 
-    Others wait for what this member is to pass on, so it lets them take it
-    elsewhere from then on.
+    Others wait for the chunks that it should relay, so it stops serving and
+    they fetch the chunks elsewhere.
     """
     monkeypatch.setattr(_source_speeds, 'LINK_CHECK_AFTER_S', 0.01)
 
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -1,4 +1,4 @@
-"""Many members fetch one version together over slow links."""
+"""Many members fetch one version over slow links."""
 
 import asyncio
 import random
@@ -7,9 +7,9 @@
 
 import pytest
 
-#: 31 members in three data centres, as they stood in the incident.
+#: 31 members in three data centres, as in an incident.
 THREE_DATA_CENTRES = swarm.Scale({'larisa': 11, 'piraeus': 10, 'sindos': 10})
-#: The same with 12 added engines, eight of which begin late.
+#: The same with 12 added engines, eight of which start late.
 GROWN = swarm.Scale({'larisa': 13, 'piraeus': 17, 'sindos': 13})
 LATE_MEMBERS = (11, 12, 26, 27, 28, 29, 30, 42)
 #: 76 members in five data centres.
@@ -17,23 +17,23 @@
     {'larisa': 16, 'piraeus': 15, 'sindos': 15, 'patra': 15, 'iraklio': 15},
     region_mbps=12.0,
 )
-#: Times that the origin's link needs for what is missing within which the
-#: origin is to have given it, once it is back.
+#: Limit of the time in which a recovered origin sends the missing chunks, by
+#: the time that its link needs for them.
 MAX_RECOVERY_RATIO = 1.2
-#: Seconds until a sidecar that was killed is back.
+#: Seconds until a killed sidecar is restarted.
 DOWN_S = 0.8
-#: Times of one copy over the own link within which all are to have it where
-#: nothing fails, and where some die: a version is due after two and a half,
-#: and loading takes the rest.
+#: Limits of the time until the version is complete everywhere, without and
+#: with failures, in copy times of one link. It is due after 2.5 copy times;
+#: the load takes the rest.
 MAX_FAULTLESS_COPY_TIMES = 1.5
 MAX_COPY_TIMES = 2.0
-#: Copies that the origin is to send at most: a chunk once, and once more
-#: where whoever was to pass it on has died.
+#: Limit of the copies sent by the origin: each chunk once, and once more if a
+#: member died that was to relay it.
 MAX_ORIGIN_COPIES = 2.0
 
 
 class Fault:
-    """Members that are dead, begin late or have a narrow link."""
+    """Members that are dead, start late or have a narrow link."""
 
     def __init__(self, scale, numbers):
         self.swarm = swarm.Swarm(scale)
@@ -43,11 +43,11 @@
         ]
 
     async def announce_version(self, start_after_s, answering=False):
-        """Name a version; the members with a fault begin later.
+        """Announce a version; the faulty members start later.
 
         Args:
-            start_after_s: seconds after which they begin.
-            answering: they live until then, and are not dead.
+            start_after_s: seconds after which they start.
+            answering: whether they answer requests until then.
         """
         for instance in self.instances:
             instance.kill()
@@ -59,13 +59,13 @@
             instance.start(2)
 
     def narrow(self, share):
-        """Leave a share of their links to these members."""
+        """Reduce the links of the faulty members to a share."""
         for instance in self.instances:
             instance.uplink.bytes_per_s *= share
             instance.downlink.bytes_per_s *= share
 
     def completion_times_s(self):
-        """Return when the other members had the version, in order."""
+        """Return the sorted completion times of the other members."""
         others = [
             b for b in self.swarm.instances.values() if b not in self.instances
         ]
@@ -74,7 +74,7 @@
 
 
 def run_with_dead_members(scale, dead, down_s=DOWN_S):
-    """Name a version to a swarm in which some members are dead."""
+    """Announce a version while some members are dead."""
 
     async def scenario():
         fault = Fault(scale, dead)
@@ -86,7 +86,7 @@
 
 
 def check_completion(found, max_copy_times=MAX_COPY_TIMES):
-    """Hold the time of the last member and the bytes of the origin."""
+    """Check the time of the last member and the bytes of the origin."""
     completion_times_s = found.completion_times_s()
     assert len(completion_times_s) == len(found.members)
     assert completion_times_s[-1] <= max_copy_times * found.scale.copy_s
@@ -96,29 +96,27 @@
 def test_origin_sends_one_copy_without_failures():
     found = run_with_dead_members(THREE_DATA_CENTRES, dead=(), down_s=0.0)
     check_completion(found, MAX_FAULTLESS_COPY_TIMES)
-    # Beside the chunks each owner takes the manifest.
+    # Owners fetch the manifest in addition to the chunks.
     assert found.origin_copies < 1.1
 
 
 def test_dead_members_do_not_cause_many_origin_fetches():
-    """Five of 31 sidecars are killed as a version is named.
-
-    Each of the others lost the source of a fifth of its chunks and took them
-    from the origin itself, whose link carries less than one member's. It was
-    busy with the same chunks for 15 s (`Waits for 45 chunks of version 2`,
-    `origin: 12` on 18 to 25 of 31 members; 330 chunks sent of a version of
-    96), and everybody waited for it. Callers saw no answers from models once
-    the version was due.
+    """Five of 31 sidecars are killed when a version is announced.
+
+    Each of the others lost the source of a fifth of its chunks and fetched
+    them from the origin. Its link was busy for 15 s (it sent 330 chunks of a
+    version of 96), all members waited for it, and requests for the model
+    failed once the version was due.
     """
     found = run_with_dead_members(THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22))
     check_completion(found)
 
 
 def test_members_that_start_late_do_not_delay_others():
-    """Eight added engines end the transfer of an older version first.
+    """Eight added members finish the transfer of an older version first.
 
-    Others are to take a fifth of the chunks from them. They are there and
-    answer, so nothing seems to fail, and a version came after 15 s.
+    They are the sources of a fifth of the chunks. They answer, so no request
+    fails, and a version was complete only after 15 s.
     """
 
     async def scenario():
@@ -138,8 +136,8 @@
 def test_members_with_narrow_links_do_not_delay_others():
     """The links of three members are narrowed to a quarter.
 
-    They go on giving a chunk now and then; all others had the version after
-    14 to 18 s, too late for the moment at which it was due.
+    They still send a chunk now and then; all others completed the version
+    after 14 to 18 s, later than its due time.
     """
 
     async def scenario():
@@ -159,10 +157,10 @@
 
 
 def test_frozen_member_does_not_delay_others():
-    """A member stands still in the middle of a transfer, for six seconds.
+    """A member is frozen for six seconds during a transfer.
 
-    It gives no sign; whoever waits for it notices after some seconds and
-    takes its chunks from the member that stands in for it.
+    Members that wait for it time out after some seconds and fetch its chunks
+    from the failover owner.
     """
 
     async def scenario():
@@ -184,7 +182,7 @@
 
 
 def test_recovered_origin_sends_each_missing_chunk_once():
-    """While it is away, members must not scatter what nobody has."""
+    """During the outage, missing chunks must stay with their owners."""
 
     async def scenario():
         found = swarm.Swarm(FIVE_DATA_CENTRES)
@@ -193,9 +191,9 @@
         found.origin_down = True
         await asyncio.sleep(6.0)
         found.origin_down = False
-        missing = FIVE_DATA_CENTRES.chunks - len(found.origin_given)
+        missing = FIVE_DATA_CENTRES.chunks - len(found.origin_sent_counts)
         returned_at = asyncio.get_running_loop().time()
-        while len(found.origin_given) < FIVE_DATA_CENTRES.chunks:
+        while len(found.origin_sent_counts) < FIVE_DATA_CENTRES.chunks:
             await asyncio.sleep(0.01)
         took_s = asyncio.get_running_loop().time() - returned_at
         await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
@@ -205,7 +203,7 @@
         return found, took_s / needed_s
 
     found, times = swarm.run_in_virtual_time(scenario)
-    assert max(found.origin_given.values()) == 1
+    assert max(found.origin_sent_counts.values()) == 1
     assert times <= MAX_RECOVERY_RATIO
     assert len(found.completion_times_s()) == len(found.members)
 
@@ -213,7 +211,7 @@
 @pytest.mark.parametrize('unlisted_count', [1, 4])
 @pytest.mark.parametrize('seed', [1, 2])
 def test_different_member_lists_cause_no_wait_cycle(seed, unlisted_count):
-    """Each misses other members that have just come, and chooses otherwise."""
+    """Each member lacks other new members and chooses other sources."""
 
     async def scenario():
         found = swarm.Swarm(FIVE_DATA_CENTRES)
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -19,10 +19,10 @@
 
 
 def test_origin_connections_are_released():
-    """The origin takes few connections in all.
+    """The origin accepts few connections.
 
-    Kept open by members that need them no more, they were missing to others
-    for the rest of a transfer.
+    Connections kept open by members that no longer need them block other
+    members for the rest of a transfer.
     """
     assert transfers.transfer().origin.released >= 2
 
@@ -37,10 +37,10 @@
 
 
 def test_corrupt_chunk_is_fetched_again():
-    """The origin sends a chunk that was damaged on its way.
+    """A chunk from the origin was corrupted in transit.
 
-    Loaded, it would give answers from damaged weights; its digest differs,
-    so it is dropped and asked for again.
+    An engine that loads it would serve damaged weights. Its digest differs, so
+    it is dropped and fetched again.
     """
     found = transfers.transfer(lambda t: t.origin.corrupt.update({1, 4}))
     assert found.chunk_store.is_complete
@@ -58,10 +58,9 @@
 
 
 def test_dead_member_is_replaced():
-    """A member dies while it owes chunks to others.
+    """A member dies while it is the source of chunks for others.
 
-    They notice that it does not answer and take its chunks elsewhere; the
-    transfer must not wait for it.
+    The transfer must fetch them elsewhere instead of waiting for it.
     """
     peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.dead.add('a1')
@@ -73,10 +72,10 @@
 
 
 def test_member_that_never_receives_its_chunks_is_replaced():
-    """A member lives but is cut off from the origin.
+    """A member is running, but has no access to the origin.
 
-    It answers that it has no chunk yet, for ever. After a few times its
-    share is taken elsewhere.
+    It always replies that no chunk is available yet. After a few attempts its
+    queue is fetched elsewhere.
     """
     found = transfers.transfer(
         peers=fakes.FakePeers(), listed=transfers.listed('a1')
@@ -85,11 +84,11 @@
 
 
 def test_members_wait_for_owners_while_the_origin_is_down(monkeypatch):
-    """The origin goes down in the middle of a transfer.
+    """The origin goes down during a transfer.
 
-    Owners lack some chunks, and all others wait for them. When it is back,
-    the owners must get them first: asked by every member for the same
-    chunks, it would take seconds to answer any of them.
+    Owners lack some chunks, and all others wait for them. After the outage the
+    owners must fetch them first: if every member requested the same chunks,
+    the origin would take seconds for each.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
@@ -99,9 +98,9 @@
             return await super().chunk(peer, model, version, indices, relay)
 
     async def main():
-        held = {2: [0, 1, 2]}
+        stored = {2: [0, 1, 2]}
         found = transfers.Transfer(
-            PatientPeers(a1=held), transfers.listed('a1')
+            PatientPeers(a1=stored), transfers.listed('a1')
         )
         monkeypatch.setattr(
             spread.SourcePlan, 'sources', lambda self, index: ['a1', 'origin']
@@ -112,7 +111,7 @@
         await asyncio.sleep(0.3)
         found.origin.down = False
         await asyncio.sleep(0.3)
-        held[2] = range(fakes.CHUNKS)
+        stored[2] = range(fakes.CHUNKS)
         async with asyncio.timeout(5):
             await running
         return found
@@ -123,30 +122,29 @@
 
 
 def test_owner_detects_origin_recovery_at_once(monkeypatch):
-    """A version is named while the origin is away for seconds.
+    """A version is announced while the origin is down for seconds.
 
-    Until its manifest is here nothing is fetched, and the time that passes
-    after the return of the origin is missing when the version is due.
+    No chunk is fetched without the manifest, so a late retry after the outage
+    would delay the entire transfer.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
         found = transfers.Transfer(fakes.FakePeers(), [])
         found.origin.down = True
-        asking = asyncio.ensure_future(found.fetcher.fetch_manifest())
+        request = asyncio.ensure_future(found.fetcher.fetch_manifest())
         await asyncio.sleep(0.05)
         found.origin.down = False
         async with asyncio.timeout(_source_health.EXCLUSION_S / 3):
-            await asking
+            await request
 
     asyncio.run(main())
 
 
 def test_long_transfer_logs_pending_sources(monkeypatch):
-    """The only source has nothing, so a version does not come.
+    """The only source lacks a chunk, so the transfer does not end.
 
-    Without a line on it the log is silent until the transfer ends, and
-    nobody can tell which source everyone waits for.
+    Without a log line in between, the blocking source could not be found.
     """
     monkeypatch.setattr(_fetcher, 'REPORT_INTERVAL_S', 0.01)
     lines = []
@@ -165,15 +163,15 @@
         asyncio.run(main())
     finally:
         loguru.logger.remove(sink)
-    (told,) = [line for line in lines if 'waits_for' in line]
-    assert told['waits_for'] == {'a1': 1}
-    assert told['given'] == {'a1': fakes.CHUNKS - 1}
+    (reported,) = [line for line in lines if 'waits_for' in line]
+    assert reported['waits_for'] == {'a1': 1}
+    assert reported['given'] == {'a1': fakes.CHUNKS - 1}
 
 
 def test_damaged_manifest_is_dropped():
-    """The manifest itself is damaged on its way, so no chunk ever fits.
+    """The manifest was corrupted in transit, so no chunk matches it.
 
-    Without this the transfer would refuse good chunks for ever.
+    The transfer would reject valid chunks forever.
     """
 
     async def main():
--- a/catkinshunt/spread/tests/test_wait_graph.py
+++ b/catkinshunt/spread/tests/test_wait_graph.py
@@ -11,11 +11,11 @@
 
 
 def test_all_members_find_the_same_cycle():
-    """Were each to name others, several would turn to the origin."""
+    """Otherwise several members would fetch the chunk from the origin."""
     names = ('a', 'b', 'c')
     found = []
-    for place, me in enumerate(names):
-        source, last = names[(place + 1) % 3], names[(place + 2) % 3]
+    for position, me in enumerate(names):
+        source, last = names[(position + 1) % 3], names[(position + 2) % 3]
         wait_graph = _wait_graph.WaitGraph()
         wait_graph.set_source(3, source)
         wait_graph.extend_chain(3, source, (last, me))
--- a/catkinshunt/spread/tests/transfers.py
+++ b/catkinshunt/spread/tests/transfers.py
@@ -1,4 +1,4 @@
-"""Runs one transfer to one member, with its surroundings in memory."""
+"""Runs one transfer to one member with in-memory fakes."""
 
 import asyncio
 
@@ -42,7 +42,7 @@
 
 
 def transfer(prepare=lambda found: None, **options):
-    """Run a transfer after `prepare` has changed it; returns it."""
+    """Run a transfer modified by `prepare`, and return it."""
 
     async def main():
         found = Transfer(**options)
