--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -207,9 +207,9 @@
             if chunk_store.is_complete
             and served < chunk_store.version <= target.version
         ]
-        return max(complete, key=lambda h: h.version, default=None)
+        return max(complete, key=lambda store: store.version, default=None)
 
-    # Transfers.
+    # Transfers of versions.
 
     def _is_transferring(self):
         return self._transfer is not None and not self._transfer.done()
@@ -304,15 +304,15 @@
             await self._fetch_version(target, chunk_store)
             return
         except errors.CatkinshuntError as exc:
-            _log.warning('A transfer failed: {}.', exc, version=target.version)
+            _log.warning('Transfer failed: {}.', exc, version=target.version)
         except ExceptionGroup as group:
             _log.warning(
-                'A transfer failed: {!r}.',
+                'Transfer failed: {!r}.',
                 group.exceptions[0],
                 version=target.version,
             )
         except Exception:
-            _log.exception('A transfer failed.')
+            _log.exception('Transfer failed.')
         finally:
             chunk_store.end_transfer()
         self._retry_at = self.clock() + RETRY_S
--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -162,7 +162,7 @@
             may_serve = self._send_lock.is_free
         else:
             self._note_requester(req.headers.get(REQUESTER_HEADER), found)
-            chunk_store = await self._wait_for(model, version, indices)
+            chunk_store = await self._wait_for_chunk(model, version, indices)
             may_serve = True
         if (
             not may_serve
@@ -206,7 +206,7 @@
                 index, requester, self.clock()
             )
 
-    async def _wait_for(self, model, version, indices):
+    async def _wait_for_chunk(self, model, version, indices):
         """Wait for one of the chunks; return the `ChunkStore` or None."""
         end_at = self.clock() + MAX_WAIT_S
         begin_at = self.clock() + START_WAIT_S
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -176,7 +176,9 @@
     def of_model(self, model):
         """Return the `ChunkStore` objects of a model."""
         return [
-            h for (name, _), h in self._chunk_stores.items() if name == model
+            chunk_store
+            for (name, _), chunk_store in self._chunk_stores.items()
+            if name == model
         ]
 
     def find(self, model, version):
@@ -213,7 +215,7 @@
     """
     if manifest.model != model or manifest.version != str(version):
         raise errors.ManifestError(
-            f'is of {manifest.model} version {manifest.version}',
+            f'manifest belongs to {manifest.model} version {manifest.version}',
             step='read manifest',
         )
     return manifest
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -94,13 +94,13 @@
                 with all chunks verified with it.
         """
         self._apply_manifest(self.chunk_store.manifest)
-        reports = asyncio.ensure_future(self._report())
+        report_task = asyncio.ensure_future(self._report())
         try:
             async with asyncio.TaskGroup() as self._group:
                 for index in self.chunk_store.missing:
                     self._assign(index)
         finally:
-            reports.cancel()
+            report_task.cancel()
 
     async def _report(self):
         """Log periodically which sources the transfer waits for.
@@ -438,6 +438,6 @@
             return
         self.chunk_store.clear()
         raise errors.ManifestError(
-            f'{self._corrupt_in_row} chunks in a row differ from it',
+            f'manifest differs from {self._corrupt_in_row} consecutive chunks',
             step='fetch chunk',
         )
