--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -1,4 +1,4 @@
-"""Brings the engine of one sidecar to the version that is wanted."""
+"""Reconciles the engine of one sidecar with its target version."""
 
 import asyncio
 import math
@@ -7,31 +7,30 @@
 
 from catkinshunt import errors
 from catkinshunt import logs
-from catkinshunt.spread import _fetcher
 from catkinshunt.spread import _chunk_store
+from catkinshunt.spread import _fetcher
 from catkinshunt.spread import _loader
 from catkinshunt.spread import _plan
 from catkinshunt.spread import _progress
 from catkinshunt.spread import _staging
 from catkinshunt.spread import base
 
-#: Pause between looks at the engine, in seconds, and while it is being
-#: emptied or loads: it stands idle until its end is seen.
-LOOK_S = 0.25
-LOADING_LOOK_S = 0.05
-#: Pause after a transfer that failed, in seconds. Without it one that cannot
-#: begin, since the list of members cannot be read, is tried 20 times a second
-#: by all members, for as long as the store is away.
-AGAIN_S = 0.4
-#: Seconds for which the manifest of a newer version is asked for before the
-#: other one goes on without it, to be asked again at the next look.
-ASK_S = 2.0
-#: Time of one copy over the time that the link alone would need: heads,
-#: checks and other traffic share it.
+#: Polling interval of the engine, and while it drains or loads: the engine
+#: stays idle until the end of the load is detected.
+POLL_S = 0.25
+LOADING_POLL_S = 0.05
+#: Pause after a failed transfer. Without it, all members retry a transfer
+#: that cannot start 20 times a second during an outage of the store.
+RETRY_S = 0.4
+#: Time limit of one probe for the manifest of a newer version. The transfer
+#: in progress continues, and the next poll starts another probe.
+MANIFEST_TIMEOUT_S = 2.0
+#: Transfer time of a copy relative to that at full link speed: headers,
+#: verification and other traffic add to it.
 COPY_OVERHEAD = 1.2
-#: Seconds for which a request may wait on its way here behind the chunks of a
-#: transfer. It would begin on a version that is too old by then.
-BUSY_LINK_S = 0.5
+#: Time for which a request may be queued on the link behind chunks. Without
+#: this margin it would start on an expired version.
+LINK_QUEUE_S = 0.5
 
 _log = logs.get_logger('agent')
 
@@ -41,7 +40,7 @@
     """A version that the engine should serve.
 
     Attributes:
-        due_at: when requests need it, on the clock of the catalog.
+        due_at: time at which requests need it, on the catalog's clock.
     """
 
     model: str
@@ -50,234 +49,245 @@
 
 
 class Agent:
-    """Fetches wanted versions, gives them to peers, and orders loads.
+    """Fetches target versions, serves them to peers and orders loads.
 
     Args:
-        me: `Member` of this sidecar.
-        outlook: `BaseClusterView` on the operator's wishes and the members.
+        local_member: `Member` of this sidecar.
+        cluster_view: `BaseClusterView`.
         engine: `base.BaseEngine`.
         origin: `base.BaseOrigin`.
         peers: `PeerClient`.
-        shelf: `VersionStore`.
-        clock: gives seconds on the steady clock.
+        version_store: `VersionStore`.
+        clock: returns seconds on the steady clock.
         link_mbps: speed of the instance's link.
-        counter: counts bytes by source.
-        door: `places.BaseAdmission` that lets requests in to the engine.
+        byte_counter: counts bytes by source.
+        admission: `places.BaseAdmission` of the engine.
     """
 
     def __init__(
-        self, me, outlook, engine, origin, peers, version_store, clock, link_mbps,
-        counter, door,
+        self, local_member, cluster_view, engine, origin, peers,
+        version_store, clock, link_mbps, byte_counter, admission,
     ):  # fmt: skip
-        self.me = me
-        self.outlook = outlook
+        self.local_member = local_member
+        self.cluster_view = cluster_view
         self.engine = engine
         self.origin = origin
         self.peers = peers
         self.version_store = version_store
         self.clock = clock
         self.link_mbps = link_mbps
-        self.counter = counter
-        self.door = door
+        self.byte_counter = byte_counter
+        self.admission = admission
         self._transfer = None
-        self._again_at = -math.inf
-        self._asking = None
-        self._fetching = None
-        self._providing = set()
+        self._retry_at = -math.inf
+        self._manifest_probe = None
+        self._transfer_target = None
+        self._offering = set()
         self._progress = {}
-        self._news = asyncio.Event()
-        self._stage_turn = asyncio.Lock()
+        self._wakeup = asyncio.Event()
+        self._staging_lock = asyncio.Lock()
         self._loader = _loader.Loader(
-            engine, outlook, door, clock, self._stage_turn
+            engine, cluster_view, admission, clock, self._staging_lock
         )
         self._outage = logs.Outage(
-            _log, 'The engine is lost: {}.', 'The engine is back.'
+            _log, 'Engine unreachable: {}.', 'Engine reachable again.'
         )
 
     async def run(self):
-        """Keep the engine at the wanted version until cancelled."""
+        """Keep the engine at its target version until cancelled."""
         while True:
             try:
-                await self._look()
+                await self._reconcile()
             except errors.CatkinshuntError as exc:
                 self._outage.begin(exc)
             except Exception:
-                # An unforeseen error must not end the care for the engine;
-                # it would keep an old version until requests are refused.
-                _log.exception('Could not look after the engine.')
+                # If the loop ended, the engine would keep an old version
+                # until its requests are rejected.
+                _log.exception('Unexpected error in the agent loop.')
             await self._pause()
 
     async def _pause(self):
-        """Wait until the next look, a new version, or a whole one."""
-        named = asyncio.ensure_future(self.outlook.wait_for_version())
-        news = asyncio.ensure_future(self._news.wait())
+        """Wait for the next poll, a new version or a completed transfer."""
+        announced = asyncio.ensure_future(self.cluster_view.wait_for_version())
+        wakeup = asyncio.ensure_future(self._wakeup.wait())
         try:
             await asyncio.wait(
-                (named, news),
-                timeout=LOADING_LOOK_S if self._loader.is_busy else LOOK_S,
+                (announced, wakeup),
+                timeout=LOADING_POLL_S
+                if self._loader.is_load_near
+                else POLL_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            named.cancel()
-            news.cancel()
-            self._news.clear()
+            announced.cancel()
+            wakeup.cancel()
+            self._wakeup.clear()
 
     def on_chunk_request(self, model, version):
-        """Learn of a version from a peer that asks for it.
+        """Record the version that a peer requested, and offer it if served.
 
-        A sidecar that is cut off from the store hears of new versions so.
+        A sidecar without access to the store learns of new versions this way.
         """
-        self.outlook.note_version(model, version)
+        self.cluster_view.note_version(model, version)
         chunk_store = self.version_store.find(model, version)
-        if chunk_store is None and (model, version) not in self._providing:
-            self._providing.add((model, version))
-            asyncio.ensure_future(self._provide(model, version))
+        if chunk_store is None and (model, version) not in self._offering:
+            self._offering.add((model, version))
+            asyncio.ensure_future(self._offer_staged(model, version))
 
-    async def _look(self):
+    async def _reconcile(self):
         report = await self.engine.report()
         self._outage.end()
-        self.door.reconcile(report.request_count)
-        self._loader.note(report)
-        self._expire(report)
-        wanted = await self.outlook.target_version(report)
-        if wanted is None:
+        self.admission.reconcile(report.request_count)
+        self._loader.observe(report)
+        self._update_expiry(report)
+        target = await self.cluster_view.target_version(report)
+        if target is None:
             return
-        if report.versions.get(wanted.model) == wanted.version:
+        if report.versions.get(target.model) == target.version:
             return
-        if not self._holding_of(wanted).is_complete:
-            self._fetch(wanted)
-        await self._move(report, wanted)
+        if not self._chunk_store_of(target).is_complete:
+            self._start_transfer(target)
+        await self._advance(report, target)
 
-    def _expire(self, report):
-        """Let no request begin once the engine's version is too old."""
+    def _update_expiry(self, report):
+        """Set the time after which no request may start on this version."""
         times = [
-            self.outlook.expires_at(model, version)
+            self.cluster_view.expires_at(model, version)
             for model, version in report.versions.items()
         ]
-        expires_in_s = min(times, default=math.inf) - self.outlook.now()
-        if self._is_fetching():
-            expires_in_s -= BUSY_LINK_S
-        self.door.set_expiry(expires_in_s)
-
-    async def _move(self, report, wanted):
-        """Bring the engine to the next version that it can have."""
-        ready = self._newest_whole(report, wanted)
-        newest = self._holding_of(wanted)
-        if ready is None and self._fetching is not None:
-            ready = self._holding_of(self._fetching)
-        serves = report.versions.get(wanted.model, 0)
-        if ready is None or ready.manifest is None or ready.version <= serves:
+        expires_in_s = min(times, default=math.inf) - self.cluster_view.now()
+        if self._is_transferring():
+            expires_in_s -= LINK_QUEUE_S
+        self.admission.set_expiry(expires_in_s)
+
+    async def _advance(self, report, target):
+        """Advance the engine to the newest version available."""
+        ready = self._newest_complete(report, target)
+        newest = self._chunk_store_of(target)
+        if ready is None and self._transfer_target is not None:
+            ready = self._chunk_store_of(self._transfer_target)
+        served = report.versions.get(target.model, 0)
+        if ready is None or ready.manifest is None or ready.version <= served:
             return
         newer_s = math.inf
         if ready is not newest:
-            newer_s = self._whole_in_s(newest)
+            newer_s = self._complete_in_s(newest)
         await self._loader.step(
-            report, ready, self._whole_in_s(ready), newer_s
+            report, ready, self._complete_in_s(ready), newer_s
         )
 
-    def _whole_in_s(self, chunk_store):
-        """Return in how many seconds a version is likely to be whole."""
+    def _complete_in_s(self, chunk_store):
+        """Return the estimated seconds until a version is complete."""
         if chunk_store.manifest is None:
             return math.inf
         if chunk_store.is_complete:
             return 0.0
-        # Engines are emptied by this time. One source with a narrow link can
-        # hold up the last chunks for seconds, and nobody serves meanwhile.
+        # Engines drain ahead of this time. A source with a narrow link can
+        # delay the last chunks by seconds, in which a drained engine is idle.
         progress = self._progress.setdefault(
             (chunk_store.model, chunk_store.version), _progress.Progress()
         )
         now = self.clock()
-        progress.see(chunk_store.left_share, now)
+        progress.add_sample(chunk_store.missing_share, now)
         copy_s = self._copy_s(chunk_store.manifest.size_bytes)
-        return max(chunk_store.left_share * copy_s, progress.end_in_s(now))
+        return max(
+            chunk_store.missing_share * copy_s, progress.remaining_s(now)
+        )
 
-    def _newest_whole(self, report, wanted):
-        """Return the newest whole `ChunkStore` that the engine lacks, or None.
+    def _newest_complete(self, report, target):
+        """Return the newest complete `ChunkStore` above the served version.
 
-        A version that was named before the wanted one counts too: requests
-        may need it before the wanted one has come.
+        Versions before the target count too: requests may need them before
+        the target is complete. None if there is none.
         """
-        serves = report.versions.get(wanted.model, 0)
-        whole = [
+        served = report.versions.get(target.model, 0)
+        complete = [
             chunk_store
-            for chunk_store in self.version_store.of(wanted.model)
+            for chunk_store in self.version_store.of_model(target.model)
             if chunk_store.is_complete
-            and serves < chunk_store.version <= wanted.version
+            and served < chunk_store.version <= target.version
         ]
-        return max(whole, key=lambda h: h.version, default=None)
+        return max(complete, key=lambda store: store.version, default=None)
 
-    # Transfers.
+    # Transfers of versions.
 
-    def _is_fetching(self):
+    def _is_transferring(self):
         return self._transfer is not None and not self._transfer.done()
 
-    def _fetch(self, wanted):
-        """Begin the transfer of `target_version` unless another one goes first."""
-        if self._is_fetching():
-            if self._fetching.version == wanted.version:
+    def _start_transfer(self, target):
+        """Start a transfer unless another one has precedence."""
+        if self._is_transferring():
+            if self._transfer_target.version == target.version:
                 return
-            if self._finishes_first(wanted) or not self._can_be_had(wanted):
+            if self._finishes_older_first(target) or not self._is_available(
+                target
+            ):
                 return
             _log.info(
                 'Dropped version {} for version {}.',
-                self._fetching.version,
-                wanted.version,
-                left_share=self._holding_of(self._fetching).left_share,
+                self._transfer_target.version,
+                target.version,
+                left_share=self._chunk_store_of(
+                    self._transfer_target
+                ).missing_share,
             )
             self._transfer.cancel()
-        elif self.clock() < self._again_at:
+        elif self.clock() < self._retry_at:
             return
-        self._fetching = wanted
-        self._forget_progress()
-        self._transfer = asyncio.ensure_future(self._run_transfer(wanted))
+        self._transfer_target = target
+        self._prune_progress()
+        self._transfer = asyncio.ensure_future(self._run_transfer(target))
 
-    def _can_be_had(self, newer):
-        """Return whether a source gives the newer version.
+    def _is_available(self, newer):
+        """Return whether the manifest of the newer version is here.
 
-        The origin may be away. Dropped for a version that cannot be had, the
-        older one is missing too when it is due, and nobody serves until the
-        origin is back and the newer one has come: eight seconds instead of
-        three.
+        Otherwise probes for it. If the older transfer were dropped while the
+        origin is unreachable, neither version would be complete when due, and
+        the gap without a serving engine would last 8 s instead of 3 s.
         """
-        if self._holding_of(newer).manifest is not None:
+        if self._chunk_store_of(newer).manifest is not None:
             return True
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.ensure_future(self._ask_for(newer))
+        if self._manifest_probe is None or self._manifest_probe.done():
+            self._manifest_probe = asyncio.ensure_future(
+                self._probe_manifest(newer)
+            )
         return False
 
-    async def _ask_for(self, newer):
-        """Fetch the manifest of a version while another is on its way."""
+    async def _probe_manifest(self, newer):
+        """Fetch the manifest of a version during another transfer."""
         try:
-            plan = await self._plan(newer.model, newer.version)
-            fetcher = self._fetcher(self._holding_of(newer), plan)
-            async with asyncio.timeout(ASK_S):
+            plan = await self._make_plan(newer.model, newer.version)
+            fetcher = self._make_fetcher(self._chunk_store_of(newer), plan)
+            async with asyncio.timeout(MANIFEST_TIMEOUT_S):
                 await fetcher.fetch_manifest()
-            self._news.set()
+            self._wakeup.set()
         except (errors.CatkinshuntError, TimeoutError) as exc:
             _log.warning(
-                'Version {} cannot be had yet: {!r}.', newer.version, exc
+                'Version {} is not available yet: {!r}.', newer.version, exc
             )
 
-    def _forget_progress(self):
-        """Drop the progress of versions that are not kept any more."""
+    def _prune_progress(self):
+        """Drop the progress of evicted versions."""
         kept = {
             (chunk_store.model, chunk_store.version)
-            for chunk_store in self.version_store.of(self._fetching.model)
+            for chunk_store in self.version_store.of_model(
+                self._transfer_target.model
+            )
         }
         for key in set(self._progress) - kept:
             del self._progress[key]
 
-    def _holding_of(self, wanted):
-        return self.version_store.chunk_store(wanted.model, wanted.version)
+    def _chunk_store_of(self, target):
+        return self.version_store.chunk_store(target.model, target.version)
 
-    def _finishes_first(self, newer):
-        older = self._fetching
-        chunk_store = self._holding_of(older)
+    def _finishes_older_first(self, newer):
+        older = self._transfer_target
+        chunk_store = self._chunk_store_of(older)
         if chunk_store.manifest is None:
             return False
-        now = self.outlook.now()
+        now = self.cluster_view.now()
         return _plan.finish_older_first(
-            chunk_store.left_share,
+            chunk_store.missing_share,
             self._copy_s(chunk_store.manifest.size_bytes),
             _loader.LOAD_S,
             older.due_at - now,
@@ -287,61 +297,61 @@
     def _copy_s(self, size):
         return size / (self.link_mbps * base.BYTES_PER_MBIT) * COPY_OVERHEAD
 
-    async def _run_transfer(self, wanted):
-        chunk_store = self._holding_of(wanted)
-        chunk_store.begin()
+    async def _run_transfer(self, target):
+        chunk_store = self._chunk_store_of(target)
+        chunk_store.begin_transfer()
         try:
-            await self._bring(wanted, chunk_store)
+            await self._fetch_version(target, chunk_store)
             return
         except errors.CatkinshuntError as exc:
-            _log.warning('A transfer failed: {}.', exc, version=wanted.version)
+            _log.warning('Transfer failed: {}.', exc, version=target.version)
         except ExceptionGroup as group:
             _log.warning(
-                'A transfer failed: {!r}.',
+                'Transfer failed: {!r}.',
                 group.exceptions[0],
-                version=wanted.version,
+                version=target.version,
             )
         except Exception:
-            _log.exception('A transfer failed.')
+            _log.exception('Transfer failed.')
         finally:
-            chunk_store.end()
-        self._again_at = self.clock() + AGAIN_S
+            chunk_store.end_transfer()
+        self._retry_at = self.clock() + RETRY_S
 
-    async def _bring(self, wanted, chunk_store):
-        """Fetch a version until it is whole."""
+    async def _fetch_version(self, target, chunk_store):
+        """Fetch a version completely."""
         began = self.clock()
-        plan = await self._plan(wanted.model, wanted.version)
-        fetcher = self._fetcher(chunk_store, plan)
+        plan = await self._make_plan(target.model, target.version)
+        fetcher = self._make_fetcher(chunk_store, plan)
         await fetcher.fetch_manifest()
-        self._loader.set_wave(wanted.version, plan.wave(_loader.WAVES))
-        # After a restart most chunks may lie beside the engine already.
+        self._loader.set_wave(target.version, plan.wave(_loader.WAVES))
+        # After a restart most chunks may be staged already.
         restored = await _staging.restore_staged(chunk_store, self.engine)
         await fetcher.run()
-        self._news.set()
+        self._wakeup.set()
         _log.info(
             'Version {} of {} is whole.',
-            wanted.version,
-            wanted.model,
+            target.version,
+            target.model,
             took_s=round(self.clock() - began, 3),
             restored=restored,
         )
 
-    async def _plan(self, model, version):
+    async def _make_plan(self, model, version):
         members, connections = await asyncio.gather(
-            self.outlook.members(), self.outlook.origin_connections()
+            self.cluster_view.members(), self.cluster_view.origin_connections()
         )
         return _plan.SourcePlan(
-            self.me,
+            self.local_member,
             members,
-            self.outlook.regions,
+            self.cluster_view.regions,
             model,
             version,
             connections=connections or _plan.UNKNOWN_CONNECTIONS,
         )
 
-    def _fetcher(self, chunk_store, plan):
-        async def keep(index, data):
-            async with self._stage_turn:
+    def _make_fetcher(self, chunk_store, plan):
+        async def stage_chunk(index, data):
+            async with self._staging_lock:
                 await self.engine.put_chunk(chunk_store.model, index, data)
 
         return _fetcher.Fetcher(
@@ -350,27 +360,32 @@
             self.peers,
             self.origin,
             self.clock,
-            keep,
-            self.counter,
+            stage_chunk,
+            self.byte_counter,
             self._copy_s,
-            self.outlook.origin_copy_s,
+            self.cluster_view.origin_copy_s,
         )
 
-    # Giving to peers what the engine has.
+    # Serving the version that the engine has loaded.
 
-    async def _provide(self, model, version):
-        """Put what is staged beside the engine within reach of peers."""
+    async def _offer_staged(self, model, version):
+        """Serve the staged chunks of the loaded version to peers."""
         try:
             report = await self.engine.report()
             if report.versions.get(model) != version:
                 return
-            plan = await self._plan(model, version)
+            plan = await self._make_plan(model, version)
             chunk_store = _chunk_store.ChunkStore(model, version)
-            await self._fetcher(chunk_store, plan).fetch_manifest()
-            taken = await _staging.restore_staged(chunk_store, self.engine)
+            await self._make_fetcher(chunk_store, plan).fetch_manifest()
+            restored = await _staging.restore_staged(chunk_store, self.engine)
             self.version_store.add(chunk_store)
-            _log.info('Gives version {} of {}.', version, model, chunks=taken)
+            _log.info(
+                'Serves version {} of {} to peers.',
+                version,
+                model,
+                chunks=restored,
+            )
         except errors.CatkinshuntError as exc:
-            _log.warning('Cannot give version {}: {}.', version, exc)
+            _log.warning('Cannot serve version {} to peers: {}.', version, exc)
         finally:
-            self._providing.discard((model, version))
+            self._offering.discard((model, version))
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -1,4 +1,4 @@
-"""The chunks of one version that a sidecar has in memory."""
+"""Chunks that a sidecar has in memory, by version."""
 
 import asyncio
 import collections
@@ -17,118 +17,125 @@
     Attributes:
         manifest: `weights.Manifest` of the version.
         chunks: bytes by index.
-        filled: a transfer fills it now.
-        is_slow: far less comes here than elsewhere, so nothing is given.
-        waits: who waits for whom.
+        is_filling: a transfer is in progress.
+        is_upload_disabled: chunks are not served, since this instance's link
+            is too narrow.
+        wait_graph: which members wait for each other.
     """
 
     model: str
     version: int
     manifest: object = None
     chunks: dict = attrs.field(factory=dict)
-    filled: bool = False
-    is_slow: bool = False
-    waits: _wait_graph.Waits = attrs.field(factory=_wait_graph.Waits)
-    _given: collections.Counter = attrs.field(factory=collections.Counter)
-    _changes: notifier.Notifier = attrs.field(factory=notifier.Notifier)
+    is_filling: bool = False
+    is_upload_disabled: bool = False
+    wait_graph: _wait_graph.WaitGraph = attrs.field(
+        factory=_wait_graph.WaitGraph
+    )
+    _served_counts: collections.Counter = attrs.field(
+        factory=collections.Counter
+    )
+    _notifier: notifier.Notifier = attrs.field(factory=notifier.Notifier)
 
     @property
     def missing(self):
-        """Indices of the chunks that are not here, in order."""
+        """Sorted indices of the missing chunks; None without a manifest."""
         if self.manifest is None:
             return None
-        every = range(len(self.manifest.chunks))
-        return [index for index in every if index not in self.chunks]
+        all_indices = range(len(self.manifest.chunks))
+        return [index for index in all_indices if index not in self.chunks]
 
     @property
     def is_complete(self):
-        """Whether all chunks are here."""
+        """Whether all chunks are present and verified."""
         return self.manifest is not None and not self.missing
 
     @property
-    def left_share(self):
-        """Share of the chunks that is missing, from 0 to 1."""
+    def missing_share(self):
+        """Fraction of the chunks that is missing, from 0 to 1."""
         if self.manifest is None:
             return 1.0
         return len(self.missing) / len(self.manifest.chunks)
 
     def put(self, index, data):
-        """Add a chunk after checking it.
+        """Verify a chunk and add it.
 
         Raises:
-            errors.CorruptChunkError: it is not the chunk of the manifest.
+            errors.CorruptChunkError: its digest differs from the manifest.
         """
         self.chunks[index] = self.manifest.check(index, data)
-        self._changes.notify_all()
+        self._notifier.notify_all()
 
-    def describe(self, manifest):
-        """Take over the manifest."""
+    def set_manifest(self, manifest):
         self.manifest = manifest
-        self._changes.notify_all()
+        self._notifier.notify_all()
 
-    def awaits(self, indices):
-        """Return whether one of these comes here soon, to be passed on.
+    def is_expecting(self, indices):
+        """Return whether one of these chunks is about to be available.
 
-        The manifest comes before the transfer begins: a newer version takes
-        the place of the one before only when its manifest is here.
+        The manifest is always expected: a transfer of a newer version starts
+        only once its manifest is present.
         """
         if MANIFEST_INDEX in indices:
             return True
-        return self.filled and not self.is_slow
+        return self.is_filling and not self.is_upload_disabled
 
-    def begin(self):
-        """Note that a transfer fills it from now on."""
-        self.filled = True
+    def begin_transfer(self):
+        """Mark the start of a transfer."""
+        self.is_filling = True
 
-    def end(self):
-        """Note that no transfer fills it any more."""
-        self.filled = False
-        self._changes.notify_all()
+    def end_transfer(self):
+        """Mark the end of a transfer and wake waiting requests."""
+        self.is_filling = False
+        self._notifier.notify_all()
 
-    def give_nothing(self):
-        """Let others take all chunks elsewhere from now on."""
-        self.is_slow = True
-        self._changes.notify_all()
+    def disable_upload(self):
+        """Stop serving chunks; peers fetch them from other members."""
+        self.is_upload_disabled = True
+        self._notifier.notify_all()
 
-    def forget(self):
-        """Drop the manifest and all chunks that were checked by it."""
+    def clear(self):
+        """Drop the manifest and all chunks that were verified with it."""
         self.manifest = None
         self.chunks.clear()
 
     async def wait_for_any(self, indices, wait_s):
-        """Wait until one of these is here; return whether one is.
+        """Wait until one of these is available; return whether one is.
 
-        It does not wait where none is on its way.
+        Returns at once if none is expected.
 
         Args:
             indices: indices of chunks, or `MANIFEST_INDEX` alone.
-            wait_s: longest wait in seconds.
+            wait_s: timeout in seconds.
         """
         try:
             async with asyncio.timeout(wait_s):
-                while self.find_any(indices) is None and self.awaits(indices):
-                    await self._changes.wait()
+                while self.find_any(indices) is None and self.is_expecting(
+                    indices
+                ):
+                    await self._notifier.wait()
         except TimeoutError:
             return False
         return self.find_any(indices) is not None
 
     def find_any(self, indices):
-        """Return (index, bytes) of one that can be given, or None.
+        """Return (index, bytes) of an available one, or None.
 
-        One that was given least often: members that get various chunks can
-        pass them on to each other.
+        Prefers the least served chunk: members that receive different chunks
+        can exchange them.
         """
-        if self.is_slow:
+        if self.is_upload_disabled:
             return None
-        here = [index for index in indices if self._find(index) is not None]
-        if not here:
+        available = [
+            index for index in indices if self._find(index) is not None
+        ]
+        if not available:
             return None
-        index = min(here, key=lambda index: self._given[index])
+        index = min(available, key=lambda index: self._served_counts[index])
         return index, self._find(index)
 
-    def note_given(self, index):
-        """Note that a chunk was given to a member."""
-        self._given[index] += 1
+    def count_served(self, index):
+        self._served_counts[index] += 1
 
     def _find(self, index):
         if index == MANIFEST_INDEX:
@@ -136,75 +143,79 @@
         return self.chunks.get(index)
 
 
-#: Stands for the manifest where a chunk's index is asked for.
+#: Pseudo index that requests the manifest.
 MANIFEST_INDEX = -1
 
 
 class VersionStore:
-    """The versions that a sidecar has or is fetching; the last two stay.
+    """The `ChunkStore` objects of a sidecar; evicts old versions.
 
     Args:
-        kept: versions of a model that are kept.
+        max_versions: versions kept by model.
     """
 
-    def __init__(self, kept=2):
-        self.kept = kept
-        self._holdings = {}
+    def __init__(self, max_versions=2):
+        self.max_versions = max_versions
+        self._chunk_stores = {}
 
     def chunk_store(self, model, version):
-        """Return the `ChunkStore`, a new one at first."""
+        """Return the `ChunkStore` of a version, created if there is none."""
         key = (model, version)
-        if key not in self._holdings:
-            self._holdings[key] = ChunkStore(model, version)
-            self._shorten(model)
-        return self._holdings[key]
+        if key not in self._chunk_stores:
+            self._chunk_stores[key] = ChunkStore(model, version)
+            self._evict_old(model)
+        return self._chunk_stores[key]
 
     def add(self, chunk_store):
-        """Keep `chunk_store` unless its version is here already."""
-        self._holdings.setdefault(
+        """Add `chunk_store` unless its version is present."""
+        self._chunk_stores.setdefault(
             (chunk_store.model, chunk_store.version), chunk_store
         )
-        self._shorten(chunk_store.model)
+        self._evict_old(chunk_store.model)
 
-    def of(self, model):
-        """Return the holdings of a model."""
-        return [h for (name, _), h in self._holdings.items() if name == model]
+    def of_model(self, model):
+        """Return the `ChunkStore` objects of a model."""
+        return [
+            chunk_store
+            for (name, _), chunk_store in self._chunk_stores.items()
+            if name == model
+        ]
 
     def find(self, model, version):
-        """Return the `ChunkStore`, or None."""
-        return self._holdings.get((model, version))
+        """Return the `ChunkStore` of a version, or None."""
+        return self._chunk_stores.get((model, version))
 
     def newest_complete(self):
-        """Return the newest whole version by label values of its model."""
+        """Return the newest complete version by tuple of metric labels."""
         found = {}
-        for (model, version), chunk_store in self._holdings.items():
+        for (model, version), chunk_store in self._chunk_stores.items():
             if chunk_store.is_complete:
                 found[(model,)] = max(version, found.get((model,), 0))
         return found
 
     def missing(self):
-        """Return the chunks that are missing by (model, version)."""
+        """Return the number of missing chunks by (model, version)."""
         return {
             key: len(chunk_store.missing)
-            for key, chunk_store in self._holdings.items()
+            for key, chunk_store in self._chunk_stores.items()
             if chunk_store.manifest is not None
         }
 
-    def _shorten(self, model):
-        versions = sorted(v for m, v in self._holdings if m == model)
-        for version in versions[: -self.kept]:
-            del self._holdings[(model, version)]
+    def _evict_old(self, model):
+        versions = sorted(v for m, v in self._chunk_stores if m == model)
+        for version in versions[: -self.max_versions]:
+            del self._chunk_stores[(model, version)]
 
 
 def check_manifest(manifest, model, version):
-    """Return `manifest` if it describes this version.
+    """Return `manifest` if it belongs to this version.
 
     Raises:
-        errors.ManifestError: it describes another one.
+        errors.ManifestError: it belongs to another version.
     """
     if manifest.model != model or manifest.version != str(version):
         raise errors.ManifestError(
-            f'manifest of {manifest.model} {manifest.version}',
+            f'manifest belongs to {manifest.model} version {manifest.version}',
             step='read manifest',
         )
     return manifest
--- a/catkinshunt/spread/_progress.py
+++ b/catkinshunt/spread/_progress.py
@@ -1,47 +1,46 @@
-"""Tells when a transfer is likely to end."""
+"""Estimates the remaining time of a transfer."""
 
 import collections
 
 from catkinshunt import base
 
-#: Seconds over which the speed of a transfer is measured.
-SPAN_S = 1.0
+#: Time over which the speed is measured.
+WINDOW_S = 1.0
 
 
 class Progress(base.ParamsMixin):
-    """Follows what is missing of one version.
+    """Estimates the remaining time from samples of the missing share.
 
     Examples:
         >>> progress = Progress()
         >>> for now, left in ((0.0, 0.5), (0.5, 0.4), (1.0, 0.3)):
-        ...     progress.see(left, now)
-        >>> round(progress.end_in_s(now=1.0), 2)
+        ...     progress.add_sample(left, now)
+        >>> round(progress.remaining_s(now=1.0), 2)
         1.5
     """
 
     def __init__(self):
-        self._seen = collections.deque()
+        self._samples = collections.deque()
 
-    def see(self, left_share, now):
-        """Note the share that is missing, from 0 to 1."""
-        self._seen.append((now, left_share))
-        while self._seen[0][0] < now - SPAN_S and len(self._seen) > 2:
-            self._seen.popleft()
+    def add_sample(self, missing_share, now):
+        """Add the missing share, from 0 to 1."""
+        self._samples.append((now, missing_share))
+        while self._samples[0][0] < now - WINDOW_S and len(self._samples) > 2:
+            self._samples.popleft()
 
-    def end_in_s(self, now):
-        """Return the seconds until nothing is missing, by its speed lately.
+    def remaining_s(self, now):
+        """Return the remaining seconds at the recent speed.
 
-        It is infinite where nothing has come for a while, and 0 as long as
-        too little is known.
+        Infinite if nothing arrived recently, 0 if there are too few samples.
         """
-        if len(self._seen) < 2:
+        if len(self._samples) < 2:
             return 0.0
-        began, before = self._seen[0]
-        _, left = self._seen[-1]
-        if now - began < SPAN_S / 2:
+        start, before = self._samples[0]
+        _, left = self._samples[-1]
+        if now - start < WINDOW_S / 2:
             return 0.0
         if left <= 0:
             return 0.0
         if before <= left:
             return float('inf')
-        return left * (now - began) / (before - left)
+        return left * (now - start) / (before - left)
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Engines, an origin and an outlook in memory."""
+"""In-memory fakes of an engine, an origin, peers and a cluster view."""
 
 import asyncio
 import hashlib
@@ -17,7 +17,6 @@
 
 
 def chunk(version, index):
-    """Return the bytes of a chunk."""
     return f'{version}:{index}:'.encode() * 50
 
 
@@ -44,11 +43,11 @@
 
 
 class FakeOrigin(spread.BaseOrigin):
-    """Gives chunks; some of them bad."""
+    """An origin that can be down or send corrupt data."""
 
     def __init__(self):
-        self.given = []
-        self.asks = 0
+        self.sent_chunks = []
+        self.requests = 0
         self.corrupt = set()
         self.bad_manifests = 0
         self.down = False
@@ -64,14 +63,14 @@
         return manifest(version, model)
 
     async def chunk(self, model, version, index):
-        self.asks += 1
+        self.requests += 1
         await asyncio.sleep(0)
         if self.down:
             raise errors.TransferError('down', step='chunk')
-        self.given.append(index)
+        self.sent_chunks.append(index)
         if index in self.corrupt:
             self.corrupt.discard(index)
-            return b'spoilt'
+            return b'corrupt'
         return chunk(version, index)
 
     def release(self):
@@ -79,63 +78,63 @@
 
 
 class FakePeers:
-    """Holdings of other members, by name."""
+    """Peers that have the chunks in `stores`, by name and version."""
 
-    def __init__(self, **shelves):
-        self.shelves = shelves
-        self.asked = []
+    def __init__(self, **stores):
+        self.stores = stores
+        self.requested = []
         self.dead = set()
         self.corrupt = set()
-        self.shares = {}
+        self.reported_shares = {}
 
-    def share(self, peer, model, version):
-        return self.shares.get(peer)
+    def reported_share(self, peer, model, version):
+        return self.reported_shares.get(peer)
 
-    async def spare_chunk(self, peer, model, version, indices):
+    async def chunk_if_idle(self, peer, model, version, indices):
         return await self.chunk(peer, model, version, indices)
 
-    async def chunk(self, peer, model, version, indices, relays=False):
+    async def chunk(self, peer, model, version, indices, relay=False):
         await asyncio.sleep(0)
-        self.asked.append((peer, tuple(indices)))
+        self.requested.append((peer, tuple(indices)))
         if peer in self.dead:
-            raise errors.TransferError('gone', step='chunk', peer=peer)
-        held = self.shelves.get(peer, {})
+            raise errors.TransferError('unreachable', step='chunk', peer=peer)
+        stored = self.stores.get(peer, {})
         for index in indices:
-            if index in held.get(version, ()):
+            if index in stored.get(version, ()):
                 data = chunk(version, index)
                 return index, b'x' if peer in self.corrupt else data
-        raise errors.SourceBusyError('not there yet', peer=peer)
+        raise errors.SourceBusyError('not available yet', peer=peer)
 
     async def manifest(self, peer, model, version):
-        raise errors.SourceBusyError('not there yet', peer=peer)
+        raise errors.SourceBusyError('not available yet', peer=peer)
 
 
-class FakeDoor(places.BaseAdmission):
-    """Notes what it is told."""
+class FakeAdmission(places.BaseAdmission):
+    """Records its calls."""
 
     def __init__(self):
-        self.told = []
+        self.calls = []
         self.expires_in_s = None
 
     def reconcile(self, present):
-        self.told.append(('correct', present))
+        self.calls.append(('reconcile', present))
 
     def close(self, closes_in_s, opens_in_s):
-        self.told.append(('close', closes_in_s))
+        self.calls.append(('close', closes_in_s))
 
     def open(self):
-        self.told.append(('open',))
+        self.calls.append(('open',))
 
     def set_expiry(self, expires_in_s):
         self.expires_in_s = expires_in_s
 
 
 class FakeEngine(spread.BaseEngine):
-    """An engine that loads what is staged when it takes an order.
+    """An engine that loads the staged chunks when it receives an order.
 
     Attributes:
-        loaded: the staged bytes at the order, by index.
-        lost_answers: orders that take effect without an answer.
+        loaded: staged chunks at the last load, by index.
+        lost_replies: number of orders that take effect without a reply.
     """
 
     def __init__(self, version=0):
@@ -143,7 +142,7 @@
         self.stage = {}
         self.loaded = None
         self.orders = []
-        self.lost_answers = 0
+        self.lost_replies = 0
         self.down = False
 
     async def report(self):
@@ -168,26 +167,26 @@
         if self.version != version:
             self.version = version
             self.loaded = dict(self.stage)
-        if self.lost_answers:
-            self.lost_answers -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             raise spread.LoadOutcomeUnknownError('lost', step='load')
 
 
-class FakeOutlook(spread.BaseClusterView):
-    """Names versions as the test wants them."""
+class FakeClusterView(spread.BaseClusterView):
+    """Targets the last version announced by the test."""
 
     regions = {}
 
     def __init__(self, members=()):
         self.versions = []
-        self.heard = []
+        self.noted = []
         self.listed = list(members)
-        self._named = asyncio.Event()
+        self._announced = asyncio.Event()
 
-    def name(self, version, due_s=8.0):
+    def announce_version(self, version, due_s=8.0):
         due_at = self.now() + due_s
         self.versions.append(_agent.TargetVersion(MODEL, version, due_at))
-        self._named.set()
+        self._announced.set()
 
     def now(self):
         return asyncio.get_running_loop().time()
@@ -196,8 +195,8 @@
         return self.versions[-1] if self.versions else None
 
     async def wait_for_version(self):
-        await self._named.wait()
-        self._named.clear()
+        await self._announced.wait()
+        self._announced.clear()
 
     def superseded_at(self, model, version):
         return min(w.due_at for w in self.versions if w.version > version)
@@ -216,4 +215,4 @@
         return 0.0
 
     def note_version(self, model, version):
-        self.heard.append((model, version))
+        self.noted.append((model, version))
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -8,20 +8,20 @@
 from catkinshunt.spread import _loader
 from catkinshunt.spread.tests import fakes
 
-ME = spread.Member('a0', 'a')
+LOCAL_MEMBER = spread.Member('a0', 'a')
 
 
 class Sidecar:
-    """An agent with its surroundings in memory."""
+    """An agent with in-memory fakes."""
 
     def __init__(self, engine=None, version_store=None):
         self.engine = engine or fakes.FakeEngine()
-        self.outlook = fakes.FakeOutlook([ME])
+        self.cluster_view = fakes.FakeClusterView([LOCAL_MEMBER])
         self.origin = fakes.FakeOrigin()
         self.version_store = version_store or spread.VersionStore()
         self.agent = spread.Agent(
-            ME,
-            self.outlook,
+            LOCAL_MEMBER,
+            self.cluster_view,
             self.engine,
             self.origin,
             fakes.FakePeers(),
@@ -29,7 +29,7 @@
             asyncio.get_running_loop().time,
             100.0,
             fakes.Counter(),
-            fakes.FakeDoor(),
+            fakes.FakeAdmission(),
         )
 
     @contextlib.asynccontextmanager
@@ -46,7 +46,7 @@
                 await asyncio.sleep(0.005)
 
 
-def whole(version):
+def all_chunks(version):
     return {i: fakes.chunk(version, i) for i in range(fakes.CHUNKS)}
 
 
@@ -58,60 +58,62 @@
     return asyncio.run(inside())
 
 
-def test_an_empty_engine_is_filled():
+def test_engine_without_version_is_loaded():
     async def main(sidecar):
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
-    assert run(main) == whole(2)
+    assert run(main) == all_chunks(2)
 
 
-def test_the_door_knows_when_the_version_of_its_engine_expires():
-    """A newer version is named, and cannot be had before it is due.
+def test_expiry_follows_the_served_version():
+    """A newer version is announced but unavailable until it is due.
 
-    Entries may hear of it too late; their requests would begin on the old
-    one for as long. The door closes in time, and opens after the load.
+    Entries may learn of it late, and their requests would start on the older
+    version. The admission expires in time and reopens after the load.
     """
 
     async def main(sidecar):
-        door = sidecar.agent.door
-        await sidecar.until(lambda: door.expires_in_s is not None)
-        calm_s = door.expires_in_s
+        admission = sidecar.agent.admission
+        await sidecar.until(lambda: admission.expires_in_s is not None)
+        initial_s = admission.expires_in_s
         sidecar.origin.down = True
-        sidecar.outlook.name(2, due_s=3.0)
-        await sidecar.until(lambda: door.expires_in_s != calm_s)
-        named_s = door.expires_in_s
+        sidecar.cluster_view.announce_version(2, due_s=3.0)
+        await sidecar.until(lambda: admission.expires_in_s != initial_s)
+        announced_s = admission.expires_in_s
         sidecar.origin.down = False
-        await sidecar.until(lambda: door.expires_in_s == calm_s)
-        return calm_s, named_s, sidecar.engine.version
+        await sidecar.until(lambda: admission.expires_in_s == initial_s)
+        return initial_s, announced_s, sidecar.engine.version
 
-    calm_s, named_s, version = run(main, engine=fakes.FakeEngine(1))
-    assert calm_s == float('inf')
-    assert named_s <= 3.0
+    initial_s, announced_s, version = run(main, engine=fakes.FakeEngine(1))
+    assert initial_s == float('inf')
+    assert announced_s <= 3.0
     assert version == 2
 
 
-def test_the_door_closes_sooner_while_chunks_fill_the_link():
-    """A request that waits behind them begins on a version too old."""
+def test_expiry_is_earlier_during_a_transfer():
+    """A request queued on the link behind chunks starts too late."""
 
     async def main(sidecar):
-        door = sidecar.agent.door
+        admission = sidecar.agent.admission
         sidecar.origin.down = True
-        sidecar.outlook.name(2, due_s=3.0)
-        await sidecar.until(lambda: door.expires_in_s not in (None, math.inf))
-        began = door.expires_in_s
-        await sidecar.until(lambda: door.expires_in_s < began)
-        return door.expires_in_s
+        sidecar.cluster_view.announce_version(2, due_s=3.0)
+        await sidecar.until(
+            lambda: admission.expires_in_s not in (None, math.inf)
+        )
+        began = admission.expires_in_s
+        await sidecar.until(lambda: admission.expires_in_s < began)
+        return admission.expires_in_s
 
     expires_in_s = run(main, engine=fakes.FakeEngine(1))
-    assert expires_in_s <= 3.0 - _agent.BUSY_LINK_S
+    assert expires_in_s <= 3.0 - _agent.LINK_QUEUE_S
 
 
-def test_chunks_that_turned_bad_are_put_again_before_the_order():
-    """Staged chunks can turn bad after they were checked.
+def test_corrupted_staged_chunks_are_replaced_before_the_load():
+    """Staged chunks are corrupted after their verification.
 
-    The engine loads what lies there, and would answer from damaged weights.
+    The engine would load them and serve damaged weights.
     """
 
     async def main(sidecar):
@@ -120,22 +122,22 @@
         async def put(model, index, data):
             await original(model, index, data)
             if len(sidecar.engine.stage) == fakes.CHUNKS - 1:
-                sidecar.engine.stage[0] = b'rotten'
+                sidecar.engine.stage[0] = b'corrupt'
                 sidecar.engine.put_chunk = original
 
         sidecar.engine.put_chunk = put
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar.engine.loaded
 
-    assert run(main) == whole(2)
+    assert run(main) == all_chunks(2)
 
 
-def test_a_sidecar_that_restarts_fetches_only_what_is_missing():
-    """A sidecar is killed in the middle of a transfer.
+def test_restarted_sidecar_fetches_only_missing_chunks():
+    """A sidecar is killed during a transfer.
 
-    Its chunks lie staged beside the engine; fetched anew they would take
-    the time and the bytes of a whole copy again.
+    Its chunks are still staged; fetching them again would take the time and
+    the bytes of another copy.
     """
 
     async def main():
@@ -143,37 +145,36 @@
         sidecar.engine.stage = {
             0: fakes.chunk(2, 0),
             1: fakes.chunk(1, 1),
-            2: b'rotten',
+            2: b'corrupt',
         }
         async with sidecar.running():
-            sidecar.outlook.name(2)
+            sidecar.cluster_view.announce_version(2)
             await sidecar.until(lambda: sidecar.engine.version == 2)
         return sidecar
 
     sidecar = asyncio.run(main())
-    assert sidecar.engine.loaded == whole(2)
-    assert 0 not in sidecar.origin.given
+    assert sidecar.engine.loaded == all_chunks(2)
+    assert 0 not in sidecar.origin.sent_chunks
 
 
-def test_an_engine_that_restarted_is_loaded_again():
+def test_restarted_engine_is_loaded_again():
     async def main(sidecar):
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         sidecar.engine.version = 0
         sidecar.agent._loader._ordered_at -= 10
-        given = len(sidecar.origin.given)
+        sent_before = len(sidecar.origin.sent_chunks)
         await sidecar.until(lambda: sidecar.engine.version == 2)
-        return len(sidecar.origin.given) - given
+        return len(sidecar.origin.sent_chunks) - sent_before
 
     assert run(main) == 0
 
 
-def test_an_order_whose_answer_is_lost_never_mixes_versions():
-    """The answer to an order is lost, and a newer version is on its way.
+def test_lost_reply_to_a_load_order_never_mixes_versions():
+    """The reply to a load order is lost during the next transfer.
 
-    Whether the engine took the order is unknown. If chunks of the newer
-    version were staged now, it could load both together. They wait until
-    the order has an answer.
+    Whether the engine accepted the order is unknown. If chunks of the newer
+    version were staged now, the engine could load both versions mixed.
     """
 
     async def main(sidecar):
@@ -181,28 +182,28 @@
         original = sidecar.engine.put_chunk
 
         async def put(model, index, data):
-            staged.append((data.split(b':')[0], sidecar.engine.lost_answers))
+            staged.append((data.split(b':')[0], sidecar.engine.lost_replies))
             await original(model, index, data)
 
         sidecar.engine.put_chunk = put
-        sidecar.engine.lost_answers = 2
-        sidecar.outlook.name(2)
+        sidecar.engine.lost_replies = 2
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.orders)
-        sidecar.outlook.name(3)
+        sidecar.cluster_view.announce_version(3)
         await sidecar.until(lambda: sidecar.engine.version == 3)
         return staged, sidecar.engine
 
     staged, engine = run(main)
     assert engine.orders[:3] == [2, 2, 2]
     assert all(lost == 0 for name, lost in staged if name == b'3')
-    assert engine.loaded == whole(3)
+    assert engine.loaded == all_chunks(3)
 
 
-def test_an_engine_that_serves_waits_for_its_turn(monkeypatch):
-    """All engines are whole at about the same time.
+def test_serving_engine_waits_for_its_wave(monkeypatch):
+    """All members complete a version at about the same time.
 
-    If all load at once nobody serves meanwhile; the last group goes on
-    until shortly before the version is due.
+    If all engines loaded at once, none would serve meanwhile. The last wave
+    serves until shortly before the version is due.
     """
     monkeypatch.setattr(_loader, 'LAST_WAVE_LEAD_S', 0.2)
     monkeypatch.setattr(
@@ -210,38 +211,41 @@
     )
 
     async def main(sidecar):
-        sidecar.outlook.name(2, due_s=0.8)
+        sidecar.cluster_view.announce_version(2, due_s=0.8)
         chunk_store = sidecar.version_store.chunk_store(fakes.MODEL, 2)
         await sidecar.until(lambda: chunk_store.is_complete)
-        early = list(sidecar.engine.orders)
+        ordered_early = list(sidecar.engine.orders)
         await sidecar.until(lambda: sidecar.engine.version == 2)
-        left_s = sidecar.outlook.versions[0].due_at - sidecar.outlook.now()
-        return early, left_s
+        left_s = (
+            sidecar.cluster_view.versions[0].due_at
+            - sidecar.cluster_view.now()
+        )
+        return ordered_early, left_s
 
-    early, left_s = run(main, engine=fakes.FakeEngine(version=1))
-    assert early == []
+    ordered_early, left_s = run(main, engine=fakes.FakeEngine(version=1))
+    assert ordered_early == []
     assert left_s <= 0.25
 
 
-def test_a_newer_version_does_not_put_off_the_turn(monkeypatch):
-    """Version 2 is named, and version 3 long before version 2 is due.
+def test_newer_version_does_not_delay_the_load(monkeypatch):
+    """Version 3 is announced long before version 2 is due.
 
-    Engines with version 1 get no requests once version 2 is due. Waiting
-    for the time of version 3 they would stand idle in between.
+    Engines at version 1 receive no requests once version 2 is due. If they
+    waited for the due time of version 3, they would be idle in between.
     """
     monkeypatch.setattr(
         spread.SourcePlan, 'wave', lambda self, waves: waves - 1
     )
 
     async def main(sidecar):
-        sidecar.outlook.name(2, due_s=0.2)
-        sidecar.outlook.name(3, due_s=60.0)
+        sidecar.cluster_view.announce_version(2, due_s=0.2)
+        sidecar.cluster_view.announce_version(3, due_s=60.0)
         await sidecar.until(lambda: sidecar.engine.version == 3)
 
     run(main, engine=fakes.FakeEngine(version=1))
 
 
-def test_an_error_nobody_thought_of_does_not_end_the_care():
+def test_unexpected_error_does_not_end_the_loop():
     async def main(sidecar):
         original = sidecar.engine.report
         failures = []
@@ -249,33 +253,30 @@
         async def report():
             if len(failures) < 2:
                 failures.append(1)
-                raise RuntimeError('not foreseen')
+                raise RuntimeError('unexpected')
             return await original()
 
         sidecar.engine.report = report
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: sidecar.engine.version == 2)
 
     run(main)
 
 
-def test_a_peer_that_asks_names_the_version():
-    """A sidecar is cut off from the store, but its peers reach it.
-
-    From their requests it learns that a newer version was named.
-    """
+def test_chunk_request_reveals_a_new_version():
+    """A sidecar without access to the store learns versions from peers."""
 
     async def main(sidecar):
         sidecar.agent.on_chunk_request(fakes.MODEL, 7)
-        return sidecar.outlook.heard
+        return sidecar.cluster_view.noted
 
     assert run(main) == [(fakes.MODEL, 7)]
 
 
-def test_an_engine_that_serves_gives_its_staged_chunks():
+def test_staged_chunks_of_the_served_version_are_offered():
     async def main():
         sidecar = Sidecar(fakes.FakeEngine(version=1))
-        sidecar.engine.stage = whole(1)
+        sidecar.engine.stage = all_chunks(1)
         sidecar.agent.on_chunk_request(fakes.MODEL, 1)
         await sidecar.until(lambda: sidecar.version_store.find(fakes.MODEL, 1))
         return sidecar.version_store.find(fakes.MODEL, 1)
@@ -283,21 +284,21 @@
     assert asyncio.run(main()).is_complete
 
 
-def test_a_version_is_not_dropped_for_one_that_cannot_be_had():
-    """A newer version is named, and the origin goes away in that moment.
+def test_transfer_is_not_dropped_for_an_unavailable_version():
+    """A newer version is announced just as the origin becomes unreachable.
 
-    Peers hold all that is missing of the older one. Dropped, neither is
-    there when the older one is due, and nobody serves.
+    Peers have all missing chunks of the older version. If its transfer were
+    dropped, neither version would be complete when the older one is due.
     """
 
     async def main():
         sidecar = Sidecar(fakes.FakeEngine(version=1))
-        held = asyncio.Event()
+        resume = asyncio.Event()
         original = sidecar.origin.chunk
 
         async def chunk(model, version, index):
             if version == 2:
-                await held.wait()
+                await resume.wait()
             return await original(model, version, index)
 
         async def manifest(model, version):
@@ -308,23 +309,23 @@
         sidecar.origin.chunk = chunk
         sidecar.origin.manifest = manifest
         async with sidecar.running():
-            sidecar.outlook.name(2, due_s=0.5)
+            sidecar.cluster_view.announce_version(2, due_s=0.5)
             older = sidecar.version_store.chunk_store(fakes.MODEL, 2)
             await sidecar.until(lambda: older.manifest is not None)
-            sidecar.outlook.name(3, due_s=30.0)
+            sidecar.cluster_view.announce_version(3, due_s=30.0)
             await asyncio.sleep(0.1)
-            held.set()
+            resume.set()
             await sidecar.until(lambda: sidecar.engine.version == 2)
 
     asyncio.run(main())
 
 
-def test_a_transfer_that_cannot_begin_is_tried_after_a_pause():
-    """The store is away, so the members cannot be listed.
+def test_failed_transfer_is_retried_after_a_pause():
+    """An outage of the store prevents the listing of members.
 
-    While an engine is about to load its sidecar looks 20 times a second, and
-    each look began the transfer again: hundreds of calls to a store that was
-    overloaded already, and as many log lines.
+    Shortly before a load the sidecar polls 20 times a second. Each poll
+    started the transfer again: hundreds of calls to an overloaded store, and
+    as many log lines.
     """
     calls = []
 
@@ -333,11 +334,11 @@
             calls.append(1)
             raise errors.StoreUnavailableError('down', step='read')
 
-        sidecar.outlook.members = members
-        sidecar.outlook.name(2)
+        sidecar.cluster_view.members = members
+        sidecar.cluster_view.announce_version(2)
         await sidecar.until(lambda: calls)
         for _ in range(20):
-            sidecar.agent._news.set()
+            sidecar.agent._wakeup.set()
             await asyncio.sleep(0.01)
 
     run(main)
--- a/catkinshunt/spread/tests/test_loader.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -7,8 +7,8 @@
 from catkinshunt.spread.tests import fakes
 
 
-class Outlook:
-    """Tells the time, and when engines with the old version end."""
+class FixedClusterView:
+    """A view with a fixed due time."""
 
     def __init__(self, clock, due_at):
         self.now = clock
@@ -19,18 +19,18 @@
 
 
 class Engine:
-    """A loader beside a fake engine, at a time that the test sets."""
+    """A loader of a fake engine, with a clock set by the test."""
 
     def __init__(self, version=1, wave=0, due_in_s=5.0):
         self.time = 50.0
         self.engine = fakes.FakeEngine(version)
-        self.door = fakes.FakeDoor()
+        self.admission = fakes.FakeAdmission()
         self.chunk_store = spread.ChunkStore(fakes.MODEL, 2)
-        self.chunk_store.describe(fakes.manifest(2))
+        self.chunk_store.set_manifest(fakes.manifest(2))
         self.loader = _loader.Loader(
             self.engine,
-            Outlook(self.clock, self.time + due_in_s),
-            self.door,
+            FixedClusterView(self.clock, self.time + due_in_s),
+            self.admission,
             self.clock,
             asyncio.Lock(),
         )
@@ -43,64 +43,66 @@
         for index in range(fakes.CHUNKS):
             self.chunk_store.put(index, fakes.chunk(2, index))
 
-    async def step(self, whole_in_s=0.0, newer_whole_in_s=math.inf):
+    async def step(self, complete_in_s=0.0, newer_complete_in_s=math.inf):
         report = await self.engine.report()
-        self.loader.note(report)
+        self.loader.observe(report)
         if report.versions.get(fakes.MODEL, 0) >= 2:
             return
         await self.loader.step(
-            report, self.chunk_store, whole_in_s, newer_whole_in_s
+            report, self.chunk_store, complete_in_s, newer_complete_in_s
         )
 
     def closes_in_s(self):
-        """Return when the door closes by the last word, or None."""
-        told = [one for one in self.door.told if one[0] in ('close', 'open')]
-        return told[-1][1] if told and told[-1][0] == 'close' else None
+        """Return the closing time last set, None if open."""
+        calls = [
+            one for one in self.admission.calls if one[0] in ('close', 'open')
+        ]
+        return calls[-1][1] if calls and calls[-1][0] == 'close' else None
 
 
-def test_an_engine_runs_empty_while_the_version_is_on_its_way():
-    """Its turn comes with the last chunk.
+def test_engine_is_drained_while_the_version_arrives():
+    """The engine loads as soon as the last chunk arrives.
 
-    Long answers that begin right before keep it from loading for seconds,
-    and it takes nothing new meanwhile.
+    Long requests that start right before would delay the load by seconds, in
+    which the engine accepts no other requests.
     """
 
     async def main():
         found = Engine()
-        await found.step(whole_in_s=0.8)
+        await found.step(complete_in_s=0.8)
         return found.closes_in_s(), found.engine.orders
 
     closes_in_s, orders = asyncio.run(main())
-    assert closes_in_s == 0.8 + _loader.EMPTYING_S
+    assert closes_in_s == 0.8 + _loader.DRAIN_S
     assert orders == []
 
 
-def test_a_loaded_engine_takes_requests_again():
+def test_loaded_engine_accepts_requests_again():
     async def main():
         found = Engine()
         found.fill()
         await found.step()
         await found.step()
-        return found.engine.orders, found.door.told[-1]
+        return found.engine.orders, found.admission.calls[-1]
 
-    orders, told = asyncio.run(main())
+    orders, call = asyncio.run(main())
     assert orders == [2]
-    assert told == ('open',)
+    assert call == ('open',)
 
 
-def test_the_last_group_leaves_out_a_version_that_is_soon_replaced():
-    """Two versions are named four seconds apart.
+def test_last_wave_skips_a_version_that_is_soon_replaced():
+    """Two versions are announced four seconds apart.
 
-    All engines have the second one when the first is due, and would have to
-    load it in the second that is left: nobody serves meanwhile.
+    The second is complete everywhere when the first is due. All engines would
+    have to load it within one second, and none would serve meanwhile.
     """
 
-    async def main(newer_whole_in_s):
+    async def main(newer_complete_in_s):
         found = Engine(wave=_loader.WAVES - 1, due_in_s=0.5)
         found.fill()
-        await found.step(newer_whole_in_s=newer_whole_in_s)
+        await found.step(newer_complete_in_s=newer_complete_in_s)
         found.time += 0.6
-        await found.step(newer_whole_in_s=newer_whole_in_s - 0.6)
+        await found.step(newer_complete_in_s=newer_complete_in_s - 0.6)
         return found.engine.orders, found.closes_in_s()
 
     assert asyncio.run(main(3.0)) == ([], None)
@@ -108,44 +110,44 @@
     assert orders == [2]
 
 
-def test_a_version_left_out_is_loaded_when_the_newer_one_does_not_come():
-    """The origin went away in the middle of the newer version.
+def test_skipped_version_is_loaded_if_the_newer_one_is_late():
+    """The origin becomes unreachable during the newer transfer.
 
-    The engine would stand idle until it is back, with a version that it
-    could serve.
+    The engine would be idle until it is back, although it could load the
+    skipped version.
     """
 
     async def main():
         found = Engine(wave=_loader.WAVES - 1, due_in_s=0.5)
         found.fill()
-        await found.step(newer_whole_in_s=2.0)
+        await found.step(newer_complete_in_s=2.0)
         found.time += 3.0
-        await found.step(newer_whole_in_s=4.0)
+        await found.step(newer_complete_in_s=4.0)
         return found.engine.orders
 
     assert asyncio.run(main()) == [2]
 
 
-def test_an_engine_that_holds_nothing_is_loaded_as_soon_as_it_can_be():
+def test_engine_without_version_is_loaded_at_once():
     async def main():
         found = Engine(version=0, wave=_loader.WAVES - 1)
         found.fill()
-        await found.step(newer_whole_in_s=1.0)
+        await found.step(newer_complete_in_s=1.0)
         return found.engine.orders
 
     assert asyncio.run(main()) == [2]
 
 
-def test_an_engine_is_not_emptied_for_a_transfer_that_stands_still():
-    """One source has a narrow link, and the last chunks come through it.
+def test_stalled_transfer_has_a_long_remaining_time():
+    """The last chunks come from a source with a narrow link.
 
-    By the share that is missing the version would be whole in a moment, and
-    all engines refuse what they could answer until then.
+    By the missing share alone the version would seem complete soon, and
+    drained engines would reject requests that they could serve.
     """
     progress = _progress.Progress()
     for step in range(5):
-        progress.see(0.5 - 0.1 * step, now=0.25 * step)
-    assert progress.end_in_s(now=1.0) < 0.3
+        progress.add_sample(0.5 - 0.1 * step, now=0.25 * step)
+    assert progress.remaining_s(now=1.0) < 0.3
     for step in range(5):
-        progress.see(0.1, now=1.25 + 0.25 * step)
-    assert progress.end_in_s(now=2.25) > 10
+        progress.add_sample(0.1, now=1.25 + 0.25 * step)
+    assert progress.remaining_s(now=2.25) > 10
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Sources that are slow, late, silent or gone."""
+"""Transfers from slow, late, unresponsive and dead sources."""
 
 import asyncio
 
@@ -10,21 +10,21 @@
 from catkinshunt.spread.tests import transfers
 
 
-def test_a_narrow_member_does_not_hold_up_the_rest(monkeypatch):
+def test_chunks_queued_at_a_slow_source_fail_over(monkeypatch):
     """The link of one member is narrowed to a quarter.
 
-    It goes on giving a chunk now and then, so nothing fails; but all who
-    wait for its share are late (a copy took 15 s instead of 6). Most of its
-    share is taken elsewhere once the others are done.
+    It still sends a chunk now and then, so no request fails, but all members
+    wait for its queue (a copy took 15 s instead of 6 s). Most of the queue
+    fails over once the other queues are empty.
     """
 
     class NarrowPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
                 await asyncio.sleep(0.3)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
-    peers = NarrowPeers(a1=transfers.EVERY, a2=transfers.EVERY)
+    peers = NarrowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     monkeypatch.setattr(
         spread.SourcePlan,
         'sources',
@@ -47,61 +47,62 @@
     assert took_s < 1.0
 
 
-def test_sources_that_are_all_slow_keep_their_share():
-    """The link of the member that fetches is narrow itself.
+def test_equally_slow_sources_keep_their_queues():
+    """The fetching member has a narrow link, so all sources seem slow.
 
-    Every source looks slow then; asked of the origin too, the chunks would
-    not come sooner, and its bytes are dear.
+    Fetching from the origin would not be faster, and its bytes are costly.
     """
 
     class SlowPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             await asyncio.sleep(0.1)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     found = transfers.transfer(
-        peers=SlowPeers(a1=transfers.EVERY, a2=transfers.EVERY),
+        peers=SlowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS),
         listed=transfers.listed('a1', 'a2', a1=2, a2=2),
         copy_s=lambda size: 0.05,
     )
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
-def test_members_that_wait_themselves_do_not_hold_up_a_chunk(monkeypatch):
-    """The origin is down for longer than the owner of a chunk is asked.
+def test_members_without_the_chunk_do_not_delay_it(monkeypatch):
+    """The origin is down for longer than the owner of a chunk is retried.
 
-    The others nearby wait for this member to pass the chunk on. Asked as
-    often as the owner, they kept it for seconds after the owner had it, and
-    whole data centres lacked one chunk of 96 when the version was due.
+    The local members wait for this one to relay the chunk. Tried as often as
+    the owner, they delayed it by seconds, and entire data centres lacked one
+    chunk of 96 when the version was due.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
     wait_s = 0.1
 
     class WaitingPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
-            if not self.shelves[peer][2]:
+        async def chunk(self, peer, model, version, indices, relay=False):
+            if not self.stores[peer][2]:
                 await asyncio.sleep(wait_s)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     async def main():
-        nearby = ['a2', 'a3', 'a4', 'a5']
-        peers = WaitingPeers(a1={2: []}, **{name: {2: []} for name in nearby})
+        local_names = ['a2', 'a3', 'a4', 'a5']
+        peers = WaitingPeers(
+            a1={2: []}, **{name: {2: []} for name in local_names}
+        )
         found = transfers.Transfer(
             peers,
-            transfers.listed('a1', *nearby),
+            transfers.listed('a1', *local_names),
             origin_copy_s=lambda size: 4.0,
         )
         monkeypatch.setattr(
             spread.SourcePlan,
             'sources',
-            lambda self, index: ['a1', *nearby, 'origin'],
+            lambda self, index: ['a1', *local_names, 'origin'],
         )
         await found.fetcher.fetch_manifest()
         found.origin.down = True
         running = asyncio.ensure_future(found.fetcher.run())
         await asyncio.sleep(0.9)
-        peers.shelves['a1'][2] = range(fakes.CHUNKS)
+        peers.stores['a1'][2] = range(fakes.CHUNKS)
         async with asyncio.timeout(8 * wait_s):
             await running
         return found
@@ -109,11 +110,11 @@
     assert asyncio.run(main()).chunk_store.is_complete
 
 
-def test_sources_that_are_all_gone_are_asked_now_and_then():
+def test_unreachable_sources_are_retried_with_a_pause():
     """The owner of a chunk was removed, and the origin is down.
 
-    Asked without a pause, the two cost each member 60 connections and log
-    lines a second for as long as the origin was away.
+    Retried without a pause, they caused 60 connections and log lines a second
+    on each member during the outage.
     """
 
     async def main():
@@ -123,108 +124,108 @@
         found.origin.down = True
         running = asyncio.ensure_future(found.fetcher.run())
         await asyncio.sleep(1.0)
-        asked = len(found.peers.asked) + found.origin.asks
+        request_count = len(found.peers.requested) + found.origin.requests
         found.origin.down = False
         async with asyncio.timeout(5):
             await running
-        return asked
+        return request_count
 
     assert asyncio.run(main()) < 20
 
 
-def test_a_slow_origin_is_not_asked_by_all():
-    """The origin is slow, so an owner has nothing for some seconds.
+def test_slow_owner_does_not_cause_origin_fetches():
+    """The origin is slow, so an owner has no chunks for some seconds.
 
-    Had the others no patience, all would turn to the origin, and it would
-    be slower still. The owner gets its chunk after four empty answers.
+    If the others used the origin at once, it would be even slower. Here the
+    owner receives its chunk after four replies without one.
     """
 
     class LatePeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
-            if len(self.asked) < 4:
-                self.asked.append(peer)
+        async def chunk(self, peer, model, version, indices, relay=False):
+            if len(self.requested) < 4:
+                self.requested.append(peer)
                 raise errors.SourceBusyError('not there yet', peer=peer)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
-    peers = LatePeers(a1=transfers.EVERY)
+    peers = LatePeers(a1=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers,
         listed=transfers.listed('a1', a1=2),
         origin_copy_s=lambda size: 3.0,
     )
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
-def test_a_source_is_asked_by_one_worker_only():
-    """The only source has nothing for a while.
+def test_source_has_one_worker():
+    """The only source has no chunks for a while.
 
-    Its chunks come back to it each time its patience ends. If each time one
-    more worker asked for them, every chunk would come several times.
+    Its queue is reassigned to it each time. If each time another worker were
+    started, every chunk would be fetched several times.
     """
-    asking = []
+    active = []
 
     class EmptyPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
-            asking.append(1)
-            most.append(len(asking))
+        async def chunk(self, peer, model, version, indices, relay=False):
+            active.append(1)
+            concurrency.append(len(active))
             try:
                 await asyncio.sleep(0.005)
-                if len(most) < 40:
+                if len(concurrency) < 40:
                     raise errors.SourceBusyError('not there yet', peer=peer)
                 return await super().chunk(peer, model, version, indices)
             finally:
-                asking.pop()
+                active.pop()
 
-    most = []
+    concurrency = []
 
     def prepare(found):
         found.fetcher.plan.sources = lambda index: ['a1']
 
     found = transfers.transfer(
         prepare,
-        peers=EmptyPeers(a1=transfers.EVERY),
+        peers=EmptyPeers(a1=transfers.ALL_CHUNKS),
         listed=transfers.listed('a1'),
     )
     assert found.chunk_store.is_complete
-    assert max(most) == 1
+    assert max(concurrency) == 1
 
 
-def test_a_source_that_will_not_have_it_is_left_at_once():
-    """A member does not fetch the version that others await from it.
+def test_source_without_the_version_is_dropped_at_once():
+    """A member does not fetch the version that others expect from it.
 
-    Asked again and again, as one that is about to have it, it held up its
-    share for seconds.
+    Retried like a member that is about to have it, it delayed its queue by
+    seconds.
     """
 
     class UnablePeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
-                self.asked.append((peer, tuple(indices)))
+                self.requested.append((peer, tuple(indices)))
                 raise errors.SourceUnableError('not fetched', peer=peer)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
-    peers = UnablePeers(a2=transfers.EVERY)
+    peers = UnablePeers(a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
     assert found.chunk_store.is_complete
-    assert [peer for peer, _ in peers.asked].count('a1') == 1
-    assert not found.origin.given
+    assert [peer for peer, _ in peers.requested].count('a1') == 1
+    assert not found.origin.sent_chunks
 
 
-def test_an_idle_source_gives_what_a_busy_one_is_slow_to_give():
-    """One member has far more to give than the others.
+def test_idle_source_steals_work_from_a_busy_one():
+    """One member has a far longer queue than the others.
 
-    It stands in for some that died, and all would wait for the last of its
-    chunks, though others nearby have got them by then.
+    It is the failover owner for dead members. All would wait for its last
+    chunks, although other local members have received them by then.
     """
 
     class BusyPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
                 await asyncio.sleep(0.2)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     def prepare(found):
         found.fetcher.plan.sources = lambda index: [
@@ -232,30 +233,30 @@
             'origin',
         ]
 
-    peers = BusyPeers(a1=transfers.EVERY, a2=transfers.EVERY)
+    peers = BusyPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         prepare, peers=peers, listed=transfers.listed('a1', 'a2')
     )
     assert found.chunk_store.is_complete
-    assert [peer for peer, _ in peers.asked].count('a1') <= 2
+    assert [peer for peer, _ in peers.requested].count('a1') <= 2
 
 
-def test_a_narrow_own_link_is_noticed(monkeypatch):
-    """Far less comes here than to all others.
+def test_narrow_own_link_disables_uploads(monkeypatch):
+    """This member receives far less than all others.
 
-    Others wait for what this member is to pass on, so it lets them take it
-    elsewhere from then on.
+    Others wait for the chunks that it should relay, so it stops serving and
+    they fetch the chunks elsewhere.
     """
-    monkeypatch.setattr(_source_speeds, 'JUDGE_LINK_S', 0.01)
+    monkeypatch.setattr(_source_speeds, 'LINK_CHECK_AFTER_S', 0.01)
 
     class SlowPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             await asyncio.sleep(0.1)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     names = ['a1', 'a2', 'a3']
-    peers = SlowPeers(**dict.fromkeys(names, transfers.EVERY))
-    peers.shares = dict.fromkeys(names, 0.9)
+    peers = SlowPeers(**dict.fromkeys(names, transfers.ALL_CHUNKS))
+    peers.reported_shares = dict.fromkeys(names, 0.9)
 
     def prepare(found):
         found.fetcher.plan.sources = lambda index: [
@@ -270,4 +271,4 @@
         copy_s=lambda size: 0.15,
     )
     assert found.chunk_store.is_complete
-    assert found.chunk_store.is_slow
+    assert found.chunk_store.is_upload_disabled
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -11,72 +11,71 @@
 from catkinshunt.spread.tests import transfers
 
 
-def test_a_single_member_takes_all_from_the_origin():
+def test_single_member_fetches_all_from_the_origin():
     found = transfers.transfer()
     assert found.chunk_store.is_complete
-    assert sorted(found.origin.given) == list(range(fakes.CHUNKS))
-    assert found.kept == found.chunk_store.chunks
+    assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
+    assert found.staged == found.chunk_store.chunks
 
 
-def test_the_origin_is_released_after_use():
-    """The origin takes few connections in all.
+def test_origin_connections_are_released():
+    """The origin accepts few connections.
 
-    Kept open by members that need them no more, they were missing to others
-    for the rest of a transfer.
+    Connections kept open by members that no longer need them block other
+    members for the rest of a transfer.
     """
     assert transfers.transfer().origin.released >= 2
 
 
-def test_members_that_hold_it_spare_the_origin():
-    peers = fakes.FakePeers(a1=transfers.EVERY, a2=transfers.EVERY)
+def test_holders_are_preferred_to_the_origin():
+    peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
-def test_a_spoilt_chunk_is_fetched_again():
-    """The origin sends a chunk that was damaged on its way.
+def test_corrupt_chunk_is_fetched_again():
+    """A chunk from the origin was corrupted in transit.
 
-    Loaded, it would give answers from damaged weights; its digest differs,
-    so it is dropped and asked for again.
+    An engine that loads it would serve damaged weights. Its digest differs, so
+    it is dropped and fetched again.
     """
     found = transfers.transfer(lambda t: t.origin.corrupt.update({1, 4}))
     assert found.chunk_store.is_complete
-    assert found.kept[1] == fakes.chunk(2, 1)
+    assert found.staged[1] == fakes.chunk(2, 1)
 
 
-def test_a_member_that_sends_spoilt_chunks_is_left_for_others():
-    peers = fakes.FakePeers(a1=transfers.EVERY)
+def test_member_that_sends_corrupt_chunks_is_replaced():
+    peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.corrupt.add('a1')
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
     assert found.chunk_store.is_complete
-    assert found.kept[0] == fakes.chunk(2, 0)
+    assert found.staged[0] == fakes.chunk(2, 0)
 
 
-def test_a_member_that_died_is_left_for_others():
-    """A member dies while it owes chunks to others.
+def test_dead_member_is_replaced():
+    """A member dies while it is the source of chunks for others.
 
-    They notice that it does not answer and take its chunks elsewhere; the
-    transfer must not wait for it.
+    The transfer must fetch them elsewhere instead of waiting for it.
     """
-    peers = fakes.FakePeers(a1=transfers.EVERY)
+    peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.dead.add('a1')
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
     assert found.chunk_store.is_complete
-    assert sorted(found.origin.given) == list(range(fakes.CHUNKS))
+    assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
 
 
-def test_a_member_that_never_gets_its_chunks_is_left_for_others():
-    """A member lives but is cut off from the origin.
+def test_member_that_never_receives_its_chunks_is_replaced():
+    """A member is running, but has no access to the origin.
 
-    It answers that it has no chunk yet, for ever. After a few times its
-    share is taken elsewhere.
+    It always replies that no chunk is available yet. After a few attempts its
+    queue is fetched elsewhere.
     """
     found = transfers.transfer(
         peers=fakes.FakePeers(), listed=transfers.listed('a1')
@@ -84,24 +83,24 @@
     assert found.chunk_store.is_complete
 
 
-def test_members_wait_for_the_owners_while_the_origin_is_down(monkeypatch):
-    """The origin goes down in the middle of a transfer.
+def test_members_wait_for_owners_while_the_origin_is_down(monkeypatch):
+    """The origin goes down during a transfer.
 
-    Owners lack some chunks, and all others wait for them. When it is back,
-    the owners must get them first: asked by every member for the same
-    chunks, it would take seconds to answer any of them.
+    Owners lack some chunks, and all others wait for them. After the outage the
+    owners must fetch them first: if every member requested the same chunks,
+    the origin would take seconds for each.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     class PatientPeers(fakes.FakePeers):
-        async def chunk(self, peer, model, version, indices, relays=False):
+        async def chunk(self, peer, model, version, indices, relay=False):
             await asyncio.sleep(0.01)
-            return await super().chunk(peer, model, version, indices, relays)
+            return await super().chunk(peer, model, version, indices, relay)
 
     async def main():
-        held = {2: [0, 1, 2]}
+        stored = {2: [0, 1, 2]}
         found = transfers.Transfer(
-            PatientPeers(a1=held), transfers.listed('a1')
+            PatientPeers(a1=stored), transfers.listed('a1')
         )
         monkeypatch.setattr(
             spread.SourcePlan, 'sources', lambda self, index: ['a1', 'origin']
@@ -112,49 +111,48 @@
         await asyncio.sleep(0.3)
         found.origin.down = False
         await asyncio.sleep(0.3)
-        held[2] = range(fakes.CHUNKS)
+        stored[2] = range(fakes.CHUNKS)
         async with asyncio.timeout(5):
             await running
         return found
 
     found = asyncio.run(main())
     assert found.chunk_store.is_complete
-    assert not found.origin.given
+    assert not found.origin.sent_chunks
 
 
-def test_an_owner_notices_at_once_that_the_origin_is_back(monkeypatch):
-    """A version is named while the origin is away for seconds.
+def test_owner_detects_origin_recovery_at_once(monkeypatch):
+    """A version is announced while the origin is down for seconds.
 
-    Until its manifest is here nothing is fetched, and the time that passes
-    after the return of the origin is missing when the version is due.
+    No chunk is fetched without the manifest, so a late retry after the outage
+    would delay the entire transfer.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
         found = transfers.Transfer(fakes.FakePeers(), [])
         found.origin.down = True
-        asking = asyncio.ensure_future(found.fetcher.fetch_manifest())
+        request = asyncio.ensure_future(found.fetcher.fetch_manifest())
         await asyncio.sleep(0.05)
         found.origin.down = False
-        async with asyncio.timeout(_source_health.BLAME_S / 3):
-            await asking
+        async with asyncio.timeout(_source_health.EXCLUSION_S / 3):
+            await request
 
     asyncio.run(main())
 
 
-def test_a_transfer_that_lasts_tells_what_it_waits_for(monkeypatch):
-    """The only source has nothing, so a version does not come.
+def test_long_transfer_logs_pending_sources(monkeypatch):
+    """The only source lacks a chunk, so the transfer does not end.
 
-    Without a line on it the log is silent until the transfer ends, and
-    nobody can tell which source everyone waits for.
+    Without a log line in between, the blocking source could not be found.
     """
-    monkeypatch.setattr(_fetcher, 'REPORT_S', 0.01)
+    monkeypatch.setattr(_fetcher, 'REPORT_INTERVAL_S', 0.01)
     lines = []
     sink = loguru.logger.add(lambda line: lines.append(line.record['extra']))
 
     async def main():
         found = transfers.Transfer(listed=transfers.listed('a1', a1=2))
-        found.peers.shelves['a1'] = {2: range(1, fakes.CHUNKS)}
+        found.peers.stores['a1'] = {2: range(1, fakes.CHUNKS)}
         found.fetcher.plan.sources = lambda index: ['a1']
         running = asyncio.ensure_future(found.run())
         while not any('waits_for' in line for line in lines):
@@ -165,15 +163,15 @@
         asyncio.run(main())
     finally:
         loguru.logger.remove(sink)
-    (told,) = [line for line in lines if 'waits_for' in line]
-    assert told['waits_for'] == {'a1': 1}
-    assert told['given'] == {'a1': fakes.CHUNKS - 1}
+    (reported,) = [line for line in lines if 'waits_for' in line]
+    assert reported['waits_for'] == {'a1': 1}
+    assert reported['given'] == {'a1': fakes.CHUNKS - 1}
 
 
-def test_a_damaged_manifest_is_dropped():
-    """The manifest itself is damaged on its way, so no chunk ever fits.
+def test_damaged_manifest_is_dropped():
+    """The manifest was corrupted in transit, so no chunk matches it.
 
-    Without this the transfer would refuse good chunks for ever.
+    The transfer would reject valid chunks forever.
     """
 
     async def main():
@@ -191,8 +189,8 @@
     assert asyncio.run(main()).chunk_store.is_complete
 
 
-def test_an_origin_that_is_down_is_asked_again(monkeypatch):
-    monkeypatch.setattr(_source_health, 'BLAME_S', 0.05)
+def test_unreachable_origin_is_retried(monkeypatch):
+    monkeypatch.setattr(_source_health, 'EXCLUSION_S', 0.05)
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
--- a/catkinshunt/spread/tests/test_wait_graph.py
+++ b/catkinshunt/spread/tests/test_wait_graph.py
@@ -3,55 +3,58 @@
 from catkinshunt.spread import _wait_graph
 
 
-def test_two_that_ask_each_other_are_found():
-    waits = _wait_graph.Waits()
-    waits.ask(3, 'b')
-    waits.note_asker(3, 'b', now=1.0)
-    assert waits.loop(3, 'a', now=1.2) == {'a', 'b'}
+def test_cycle_of_two_is_found():
+    wait_graph = _wait_graph.WaitGraph()
+    wait_graph.set_source(3, 'b')
+    wait_graph.note_requester(3, 'b', now=1.0)
+    assert wait_graph.find_cycle(3, 'a', now=1.2) == {'a', 'b'}
 
 
-def test_all_of_a_loop_name_the_same_members():
-    """Were each to name others, several would turn to the origin."""
+def test_all_members_find_the_same_cycle():
+    """Otherwise several members would fetch the chunk from the origin."""
     names = ('a', 'b', 'c')
     found = []
-    for place, me in enumerate(names):
-        source, last = names[(place + 1) % 3], names[(place + 2) % 3]
-        waits = _wait_graph.Waits()
-        waits.ask(3, source)
-        waits.hear(3, source, (last, me))
-        found.append(waits.loop(3, me, now=0.0))
+    for position, me in enumerate(names):
+        source, last = names[(position + 1) % 3], names[(position + 2) % 3]
+        wait_graph = _wait_graph.WaitGraph()
+        wait_graph.set_source(3, source)
+        wait_graph.extend_chain(3, source, (last, me))
+        found.append(wait_graph.find_cycle(3, me, now=0.0))
     assert found == [set(names)] * 3
 
 
-def test_who_asked_long_ago_waits_no_more():
-    waits = _wait_graph.Waits()
-    waits.ask(3, 'b')
-    waits.note_asker(3, 'b', now=1.0)
-    assert waits.loop(3, 'a', now=1.0 + _wait_graph.ASKED_S) == set()
+def test_old_requests_expire():
+    wait_graph = _wait_graph.WaitGraph()
+    wait_graph.set_source(3, 'b')
+    wait_graph.note_requester(3, 'b', now=1.0)
+    assert (
+        wait_graph.find_cycle(3, 'a', now=1.0 + _wait_graph.REQUEST_TTL_S)
+        == set()
+    )
 
 
-def test_a_chain_that_ends_at_the_origin_is_no_loop():
-    waits = _wait_graph.Waits()
-    waits.ask(3, 'b')
-    waits.hear(3, 'b', ('origin',))
-    waits.note_asker(3, 'c', now=1.0)
-    assert waits.loop(3, 'a', now=1.0) == set()
+def test_chain_to_the_origin_is_no_cycle():
+    wait_graph = _wait_graph.WaitGraph()
+    wait_graph.set_source(3, 'b')
+    wait_graph.extend_chain(3, 'b', ('origin',))
+    wait_graph.note_requester(3, 'c', now=1.0)
+    assert wait_graph.find_cycle(3, 'a', now=1.0) == set()
 
 
-def test_what_an_earlier_source_tells_is_left_aside():
-    waits = _wait_graph.Waits()
-    waits.ask(3, 'b')
-    waits.ask(3, 'c')
-    waits.hear(3, 'b', ('a',))
-    assert waits.loop(3, 'a', now=0.0) == set()
+def test_chain_of_a_previous_source_is_ignored():
+    wait_graph = _wait_graph.WaitGraph()
+    wait_graph.set_source(3, 'b')
+    wait_graph.set_source(3, 'c')
+    wait_graph.extend_chain(3, 'b', ('a',))
+    assert wait_graph.find_cycle(3, 'a', now=0.0) == set()
 
 
 @pytest.mark.parametrize('text', ['', '[]', '{"x": []}', '{"1": 2}', 'null'])
-def test_unreadable_chains_are_refused(text):
+def test_invalid_chains_are_rejected(text):
     with pytest.raises(ValueError):
         _wait_graph.load_chains(text)
 
 
-def test_chains_are_read_as_they_were_told():
+def test_chains_survive_a_round_trip():
     chains = {3: ('b', 'origin'), 40: ('c',)}
     assert _wait_graph.load_chains(_wait_graph.dump_chains(chains)) == chains
