--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -231,7 +231,7 @@
     ),
     Mutation(
         'members-stay-known',
-        'catkinshunt/platform/_outlook.py',
+        'catkinshunt/platform/_store_view.py',
         'if self._listed_at is None:\n                raise',
         'raise',
     ),
@@ -365,7 +365,7 @@
     ),
     Mutation(
         'origin-is-shown-alone',
-        'catkinshunt/platform/_outlook.py',
+        'catkinshunt/platform/_store_view.py',
         'await self._shown_origin() or await',
         'await',
     ),
@@ -385,7 +385,7 @@
     # Entries that are listed.
     Mutation(
         'vanished-entry-is-listed-again',
-        'catkinshunt/platform/_membership.py',
+        'catkinshunt/platform/_registration.py',
         'and self.roster.has(self.name)',
         '',
     ),
@@ -628,7 +628,7 @@
     ),
     Mutation(
         'bars-kept-in-the-store',
-        'catkinshunt/platform/_mirror.py',
+        'catkinshunt/platform/_cache_updater.py',
         '            if item.key.startswith(_documents.QUARANTINE_PREFIX):\n'
         '                _apply',
         '            if False:\n                _apply',
--- a/catkinshunt/platform/__init__.py
+++ b/catkinshunt/platform/__init__.py
@@ -3,35 +3,35 @@
 from catkinshunt.feed import HistoryGoneError
 from catkinshunt.feed import Item
 from catkinshunt.feed import Page
+from catkinshunt.platform._cache_updater import CacheUpdater
 from catkinshunt.platform._deploy import check_file
 from catkinshunt.platform._dialect import PlatformDialect
-from catkinshunt.platform._documents import read_declaration
-from catkinshunt.platform._documents import read_upstream
-from catkinshunt.platform._documents import read_version
-from catkinshunt.platform._documents import UnreadableError
-from catkinshunt.platform._membership import Membership
-from catkinshunt.platform._mirror import Mirror
-from catkinshunt.platform._settings import load_node_settings
-from catkinshunt.platform._settings import NodeSettings
-from catkinshunt.platform._settings import read_node_settings
-from catkinshunt.platform._store import LeaseGoneError
+from catkinshunt.platform._documents import InvalidDocumentError
+from catkinshunt.platform._documents import parse_declaration
+from catkinshunt.platform._documents import parse_upstream
+from catkinshunt.platform._documents import parse_version
+from catkinshunt.platform._registration import Registration
+from catkinshunt.platform._settings import InstanceSettings
+from catkinshunt.platform._settings import load_instance_settings
+from catkinshunt.platform._settings import parse_instance_settings
+from catkinshunt.platform._store import LeaseNotFoundError
 from catkinshunt.platform._store import StoreClient
 
 __all__ = [
+    'CacheUpdater',
     'HistoryGoneError',
+    'InstanceSettings',
+    'InvalidDocumentError',
     'Item',
-    'LeaseGoneError',
-    'Membership',
-    'Mirror',
-    'NodeSettings',
+    'LeaseNotFoundError',
     'Page',
     'PlatformDialect',
+    'Registration',
     'StoreClient',
-    'UnreadableError',
     'check_file',
-    'load_node_settings',
-    'read_declaration',
-    'read_node_settings',
-    'read_upstream',
-    'read_version',
+    'load_instance_settings',
+    'parse_declaration',
+    'parse_instance_settings',
+    'parse_upstream',
+    'parse_version',
 ]
--- a/catkinshunt/platform/__main__.py
+++ b/catkinshunt/platform/__main__.py
@@ -24,7 +24,7 @@
         print(f'a role is needed: {" or ".join(ROLES)}', file=sys.stderr)
         return USAGE
     try:
-        cfg = _settings.load_node_settings()
+        cfg = _settings.load_instance_settings()
     except errors.SettingsError as exc:
         print(f'catkinshunt: {exc}', file=sys.stderr)
         return USAGE
--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -12,8 +12,8 @@
     if item.value is None:
         return
     try:
-        catalog.declare(_documents.read_declaration(item.value))
-    except _documents.UnreadableError as exc:
+        catalog.declare(_documents.parse_declaration(item.value))
+    except _documents.InvalidDocumentError as exc:
         _log.error('Kept the old configuration: {}.', exc)
 
 
@@ -29,8 +29,8 @@
     if item.value is None:
         return
     try:
-        model, version = _documents.read_version(item.value)
-    except _documents.UnreadableError as exc:
+        model, version = _documents.parse_version(item.value)
+    except _documents.InvalidDocumentError as exc:
         _log.error('Left aside {}: {}.', item.key, exc)
         return
     catalog.name_version(model, version, since, found)
@@ -46,7 +46,7 @@
     """
     try:
         model, version = _documents.read_pending_key(item.key)
-    except _documents.UnreadableError as exc:
+    except _documents.InvalidDocumentError as exc:
         _log.warning('Left aside {}: {}.', item.key, exc)
         return
     if item.value is None:
@@ -67,7 +67,7 @@
         return
     try:
         for_s = _documents.read_quarantine(item.value)
-    except _documents.UnreadableError as exc:
+    except _documents.InvalidDocumentError as exc:
         _log.warning('Left aside {}: {}.', item.key, exc)
         return
     request = item.key.removeprefix(_documents.QUARANTINE_PREFIX)
@@ -81,7 +81,7 @@
     """
     try:
         return _documents.read_home(item.value)
-    except _documents.UnreadableError:
+    except _documents.InvalidDocumentError:
         return None
 
 
@@ -90,8 +90,8 @@
     if item.value is None:
         return None
     try:
-        return _documents.read_upstream(upstream_name(item), item.value)
-    except _documents.UnreadableError as exc:
+        return _documents.parse_upstream(upstream_name(item), item.value)
+    except _documents.InvalidDocumentError as exc:
         _log.warning('Left aside the entry {}: {}.', item.key, exc)
         return None
 
--- a/catkinshunt/platform/_mirror.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -27,7 +27,7 @@
 _log = logs.get_logger('store')
 
 
-class Mirror:
+class CacheUpdater:
     """Reads the store once, then follows its changes.
 
     Args:
--- a/catkinshunt/platform/_deploy.py
+++ b/catkinshunt/platform/_deploy.py
@@ -17,7 +17,7 @@
     """
     document = _settings.load_toml(path)
     if 'roles' not in document:
-        _settings.read_node_settings(document, path)
+        _settings.parse_instance_settings(document, path)
         return 'platform instance'
     _check_deploy(document, path)
     return 'platform deployment'
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -29,7 +29,7 @@
 _MS = 1000.0
 
 
-class UnreadableError(ValueError):
+class InvalidDocumentError(ValueError):
     """A value of the store that is not what its key promises."""
 
 
@@ -42,11 +42,11 @@
     """Return (model, version) of such a key.
 
     Raises:
-        UnreadableError: it is none.
+        InvalidDocumentError: it is none.
     """
     model, _, version = key.removeprefix(PENDING_PREFIX).rpartition('/')
     if not model or not version.isdigit():
-        raise UnreadableError(f'{key[:80]!r} names no version')
+        raise InvalidDocumentError(f'{key[:80]!r} names no version')
     return model, int(version)
 
 
@@ -64,11 +64,11 @@
     """Return the seconds for which the value of such a key bars a request.
 
     Raises:
-        UnreadableError: it tells none.
+        InvalidDocumentError: it tells none.
     """
     for_s = load(value).get('for_s')
     if isinstance(for_s, bool) or not isinstance(for_s, (int, float)):
-        raise UnreadableError(f'for_s is {for_s!r}')
+        raise InvalidDocumentError(f'for_s is {for_s!r}')
     return for_s
 
 
@@ -81,7 +81,7 @@
     """Return the `catalog.Home` in the value of an entry's key.
 
     Raises:
-        UnreadableError: there is none.
+        InvalidDocumentError: there is none.
     """
     document = load(value)
     return catalog.Home(_text(document, 'host'), _text(document, 'region'))
@@ -103,16 +103,16 @@
     """Return the `catalog.Origin` that the value of its key shows.
 
     Raises:
-        UnreadableError: it shows none.
+        InvalidDocumentError: it shows none.
     """
     document = load(value)
     mbps = document.get('link_mbps')
     if isinstance(mbps, bool) or not isinstance(mbps, (int, float)):
-        raise UnreadableError(f'link_mbps is {mbps!r}')
+        raise InvalidDocumentError(f'link_mbps is {mbps!r}')
     try:
         address = _settings.parse_address(_text(document, 'address'))
     except ValueError as exc:
-        raise UnreadableError(str(exc)) from exc
+        raise InvalidDocumentError(str(exc)) from exc
     return catalog.Origin(
         address,
         _text(document, 'data_centre', ''),
@@ -125,49 +125,49 @@
     """Return the JSON object in `value`.
 
     Raises:
-        UnreadableError: it is none.
+        InvalidDocumentError: it is none.
     """
     try:
         document = checks.load_json(value)
     except ValueError as exc:
-        raise UnreadableError('not JSON') from exc
+        raise InvalidDocumentError('not JSON') from exc
     if not isinstance(document, dict):
-        raise UnreadableError('not an object')
+        raise InvalidDocumentError('not an object')
     return document
 
 
 def _whole(document, name, default=None):
     value = document.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise UnreadableError(f'{name} is {value!r}, not a whole number')
+        raise InvalidDocumentError(f'{name} is {value!r}, not a whole number')
     return value
 
 
 def _text(document, name, default=None):
     value = document.get(name, default)
     if not isinstance(value, str):
-        raise UnreadableError(f'{name} is {value!r}, not a text')
+        raise InvalidDocumentError(f'{name} is {value!r}, not a text')
     return value
 
 
-def read_upstream(upstream_id, value):
+def parse_upstream(upstream_id, value):
     """Return the `catalog.Upstream` that wrote `value` about itself.
 
     Raises:
-        UnreadableError: it names no upstream that can be used. Others may
+        InvalidDocumentError: it names no upstream that can be used. Others may
             write below the prefix too.
     """
     document = load(value)
     state = _text(document, 'state')
     if state not in _STATES:
-        raise UnreadableError(f'state is {state!r}')
+        raise InvalidDocumentError(f'state is {state!r}')
     try:
         address = _settings.parse_address(_text(document, 'address'))
     except ValueError as exc:
-        raise UnreadableError(str(exc)) from exc
+        raise InvalidDocumentError(str(exc)) from exc
     slots = document.get('slots', 1)
     if isinstance(slots, bool) or not isinstance(slots, int) or slots < 1:
-        raise UnreadableError(f'slots is {slots!r}')
+        raise InvalidDocumentError(f'slots is {slots!r}')
     return catalog.Upstream(
         id=upstream_id,
         service=_text(document, 'service'),
@@ -186,11 +186,11 @@
     if models is None:
         return None
     if not isinstance(models, list):
-        raise UnreadableError('models is no list')
+        raise InvalidDocumentError('models is no list')
     found = {}
     for model in models:
         if not isinstance(model, dict):
-            raise UnreadableError('a model is no object')
+            raise InvalidDocumentError('a model is no object')
         found[_text(model, 'name')] = _whole(model, 'version')
     return found
 
@@ -199,7 +199,7 @@
     """Return the `spread.EngineReport` of an engine.
 
     Raises:
-        UnreadableError: it is none.
+        InvalidDocumentError: it is none.
     """
     document = load(value)
     return spread.EngineReport(
@@ -213,29 +213,29 @@
     """Return the indices of the chunks that are staged.
 
     Raises:
-        UnreadableError: it is no list of them.
+        InvalidDocumentError: it is no list of them.
     """
     held = load(value).get('held')
     if not isinstance(held, list):
-        raise UnreadableError('held is no list')
+        raise InvalidDocumentError('held is no list')
     return [index for index in held if type(index) is int and index >= 0]
 
 
-def read_version(value):
+def parse_version(value):
     """Return (model, version) that the operator named.
 
     Raises:
-        UnreadableError: it is no version.
+        InvalidDocumentError: it is no version.
     """
     document = load(value)
     return _text(document, 'model'), _whole(document, 'version')
 
 
-def read_declaration(value):
+def parse_declaration(value):
     """Return the `catalog.Declaration` in the operator's configuration.
 
     Raises:
-        UnreadableError: a field is missing or of another type.
+        InvalidDocumentError: a field is missing or of another type.
     """
     document = load(value)
     try:
@@ -251,7 +251,7 @@
             limits=_read_limits(document.get('limits') or {}),
         )
     except (KeyError, TypeError, AttributeError) as exc:
-        raise UnreadableError(f'configuration: {exc!r}') from exc
+        raise InvalidDocumentError(f'configuration: {exc!r}') from exc
 
 
 def _read_rules(document):
--- a/catkinshunt/platform/_engine.py
+++ b/catkinshunt/platform/_engine.py
@@ -61,7 +61,7 @@
             )
         try:
             return _documents.read_report(body)
-        except _documents.UnreadableError as exc:
+        except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='report') from exc
 
     async def put_chunk(self, model, index, data):
@@ -92,7 +92,7 @@
             return []
         try:
             return _documents.read_staged(body)
-        except _documents.UnreadableError as exc:
+        except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='list stage') from exc
 
     async def load(self, model, version):
@@ -136,7 +136,7 @@
         body = await self._get(f'/-/manifest/{model}', {'version': version})
         try:
             return _read_manifest(body, model, version)
-        except _documents.UnreadableError as exc:
+        except _documents.InvalidDocumentError as exc:
             raise errors.ManifestError(str(exc), step='manifest') from exc
 
     async def chunk(self, model, version, index):
@@ -180,11 +180,11 @@
     digests = document.get('digests')
     size = document.get('chunk_bytes')
     if document.get('version') != version or not isinstance(digests, list):
-        raise _documents.UnreadableError('another manifest')
+        raise _documents.InvalidDocumentError('another manifest')
     if not isinstance(size, int) or size <= 0:
-        raise _documents.UnreadableError(f'chunk_bytes is {size!r}')
+        raise _documents.InvalidDocumentError(f'chunk_bytes is {size!r}')
     if not all(isinstance(digest, str) for digest in digests):
-        raise _documents.UnreadableError('a digest is no text')
+        raise _documents.InvalidDocumentError('a digest is no text')
     return weights.Manifest(
         model=model,
         version=str(version),
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -12,15 +12,15 @@
 from catkinshunt import logs
 from catkinshunt import metrics
 from catkinshunt import places
+from catkinshunt.platform import _cache_updater
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _dialect
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _membership
-from catkinshunt.platform import _mirror
-from catkinshunt.platform import _origin_key
-from catkinshunt.platform import _pending
+from catkinshunt.platform import _origin_publisher
+from catkinshunt.platform import _pending_publisher
 from catkinshunt.platform import _process
-from catkinshunt.platform import _quarantine_keys
+from catkinshunt.platform import _quarantine_publisher
+from catkinshunt.platform import _registration
 from catkinshunt.platform import _signals
 from catkinshunt import quarantine
 from catkinshunt import retries
@@ -56,7 +56,7 @@
     """Serve as an entry until the signal to stop has been obeyed.
 
     Args:
-        cfg: `NodeSettings`.
+        cfg: `InstanceSettings`.
     """
     stop = _signals.watch_signals()
     registry = metrics.Registry()
@@ -80,8 +80,8 @@
     )
     mirror = make_mirror(followed, context, roster)
     home = catalogs.Home(cfg.ip, _region(cfg))
-    member = _membership.Membership(client, roster, cfg.name, home)
-    pending = _pending.PendingVersions(
+    member = _registration.Registration(client, roster, cfg.name, home)
+    pending = _pending_publisher.PendingPublisher(
         client,
         context.catalog,
         roster,
@@ -89,8 +89,10 @@
         context.version_grace_s,
         _clocks.wall,
     )
-    origin = _origin_key.OriginKey(client, context.catalog, roster, cfg.name)
-    barred = _quarantine_keys.QuarantineKeys(
+    origin = _origin_publisher.OriginPublisher(
+        client, context.catalog, roster, cfg.name
+    )
+    barred = _quarantine_publisher.QuarantinePublisher(
         client, gossip.quarantine, roster, cfg.name, _clocks.wall
     )
     tasks = [
@@ -261,8 +263,8 @@
 
 
 def make_mirror(client, context, roster):
-    """Return the `Mirror` that feeds the catalog of `context`."""
-    return _mirror.Mirror(
+    """Return the `CacheUpdater` that feeds the catalog of `context`."""
+    return _cache_updater.CacheUpdater(
         client,
         context.catalog,
         roster,
--- a/catkinshunt/platform/_origin_key.py
+++ b/catkinshunt/platform/_origin_publisher.py
@@ -15,7 +15,7 @@
 _log = logs.get_logger('origin')
 
 
-class OriginKey:
+class OriginPublisher:
     """Keeps the key that shows the origin as the configuration names it.
 
     A sidecar needs no more of the configuration than this. A large one
--- a/catkinshunt/platform/_pending.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -20,7 +20,7 @@
 _log = logs.get_logger('versions')
 
 
-class PendingVersions:
+class PendingPublisher:
     """Keeps a key for each version that was named and is not due yet.
 
     An entry that starts finds a named version in the store, and cannot tell
@@ -82,7 +82,7 @@
         try:
             lease = await self.client.grant_lease(lease_s)
             if self.wall() + lease_s > due_at:
-                await self.client.end_lease(lease)
+                await self.client.revoke_lease(lease)
                 return
             key = _documents.pending_key(model, named.version)
             await self.client.write(key, b'{}', lease)
--- a/catkinshunt/platform/_quarantine_keys.py
+++ b/catkinshunt/platform/_quarantine_publisher.py
@@ -16,7 +16,7 @@
 _log = logs.get_logger('quarantine')
 
 
-class QuarantineKeys:
+class QuarantinePublisher:
     """Writes a key for each request that is barred.
 
     Entries tell each other what they know; were all of them to start again,
--- a/catkinshunt/platform/_membership.py
+++ b/catkinshunt/platform/_registration.py
@@ -19,7 +19,7 @@
 _log = logs.get_logger('membership')
 
 
-class Membership:
+class Registration:
     """Keeps the key of one entry, bound to a lease.
 
     Args:
@@ -47,7 +47,7 @@
                 await self._keep()
                 outage.end()
                 await asyncio.sleep(RENEW_S)
-            except _store.LeaseGoneError:
+            except _store.LeaseNotFoundError:
                 self._lease = None
             except errors.StoreError as exc:
                 outage.begin(exc)
@@ -74,6 +74,6 @@
         if self._lease is None:
             return
         try:
-            await self.client.end_lease(self._lease)
+            await self.client.revoke_lease(self._lease)
         except errors.StoreError as exc:
             _log.warning('The lease ends by itself: {}.', exc)
--- a/catkinshunt/platform/_settings.py
+++ b/catkinshunt/platform/_settings.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class NodeSettings:
+class InstanceSettings:
     """What one process is told about itself and the platform.
 
     Attributes:
@@ -125,8 +125,8 @@
     return host, number
 
 
-def load_node_settings(path=None):
-    """Return the `NodeSettings` in the file at `path`.
+def load_instance_settings(path=None):
+    """Return the `InstanceSettings` in the file at `path`.
 
     Args:
         path: path of the file; None for the one the platform names.
@@ -138,7 +138,7 @@
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise errors.SettingsError(f'{SETTINGS_VARIABLE} is not set')
-    return read_node_settings(load_toml(path), path)
+    return parse_instance_settings(load_toml(path), path)
 
 
 def load_toml(path):
@@ -156,10 +156,10 @@
         raise errors.SettingsError(f'{path}: not TOML: {exc}') from exc
 
 
-def read_node_settings(document, path='settings'):
-    """Return the `NodeSettings` in a decoded document."""
+def parse_instance_settings(document, path='settings'):
+    """Return the `InstanceSettings` in a decoded document."""
     reader = _Reader(document, path)
-    found = NodeSettings(
+    found = InstanceSettings(
         name=reader.get('node_name', str, required=True),
         ip=reader.get('ip', str, required=True),
         data_centre=reader.get('zone', str, required=True),
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -8,9 +8,9 @@
 from catkinshunt import places
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _engine
-from catkinshunt.platform import _outlook
 from catkinshunt.platform import _process
 from catkinshunt.platform import _signals
+from catkinshunt.platform import _store_view
 from catkinshunt import spread
 
 _log = logs.get_logger('sidecar')
@@ -20,7 +20,7 @@
     """Serve beside one engine until the signal to stop.
 
     Args:
-        cfg: `NodeSettings`.
+        cfg: `InstanceSettings`.
     """
     stop = _signals.watch_signals()
     registry = metrics.Registry()
@@ -39,7 +39,7 @@
         return []
     shelf = spread.Shelf()
     moved = make_metrics(registry, shelf)
-    outlook = _outlook.StoreOutlook(
+    outlook = _store_view.StoreView(
         cfg,
         _process.make_store_client(cfg, registry),
         catalogs.Catalog(),
--- a/catkinshunt/platform/_signals.py
+++ b/catkinshunt/platform/_signals.py
@@ -25,7 +25,7 @@
 
 def _reload():
     try:
-        cfg = _settings.load_node_settings()
+        cfg = _settings.load_instance_settings()
     except errors.SettingsError as exc:
         _log.error('Kept the old settings: {}.', exc)
         return
--- a/catkinshunt/platform/_store.py
+++ b/catkinshunt/platform/_store.py
@@ -15,7 +15,7 @@
 _MS = 1000
 
 
-class LeaseGoneError(errors.StoreError):
+class LeaseNotFoundError(errors.StoreError):
     """The lease has ended, and its keys are gone."""
 
 
@@ -91,15 +91,15 @@
         """Let a lease last for its whole time again.
 
         Raises:
-            LeaseGoneError: it has ended.
+            LeaseNotFoundError: it has ended.
         """
         await self._change('renew-lease', f'/-/kv-keep/{lease}')
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         """End a lease and remove its keys.
 
         Raises:
-            LeaseGoneError: it has ended before.
+            LeaseNotFoundError: it has ended before.
         """
         await self._change(
             'end-lease', f'/-/kv-lease-end/{lease}', method='DELETE'
@@ -109,7 +109,7 @@
         """Write `key`, whatever it held; it lasts as long as the lease.
 
         Raises:
-            LeaseGoneError: the lease has ended.
+            LeaseNotFoundError: the lease has ended.
         """
         data = base64.b64encode(value).decode()
         row = {'key': key, 'data': data, 'lease': lease}
@@ -149,7 +149,7 @@
         if head.status == 410:
             raise feed.HistoryGoneError('history is gone', step=kind)
         if head.status == 404:
-            raise LeaseGoneError('the lease has ended', step=kind)
+            raise LeaseNotFoundError('the lease has ended', step=kind)
         if head.status != 200:
             raise errors.StoreUnavailableError(
                 f'the store answered {head.status}',
--- a/catkinshunt/platform/_outlook.py
+++ b/catkinshunt/platform/_store_view.py
@@ -26,11 +26,11 @@
 _log = logs.get_logger('store')
 
 
-class StoreOutlook(spread.BaseOutlook):
+class StoreView(spread.BaseOutlook):
     """Follows the named versions, and lists members when asked.
 
     Args:
-        cfg: `NodeSettings` of the sidecar.
+        cfg: `InstanceSettings` of the sidecar.
         client: `StoreClient`.
         catalog: `catalog.Catalog` that is filled.
         wall: gives seconds on a clock that counts a suspend too.
@@ -120,7 +120,7 @@
         for item in page.items:
             try:
                 return _documents.read_shown_origin(item.value)
-            except _documents.UnreadableError as exc:
+            except _documents.InvalidDocumentError as exc:
                 _log.warning('Left aside {}: {}.', item.key, exc)
         return None
 
--- a/catkinshunt/platform/tests/fakes.py
+++ b/catkinshunt/platform/tests/fakes.py
@@ -77,7 +77,7 @@
         await self._begin('renew')
         self._check_lease(lease)
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         await self._begin('end')
         self._check_lease(lease)
         self.expire(lease)
@@ -96,7 +96,7 @@
 
     def _check_lease(self, lease):
         if lease not in self.leases:
-            raise platform.LeaseGoneError('no such lease')
+            raise platform.LeaseNotFoundError('no such lease')
 
     def _since(self, prefix, after):
         return [
--- a/catkinshunt/platform/tests/regions.py
+++ b/catkinshunt/platform/tests/regions.py
@@ -45,7 +45,7 @@
         )
         self.server = feed.FeedServer(self.feed, self.wall, self.wall)
         self.barred = quarantine.Quarantine()
-        self.mirror = platform.Mirror(
+        self.mirror = platform.CacheUpdater(
             self.feed,
             self.catalog,
             self.roster,
--- a/catkinshunt/platform/tests/test_mirror.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -4,7 +4,7 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
-from catkinshunt.platform import _mirror
+from catkinshunt.platform import _cache_updater
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import test_documents as documents
 from catkinshunt import quarantine
@@ -20,7 +20,7 @@
         self.now_s = 100.0
         loop = asyncio.get_running_loop()
         self.wall = lambda: loop.time() + self.now_s
-        self.mirror = platform.Mirror(
+        self.mirror = platform.CacheUpdater(
             self.store,
             self.catalog,
             self.roster,
@@ -125,9 +125,9 @@
     The age of what is known must grow, also over a suspend, and be small
     again as soon as the store has answered.
     """
-    monkeypatch.setattr(_mirror, 'WATCH_S', 0.1)
-    monkeypatch.setattr(_mirror, 'SHORTEST_WATCH_S', 0.05)
-    monkeypatch.setattr(_mirror, 'LONGEST_PAUSE_S', 0.05)
+    monkeypatch.setattr(_cache_updater, 'WATCH_S', 0.1)
+    monkeypatch.setattr(_cache_updater, 'SHORTEST_WATCH_S', 0.05)
+    monkeypatch.setattr(_cache_updater, 'LONGEST_PAUSE_S', 0.05)
 
     async def main(followed):
         followed.store.down = True
@@ -147,7 +147,7 @@
     Read on waking, it would make a state of some seconds ago look new, and
     a key that was taken away meanwhile would still be served.
     """
-    monkeypatch.setattr(_mirror, 'WATCH_S', 0.2)
+    monkeypatch.setattr(_cache_updater, 'WATCH_S', 0.2)
 
     async def main(followed):
         age_s = followed.catalog.age_s
--- a/catkinshunt/platform/tests/test_documents.py
+++ b/catkinshunt/platform/tests/test_documents.py
@@ -45,7 +45,7 @@
 
 
 def test_an_entry_becomes_an_upstream():
-    upstream = platform.read_upstream('i-1', dump(UPSTREAM))
+    upstream = platform.parse_upstream('i-1', dump(UPSTREAM))
     assert upstream.address == ('10.1.0.9', 8080)
     assert upstream.versions == {'drafts': 2}
     assert not upstream.leaving
@@ -58,8 +58,8 @@
     It knows nothing of before; its connections, failures and weights must
     not be taken for those of the first start.
     """
-    first = platform.read_upstream('i-1', dump(UPSTREAM))
-    again = platform.read_upstream('i-1', dump({**UPSTREAM, 'born': 5}))
+    first = platform.parse_upstream('i-1', dump(UPSTREAM))
+    again = platform.parse_upstream('i-1', dump({**UPSTREAM, 'born': 5}))
     assert first.key != again.key
 
 
@@ -89,12 +89,12 @@
     One that cannot be read must not stop the reading of the others, and
     must not become an upstream that requests are sent to.
     """
-    with pytest.raises(platform.UnreadableError):
-        platform.read_upstream('i-1', value)
+    with pytest.raises(platform.InvalidDocumentError):
+        platform.parse_upstream('i-1', value)
 
 
 def test_the_longest_path_decides():
-    declaration = platform.read_declaration(dump(configuration()))
+    declaration = platform.parse_declaration(dump(configuration()))
     ask = rules.Request(host='shop.example', path='/a/b/c')
     assert declaration.rule_set.match(ask).name == 'long'
     ask = rules.Request(host='shop.example', path='/a/c')
@@ -119,7 +119,7 @@
             )
         ]
     )
-    rule = platform.read_declaration(dump(document)).rule_set.rules[0]
+    rule = platform.parse_declaration(dump(document)).rule_set.rules[0]
     assert rule.then.repeatable
     assert rule.then.public
     assert not rule.then.idempotent
@@ -131,7 +131,7 @@
     document = configuration(
         tenants=[{'name': 't1', 'api_keys': ['k1', 'k2'], 'priority': 0}]
     )
-    declaration = platform.read_declaration(dump(document))
+    declaration = platform.parse_declaration(dump(document))
     assert declaration.accounts == {'k1': 't1', 'k2': 't1'}
     assert declaration.account_priorities == {'t1': 0}
     assert declaration.limits.header_bytes == 900
@@ -142,5 +142,5 @@
     'value', [b'no', dump({}), dump({'version': 1, 'routes': [{}]})]
 )
 def test_a_configuration_that_cannot_be_read_is_refused(value):
-    with pytest.raises(platform.UnreadableError):
-        platform.read_declaration(value)
+    with pytest.raises(platform.InvalidDocumentError):
+        platform.parse_declaration(value)
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -15,7 +15,7 @@
 
 
 def entry_registry():
-    cfg = platform.read_node_settings(test_settings.DOCUMENT)
+    cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
     context.budget('desk').offer()
@@ -30,7 +30,7 @@
     shelf = spread.Shelf()
     shelf.holding('drafts', 2)
     _sidecar.make_metrics(registry, shelf)
-    cfg = platform.read_node_settings(test_settings.DOCUMENT)
+    cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
 
--- a/catkinshunt/platform/tests/test_origin_key.py
+++ b/catkinshunt/platform/tests/test_origin_publisher.py
@@ -5,7 +5,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _origin_key
+from catkinshunt.platform import _origin_publisher
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import test_documents as documents
 
@@ -14,7 +14,7 @@
     """Put a configuration into force that names an origin."""
     services = [{'name': 'origin', 'origin': address, 'zone': 'a'}]
     document = documents.configuration(services=services, version=version)
-    catalog.declare(platform.read_declaration(json.dumps(document).encode()))
+    catalog.declare(platform.parse_declaration(json.dumps(document).encode()))
 
 
 @contextlib.asynccontextmanager
@@ -25,7 +25,7 @@
         roster = catalogs.Roster()
         roster.replace(names)
         catalog = catalogs.Catalog()
-        key = _origin_key.OriginKey(store, catalog, roster, name)
+        key = _origin_publisher.OriginPublisher(store, catalog, roster, name)
         tasks.append(asyncio.ensure_future(key.run()))
         found.append(catalog)
     try:
@@ -43,7 +43,7 @@
 
 def test_few_entries_show_where_the_origin_is(monkeypatch):
     """Each call of the store is priced, and its rate is bounded."""
-    monkeypatch.setattr(_origin_key, 'LOOK_S', 0.01)
+    monkeypatch.setattr(_origin_publisher, 'LOOK_S', 0.01)
 
     async def main():
         store = fakes.FakeStore()
@@ -60,11 +60,11 @@
             await fakes.until(lambda: shown(store) == '10.9.9.8')
         return calls
 
-    assert asyncio.run(main()) <= 2 * _origin_key.WRITERS
+    assert asyncio.run(main()) <= 2 * _origin_publisher.WRITERS
 
 
 def test_the_key_is_written_once_the_store_is_back(monkeypatch):
-    monkeypatch.setattr(_origin_key, 'LOOK_S', 0.01)
+    monkeypatch.setattr(_origin_publisher, 'LOOK_S', 0.01)
 
     async def main():
         store = fakes.FakeStore()
--- a/catkinshunt/platform/tests/test_pending.py
+++ b/catkinshunt/platform/tests/test_pending_publisher.py
@@ -6,9 +6,9 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _pending
+from catkinshunt.platform import _pending_publisher
 from catkinshunt.platform.tests import fakes
-from catkinshunt.platform.tests import test_mirror
+from catkinshunt.platform.tests import test_cache_updater
 
 GRACE_S = 7.0
 KEY = _documents.pending_key('drafts', 2)
@@ -27,7 +27,7 @@
         self.catalog = catalogs.Catalog()
         roster = catalogs.Roster()
         roster.replace([name, *others])
-        self.pending = _pending.PendingVersions(
+        self.pending = _pending_publisher.PendingPublisher(
             store, self.catalog, roster, name, GRACE_S, lambda: self.now
         )
 
@@ -98,7 +98,7 @@
                 await asyncio.sleep(0)
         return store.calls
 
-    assert asyncio.run(main()).count('write') == _pending.WRITERS
+    assert asyncio.run(main()).count('write') == _pending_publisher.WRITERS
 
 
 def test_a_version_that_was_there_at_the_start_is_not_shown():
@@ -130,7 +130,7 @@
         now = followed.wall()
         return followed.catalog.due_version('drafts', GRACE_S, now)
 
-    due = test_mirror.run(main, prepare)
+    due = test_cache_updater.run(main, prepare)
     assert due == (None if shown else 2)
 
 
@@ -148,7 +148,7 @@
 
         await fakes.until(is_due)
 
-    test_mirror.run(main, prepare)
+    test_cache_updater.run(main, prepare)
 
 
 def test_a_version_whose_key_comes_late_is_not_due():
@@ -166,7 +166,7 @@
 
         await fakes.until(lambda: not is_due())
 
-    test_mirror.run(main, prepare)
+    test_cache_updater.run(main, prepare)
 
 
 def test_a_key_that_ended_while_the_history_was_lost_counts_as_ended():
@@ -184,7 +184,7 @@
 
         await fakes.until(is_due)
 
-    test_mirror.run(main, prepare)
+    test_cache_updater.run(main, prepare)
 
 
 def test_the_end_of_a_key_changes_nothing_for_who_saw_it_named():
@@ -200,7 +200,7 @@
         now = followed.wall()
         return followed.catalog.due_version('drafts', GRACE_S, now)
 
-    assert test_mirror.run(main) is None
+    assert test_cache_updater.run(main) is None
 
 
 def test_an_unknown_key_is_left_aside():
@@ -210,4 +210,4 @@
     async def main(followed):
         return followed.catalog.declaration.revision
 
-    assert test_mirror.run(main, prepare)
+    assert test_cache_updater.run(main, prepare)
--- a/catkinshunt/platform/tests/test_quarantine_keys.py
+++ b/catkinshunt/platform/tests/test_quarantine_publisher.py
@@ -3,7 +3,7 @@
 
 from catkinshunt import catalog as catalogs
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _quarantine_keys
+from catkinshunt.platform import _quarantine_publisher
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import regions
 from catkinshunt import quarantine
@@ -15,14 +15,14 @@
 @contextlib.asynccontextmanager
 async def writing(store, monkeypatch):
     """Run the writer of each entry; gives their quarantines."""
-    monkeypatch.setattr(_quarantine_keys, 'LOOK_S', 0.01)
+    monkeypatch.setattr(_quarantine_publisher, 'LOOK_S', 0.01)
     wall = asyncio.get_running_loop().time
     found, tasks = [], []
     for name in NAMES:
         roster = catalogs.Roster()
         roster.replace(NAMES)
         barred = quarantine.Quarantine()
-        keys = _quarantine_keys.QuarantineKeys(
+        keys = _quarantine_publisher.QuarantinePublisher(
             store, barred, roster, name, wall
         )
         tasks.append(asyncio.ensure_future(keys.run()))
@@ -53,7 +53,7 @@
             return store.calls, store.granted_s
 
     calls, granted_s = asyncio.run(main())
-    assert calls.count('write') <= _quarantine_keys.WRITERS
+    assert calls.count('write') <= _quarantine_publisher.WRITERS
     assert max(granted_s) <= quarantine.BARRED_S
 
 
--- a/catkinshunt/platform/tests/test_membership.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -4,7 +4,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
 from catkinshunt.platform import _entry
-from catkinshunt.platform import _membership
+from catkinshunt.platform import _registration
 from catkinshunt.platform.tests import fakes
 
 KEY = 'catkinshunt/entries/edge-1'
@@ -13,11 +13,11 @@
 @contextlib.asynccontextmanager
 async def listed(monkeypatch):
     """An entry that keeps itself listed, and looks often."""
-    monkeypatch.setattr(_membership, 'RENEW_S', 0.02)
-    monkeypatch.setattr(_membership, 'PAUSE_S', 0.02)
+    monkeypatch.setattr(_registration, 'RENEW_S', 0.02)
+    monkeypatch.setattr(_registration, 'PAUSE_S', 0.02)
     store = fakes.FakeStore()
     roster = catalogs.Roster()
-    member = platform.Membership(store, roster, 'edge-1')
+    member = platform.Registration(store, roster, 'edge-1')
     task = asyncio.ensure_future(member.run())
     try:
         await fakes.until(lambda: KEY in store.items)
@@ -101,7 +101,7 @@
     async def main():
         async with listed(monkeypatch) as (store, _, member):
             monkeypatch.setattr(
-                store, 'end_lease', lambda lease: asyncio.sleep(60)
+                store, 'revoke_lease', lambda lease: asyncio.sleep(60)
             )
             async with asyncio.timeout(0.5):
                 await _entry.stop_serving(Server(), member, 0.05)
--- a/catkinshunt/platform/tests/test_settings.py
+++ b/catkinshunt/platform/tests/test_settings.py
@@ -18,7 +18,7 @@
 
 
 def test_the_platforms_words_become_ours():
-    cfg = platform.read_node_settings(DOCUMENT)
+    cfg = platform.parse_instance_settings(DOCUMENT)
     assert cfg.frontend == ('10.1.0.4', 8005)
     assert cfg.store == ('10.200.1.7', 8007)
     assert cfg.data_centre == 'larisa-a'
@@ -39,7 +39,7 @@
         'bounds': {'grace_s': 'long'},
     }
     with pytest.raises(errors.SettingsError) as caught:
-        platform.read_node_settings(document, 'node.toml')
+        platform.parse_instance_settings(document, 'node.toml')
     text = str(caught.value)
     assert 'node.toml: ip: got 7, allowed: a text' in text
     assert "platform.address: got 'nowhere'" in text
@@ -49,13 +49,13 @@
 def test_a_missing_field_is_named():
     document = {k: v for k, v in DOCUMENT.items() if k != 'platform'}
     with pytest.raises(errors.SettingsError, match='platform.address'):
-        platform.read_node_settings(document)
+        platform.parse_instance_settings(document)
 
 
 def test_a_file_that_cannot_be_read_is_named(tmp_path):
     with pytest.raises(errors.SettingsError, match='No such file'):
-        platform.load_node_settings(tmp_path / 'none.toml')
+        platform.load_instance_settings(tmp_path / 'none.toml')
     bad = tmp_path / 'bad.toml'
     bad.write_text('x = [')
     with pytest.raises(errors.SettingsError, match='not TOML'):
-        platform.load_node_settings(bad)
+        platform.load_instance_settings(bad)
--- a/catkinshunt/platform/tests/test_outlook.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -3,7 +3,7 @@
 from catkinshunt import catalog as catalogs
 from catkinshunt import platform
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _outlook
+from catkinshunt.platform import _store_view
 from catkinshunt.platform.tests import fakes
 from catkinshunt.platform.tests import test_documents as documents
 from catkinshunt.platform.tests import test_settings
@@ -13,11 +13,11 @@
 
 
 def make_outlook(store):
-    cfg = platform.read_node_settings(
+    cfg = platform.parse_instance_settings(
         {**test_settings.DOCUMENT, 'service': 'engines'}
     )
     clock = asyncio.get_running_loop().time
-    return _outlook.StoreOutlook(cfg, store, catalogs.Catalog(), clock, DUE_S)
+    return _store_view.StoreView(cfg, store, catalogs.Catalog(), clock, DUE_S)
 
 
 def run(main):
@@ -141,7 +141,7 @@
 
     One that kept the first address for ever would fetch no version again.
     """
-    monkeypatch.setattr(_outlook, 'ORIGIN_S', 0.0)
+    monkeypatch.setattr(_store_view, 'ORIGIN_S', 0.0)
 
     async def main(outlook, store):
         found = []
@@ -188,7 +188,7 @@
 
     calm, named_at, expires_at = run(main)
     assert calm == float('inf')
-    assert expires_at <= named_at + DUE_S - _outlook.EXPIRY_MARGIN_S
+    assert expires_at <= named_at + DUE_S - _store_view.EXPIRY_MARGIN_S
 
 
 def test_a_version_found_at_the_start_expires_nothing():
@@ -227,7 +227,7 @@
     no transfer begins until the store is back, though all members and the
     origin are there; callers get no answer once the version is due.
     """
-    monkeypatch.setattr(_outlook, 'MEMBERS_S', 0.0)
+    monkeypatch.setattr(_store_view, 'MEMBERS_S', 0.0)
 
     async def main(outlook, store):
         store.put('servers/i-1', documents.UPSTREAM)
