--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -232,7 +232,7 @@
     Mutation(
         'members-stay-known',
         'catkinshunt/platform/_store_view.py',
-        'if self._listed_at is None:\n                raise',
+        'if self._members_read_at is None:\n                raise',
         'raise',
     ),
     Mutation(
@@ -366,7 +366,7 @@
     Mutation(
         'origin-is-shown-alone',
         'catkinshunt/platform/_store_view.py',
-        'await self._shown_origin() or await',
+        'await self._read_published_origin() or await',
         'await',
     ),
     # No request begins on a version too old.
--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -45,7 +45,7 @@
         now: seconds on the clock of the catalog.
     """
     try:
-        model, version = _documents.read_pending_key(item.key)
+        model, version = _documents.parse_pending_key(item.key)
     except _documents.InvalidDocumentError as exc:
         _log.warning('Left aside {}: {}.', item.key, exc)
         return
@@ -66,7 +66,7 @@
     if item.value is None:
         return
     try:
-        for_s = _documents.read_quarantine(item.value)
+        for_s = _documents.parse_quarantine(item.value)
     except _documents.InvalidDocumentError as exc:
         _log.warning('Left aside {}: {}.', item.key, exc)
         return
@@ -74,34 +74,34 @@
     barred.bar(request, min(for_s, quarantine.BARRED_S), now)
 
 
-def decode_home(item):
+def parse_home_or_none(item):
     """Return the `catalog.Home` of an entry's item, or None for none.
 
     An entry that does not tell it is there all the same.
     """
     try:
-        return _documents.read_home(item.value)
+        return _documents.parse_home(item.value)
     except _documents.InvalidDocumentError:
         return None
 
 
-def decode_upstream(item):
+def parse_upstream_or_none(item):
     """Return the `catalog.Upstream` of an item, or None for none."""
     if item.value is None:
         return None
     try:
-        return _documents.parse_upstream(upstream_name(item), item.value)
+        return _documents.parse_upstream(upstream_id(item), item.value)
     except _documents.InvalidDocumentError as exc:
         _log.warning('Left aside the entry {}: {}.', item.key, exc)
         return None
 
 
-def decode_upstreams(items):
+def parse_valid_upstreams(items):
     """Return the `catalog.Upstream` of all items that name one."""
-    decoded = map(decode_upstream, items)
+    decoded = map(parse_upstream_or_none, items)
     return [upstream for upstream in decoded if upstream is not None]
 
 
-def upstream_name(item):
+def upstream_id(item):
     """Return the id of the upstream that an item is about."""
     return item.key.removeprefix(_documents.UPSTREAM_PREFIX)
--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -13,16 +13,16 @@
 #: what is known is the newest. With a lost connection the age of the catalog
 #: reaches this and the time-out of a call, which must be less than the time
 #: for which keys are trusted.
-WATCH_S = 1.8
+WATCH_TIMEOUT_S = 1.8
 #: Seconds after a change before the next watch, so that changes that come
 #: together, such as of engines that load a version, are told together. What
 #: an entry knows of leaving upstreams is older by as much.
-SETTLE_S = 0.25
+BATCH_DELAY_S = 0.25
 #: Shortest wait of a watch, in seconds; each is a call of the store's rate.
-SHORTEST_WATCH_S = 0.3
+MIN_WATCH_TIMEOUT_S = 0.3
 #: Pause after a call that failed, doubled up to the longest, in seconds.
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
 
 _log = logs.get_logger('store')
 
@@ -39,17 +39,17 @@
         barred: `quarantine.Quarantine` that learns of barred requests.
     """
 
-    def __init__(self, client, catalog, roster, wall, random, barred):
+    def __init__(self, client, catalog, roster, boottime, random, barred):
         self.client = client
         self.catalog = catalog
         self.roster = roster
         self.barred = barred
-        self.wall = wall
+        self.boottime = boottime
         self.random = random
         self._revision = None
-        self._least_revision = 0
-        self._revisions = {}
-        self._pause_s = FIRST_PAUSE_S
+        self._min_revision = 0
+        self._upstream_revisions = {}
+        self._backoff_s = MIN_BACKOFF_S
         self._outage = logs.Outage(
             _log, 'The store is lost: {}.', 'The store is back.'
         )
@@ -63,29 +63,29 @@
                 await self._follow()
             except feed.HistoryGoneError:
                 _log.warning('The history is gone; reading all again.')
-                self._least_revision = self._revision
+                self._min_revision = self._revision
                 self._revision = None
             except errors.StoreError as exc:
-                await self._bear(exc)
+                await self._back_off(exc)
 
-    async def _bear(self, exc):
+    async def _back_off(self, exc):
         self._outage.begin(exc)
-        await asyncio.sleep(self._pause_s * (0.5 + self.random.random()))
-        self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
+        await asyncio.sleep(self._backoff_s * (0.5 + self.random.random()))
+        self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
 
-    def _regain(self):
-        self._pause_s = FIRST_PAUSE_S
+    def _reset_backoff(self):
+        self._backoff_s = MIN_BACKOFF_S
         self._outage.end(revision=self._revision)
 
     async def _read_all(self):
-        asked_at = self.wall()
+        requested_at = self.boottime()
         first = self.catalog.declaration is None
-        own, operator, listed = await self._read_parts()
+        own, operator, listed = await self._read_pages()
         pages = (own, operator, listed)
         self._check_revisions(pages)
         for item in own.items:
             if item.key.startswith(_documents.QUARANTINE_PREFIX):
-                _apply.apply_quarantine(item, self.barred, self.wall())
+                _apply.apply_quarantine(item, self.barred, self.boottime())
         # How long a version has been named cannot be seen; a process that
         # has just started takes it as long ago, others as at the moment when
         # it was not named yet for certain.
@@ -94,16 +94,20 @@
             since = -math.inf
         for item in operator.items:
             self._apply(item, since)
-        self._read_pending(own.items, asked_at)
+        self._replace_pending(own.items, requested_at)
         self.catalog.replace_upstreams(
-            _apply.decode_upstreams(listed.items), self.wall()
+            _apply.parse_valid_upstreams(listed.items), self.boottime()
         )
-        self._revisions = {item.key: item.revision for item in listed.items}
+        self._upstream_revisions = {
+            item.key: item.revision for item in listed.items
+        }
         self._revision = min(page.revision for page in pages)
-        self.catalog.confirm(min(_proved_at(page, asked_at) for page in pages))
-        self._regain()
+        self.catalog.confirm(
+            min(_proved_at(page, requested_at) for page in pages)
+        )
+        self._reset_backoff()
 
-    async def _read_parts(self):
+    async def _read_pages(self):
         """Return the pages of our own keys, the operator's and upstreams'.
 
         They are read at the same time. One after the other, a slow store
@@ -112,12 +116,12 @@
         """
         parts = (_documents.OPERATOR_PREFIX, _documents.UPSTREAM_PREFIX)
         if self.roster.names():
-            pages = await self._read_together(_documents.OWN_PREFIX, *parts)
-            self._take_entries(pages[0])
+            pages = await self._read_together(_documents.SYSTEM_PREFIX, *parts)
+            self._replace_entries(pages[0])
             return pages
         # First of all who else is there: one of them may know the rest.
-        own = await self.client.read_prefix(_documents.OWN_PREFIX)
-        self._take_entries(own)
+        own = await self.client.read_prefix(_documents.SYSTEM_PREFIX)
+        self._replace_entries(own)
         return [own, *await self._read_together(*parts)]
 
     async def _read_together(self, *prefixes):
@@ -128,11 +132,11 @@
                 raise page
         return pages
 
-    def _take_entries(self, own):
+    def _replace_entries(self, own):
         """Take over which entries are listed."""
         self.roster.replace(
             {
-                _entry_name(item): _apply.decode_home(item)
+                _entry_name(item): _apply.parse_home_or_none(item)
                 for item in own.items
                 if item.key.startswith(_documents.ENTRY_PREFIX)
             }
@@ -145,13 +149,13 @@
         an upstream that has left would be used again.
         """
         revision = min(page.revision for page in pages)
-        if revision < self._least_revision:
+        if revision < self._min_revision:
             raise errors.StoreUnavailableError(
-                f'told revision {revision} after {self._least_revision}',
+                f'told revision {revision} after {self._min_revision}',
                 step='read-all',
             )
 
-    def _read_pending(self, items, asked_at):
+    def _replace_pending(self, items, requested_at):
         """Take over which versions are pending; the others are not."""
         shown = {item.key for item in items}
         for model, version in self.catalog.pending_versions():
@@ -159,24 +163,26 @@
                 self.catalog.end_pending(model, version)
         for item in items:
             if item.key.startswith(_documents.PENDING_PREFIX):
-                _apply.apply_pending(item, self.catalog, asked_at)
+                _apply.apply_pending(item, self.catalog, requested_at)
 
     async def _follow(self):
-        age_s = self.catalog.age_s(self.wall())
-        wait_s = max(SHORTEST_WATCH_S, WATCH_S - age_s)
-        asked_at = self.wall()
+        age_s = self.catalog.age_s(self.boottime())
+        wait_s = max(MIN_WATCH_TIMEOUT_S, WATCH_TIMEOUT_S - age_s)
+        requested_at = self.boottime()
         page = await self.client.watch('', self._revision, wait_s)
-        now = self.wall()
+        now = self.boottime()
         for item in page.items:
             self._apply(item, now - page.seen_ago_s)
         self._revision = max(self._revision, page.revision)
         # An answer can lie unread while the process is suspended, so the
         # time at which it was read proves nothing.
-        confirmed_at = asked_at if page.items else min(asked_at + wait_s, now)
+        confirmed_at = (
+            requested_at if page.items else min(requested_at + wait_s, now)
+        )
         self.catalog.confirm(_proved_at(page, confirmed_at))
-        self._regain()
+        self._reset_backoff()
         if page.items:
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(BATCH_DELAY_S)
 
     def _apply(self, item, now):
         if item.key == _documents.CONFIGURATION_KEY:
@@ -190,21 +196,21 @@
         elif item.key.startswith(_documents.PENDING_PREFIX):
             _apply.apply_pending(item, self.catalog, now)
         elif item.key.startswith(_documents.QUARANTINE_PREFIX):
-            _apply.apply_quarantine(item, self.barred, self.wall())
+            _apply.apply_quarantine(item, self.barred, self.boottime())
 
     def _apply_entry(self, item):
         if item.value is None:
             self.roster.drop(_entry_name(item))
         else:
-            self.roster.put(_entry_name(item), _apply.decode_home(item))
+            self.roster.put(_entry_name(item), _apply.parse_home_or_none(item))
 
     def _apply_upstream(self, item, now):
-        if item.revision <= self._revisions.get(item.key, 0):
+        if item.revision <= self._upstream_revisions.get(item.key, 0):
             return
-        self._revisions[item.key] = item.revision
-        upstream = _apply.decode_upstream(item)
+        self._upstream_revisions[item.key] = item.revision
+        upstream = _apply.parse_upstream_or_none(item)
         if upstream is None:
-            self.catalog.drop_upstream(_apply.upstream_name(item), now)
+            self.catalog.drop_upstream(_apply.upstream_id(item), now)
         else:
             self.catalog.put_upstream(upstream)
 
--- a/catkinshunt/platform/_clocks.py
+++ b/catkinshunt/platform/_clocks.py
@@ -3,12 +3,12 @@
 import time
 
 
-def steady():
+def monotonic():
     """Return seconds on the steady clock, for time-outs and durations."""
     return time.monotonic()
 
 
-def wall():
+def boottime():
     """Return seconds since the machine's start, suspends counted.
 
     What was learnt before a suspend must look as old as it is afterwards;
--- a/catkinshunt/platform/_deploy.py
+++ b/catkinshunt/platform/_deploy.py
@@ -4,8 +4,8 @@
 from catkinshunt.platform import _settings
 from catkinshunt import settings
 
-_ROLE_TEXTS = ('run', 'on')
-_CLASSES = ('edge', 'side')
+_ROLE_STRING_FIELDS = ('run', 'on')
+_INSTANCE_CLASSES = ('edge', 'side')
 
 
 def check_file(path):
@@ -26,37 +26,39 @@
 def _check_deploy(document, path):
     problems = []
 
-    def complain(field, value, allowed):
+    def add_problem(field, value, allowed):
         shown = settings.show(value)
         problems.append(settings.Problem(path, field, shown, allowed))
 
     if not isinstance(document.get('build'), str):
-        complain('build', document.get('build'), 'a shell command')
+        add_problem('build', document.get('build'), 'a shell command')
     roles = document['roles']
     if not isinstance(roles, dict) or not roles:
-        complain('roles', roles, 'a table for each role')
+        add_problem('roles', roles, 'a table for each role')
         roles = {}
     for name, role in roles.items():
-        _check_role(f'roles.{name}', role, complain)
+        _check_role(f'roles.{name}', role, add_problem)
     if problems:
         raise errors.SettingsError(
             '\n'.join(map(str, problems)), problems=tuple(problems)
         )
 
 
-def _check_role(field, role, complain):
+def _check_role(field, role, add_problem):
     if not isinstance(role, dict):
-        complain(field, role, 'a table')
+        add_problem(field, role, 'a table')
         return
-    for name in _ROLE_TEXTS:
+    for name in _ROLE_STRING_FIELDS:
         if not isinstance(role.get(name), str):
-            complain(f'{field}.{name}', role.get(name), 'a text')
-    if role.get('on') not in _CLASSES:
-        complain(f'{field}.on', role.get('on'), ' or '.join(_CLASSES))
+            add_problem(f'{field}.{name}', role.get(name), 'a text')
+    if role.get('on') not in _INSTANCE_CLASSES:
+        add_problem(
+            f'{field}.on', role.get('on'), ' or '.join(_INSTANCE_CLASSES)
+        )
     if not isinstance(role.get('serves', []), list):
-        complain(f'{field}.serves', role['serves'], 'a list')
+        add_problem(f'{field}.serves', role['serves'], 'a list')
     share = role.get('share', 1.0)
     if isinstance(share, bool) or not isinstance(share, (int, float)):
-        complain(f'{field}.share', share, 'a number above 0, at most 1')
+        add_problem(f'{field}.share', share, 'a number above 0, at most 1')
     elif not 0 < share <= 1:
-        complain(f'{field}.share', share, 'a number above 0, at most 1')
+        add_problem(f'{field}.share', share, 'a number above 0, at most 1')
--- a/catkinshunt/platform/_dialect.py
+++ b/catkinshunt/platform/_dialect.py
@@ -10,18 +10,18 @@
 ACCOUNT = 'Tenant'
 MODEL = 'Model'
 #: Prompt tokens and most output tokens, separated by a comma.
-TOKENS = 'Token-Counts'
+TOKEN_COUNTS = 'Token-Counts'
 #: The caller's estimate of the output tokens.
-LIKELY_TOKENS = 'Length-Hint'
+LENGTH_HINT = 'Length-Hint'
 LAST_EVENT = 'Last-Event-Id'
 EXPECTED_UPSTREAM = 'Expect-Instance'
 EXPECTED_VERSION = 'Expect-Version'
 PRIORITY = 'Request-Priority'
-NOT_RUN = 'Not-Executed'
+NOT_EXECUTED = 'Not-Executed'
 #: Running and waiting requests and slots, separated by commas.
 LOAD = 'Instance-Load'
 #: Headers that the system sets itself, whatever the caller sent.
-_OWN = frozenset(
+_REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
         DEADLINE,
@@ -48,23 +48,25 @@
             raise errors.InvalidRequestError(
                 'one Host header is needed', step='read-request'
             )
-        tokens_in, most_out = _read_tokens(headers.get(TOKENS))
+        tokens_in, most_out = _parse_token_counts(headers.get(TOKEN_COUNTS))
         return base.Ask(
             id=headers.get(REQUEST_ID, ''),
             host=hosts[0].partition(':')[0].lower(),
             path=req.path,
             method=req.method,
-            deadline_s=_read_deadline(headers.get(DEADLINE)),
+            deadline_s=_parse_deadline(headers.get(DEADLINE)),
             api_key=headers.get(API_KEY, ''),
             model=headers.get(MODEL, ''),
             tokens_in=tokens_in,
-            tokens_out=_read_likely(headers.get(LIKELY_TOKENS), most_out),
-            last_event_id=_digits(headers.get(LAST_EVENT)),
+            tokens_out=_parse_expected_output(
+                headers.get(LENGTH_HINT), most_out
+            ),
+            last_event_id=_digits_or_empty(headers.get(LAST_EVENT)),
         )
 
     def upstream_headers(self, req, ask, forward):
         """See `base.BaseDialect.upstream_headers`."""
-        items = req.headers.end_to_end(without=_OWN)
+        items = req.headers.end_to_end(without=_REPLACED_HEADERS)
         left_ms = max(1, int(forward.left_s * _MS))
         items.append((DEADLINE, str(left_ms)))
         items.append((EXPECTED_UPSTREAM, forward.upstream_id))
@@ -82,9 +84,9 @@
         connection = (headers.get('Connection') or '').lower()
         return base.ReplyNote(
             request_id=headers.get(REQUEST_ID, ''),
-            not_run=headers.get(NOT_RUN) is not None,
+            not_run=headers.get(NOT_EXECUTED) is not None,
             misdirected=head.status == 421,
-            load=_read_load(headers.get(LOAD)),
+            load=_parse_load(headers.get(LOAD)),
             leaving='close' in connection,
         )
 
@@ -93,31 +95,31 @@
         return [(REQUEST_ID, ask.id)] if ask is not None and ask.id else []
 
 
-def _digits(text):
+def _digits_or_empty(text):
     return text if text is not None and text.isdigit() else ''
 
 
-def _read_deadline(text):
+def _parse_deadline(text):
     """Return seconds, or None where the header is missing or no number."""
     if text is None or not text.strip().isdigit():
         return None
     return int(text) / _MS
 
 
-def _read_tokens(text):
+def _parse_token_counts(text):
     parts = (text or '').split(',')
     if len(parts) != 2 or not all(part.strip().isdigit() for part in parts):
         return 0, 0
     return int(parts[0]), int(parts[1])
 
 
-def _read_likely(text, most):
+def _parse_expected_output(text, most):
     """Return the likely tokens of the answer: the estimate, or the most."""
-    likely = int(_digits((text or '').strip()) or 0)
+    likely = int(_digits_or_empty((text or '').strip()) or 0)
     return min(likely, most) if likely and most else most
 
 
-def _read_load(text):
+def _parse_load(text):
     parts = (text or '').split(',')
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -18,13 +18,13 @@
 #: Keys of our own: one for each entry that is alive, one for each version that
 #: was named and is not due yet, one for each request that must not be run, and
 #: one for the origin of weights.
-OWN_PREFIX = 'catkinshunt/'
+SYSTEM_PREFIX = 'catkinshunt/'
 #: All that an entry follows.
-FOLLOWED_PREFIXES = (OPERATOR_PREFIX, UPSTREAM_PREFIX, OWN_PREFIX)
-ENTRY_PREFIX = OWN_PREFIX + 'entries/'
-PENDING_PREFIX = OWN_PREFIX + 'pending/'
-QUARANTINE_PREFIX = OWN_PREFIX + 'quarantine/'
-ORIGIN_KEY = OWN_PREFIX + 'origin'
+WATCHED_PREFIXES = (OPERATOR_PREFIX, UPSTREAM_PREFIX, SYSTEM_PREFIX)
+ENTRY_PREFIX = SYSTEM_PREFIX + 'entries/'
+PENDING_PREFIX = SYSTEM_PREFIX + 'pending/'
+QUARANTINE_PREFIX = SYSTEM_PREFIX + 'quarantine/'
+ORIGIN_KEY = SYSTEM_PREFIX + 'origin'
 _STATES = ('ready', 'draining')
 _MS = 1000.0
 
@@ -38,7 +38,7 @@
     return f'{PENDING_PREFIX}{model}/{version}'
 
 
-def read_pending_key(key):
+def parse_pending_key(key):
     """Return (model, version) of such a key.
 
     Raises:
@@ -60,7 +60,7 @@
     return json.dumps({'for_s': for_s}).encode()
 
 
-def read_quarantine(value):
+def parse_quarantine(value):
     """Return the seconds for which the value of such a key bars a request.
 
     Raises:
@@ -77,14 +77,16 @@
     return json.dumps({'host': home.host, 'region': home.region}).encode()
 
 
-def read_home(value):
+def parse_home(value):
     """Return the `catalog.Home` in the value of an entry's key.
 
     Raises:
         InvalidDocumentError: there is none.
     """
     document = load(value)
-    return catalog.Home(_text(document, 'host'), _text(document, 'region'))
+    return catalog.Home(
+        _get_str(document, 'host'), _get_str(document, 'region')
+    )
 
 
 def dump_origin(origin):
@@ -99,7 +101,7 @@
     return json.dumps(document).encode()
 
 
-def read_shown_origin(value):
+def parse_published_origin(value):
     """Return the `catalog.Origin` that the value of its key shows.
 
     Raises:
@@ -110,14 +112,14 @@
     if isinstance(mbps, bool) or not isinstance(mbps, (int, float)):
         raise InvalidDocumentError(f'link_mbps is {mbps!r}')
     try:
-        address = _settings.parse_address(_text(document, 'address'))
+        address = _settings.parse_address(_get_str(document, 'address'))
     except ValueError as exc:
         raise InvalidDocumentError(str(exc)) from exc
     return catalog.Origin(
         address,
-        _text(document, 'data_centre', ''),
+        _get_str(document, 'data_centre', ''),
         mbps,
-        _whole(document, 'max_connections'),
+        _get_int(document, 'max_connections'),
     )
 
 
@@ -136,14 +138,14 @@
     return document
 
 
-def _whole(document, name, default=None):
+def _get_int(document, name, default=None):
     value = document.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
         raise InvalidDocumentError(f'{name} is {value!r}, not a whole number')
     return value
 
 
-def _text(document, name, default=None):
+def _get_str(document, name, default=None):
     value = document.get(name, default)
     if not isinstance(value, str):
         raise InvalidDocumentError(f'{name} is {value!r}, not a text')
@@ -158,11 +160,11 @@
             write below the prefix too.
     """
     document = load(value)
-    state = _text(document, 'state')
+    state = _get_str(document, 'state')
     if state not in _STATES:
         raise InvalidDocumentError(f'state is {state!r}')
     try:
-        address = _settings.parse_address(_text(document, 'address'))
+        address = _settings.parse_address(_get_str(document, 'address'))
     except ValueError as exc:
         raise InvalidDocumentError(str(exc)) from exc
     slots = document.get('slots', 1)
@@ -170,17 +172,17 @@
         raise InvalidDocumentError(f'slots is {slots!r}')
     return catalog.Upstream(
         id=upstream_id,
-        service=_text(document, 'service'),
+        service=_get_str(document, 'service'),
         address=address,
-        data_centre=_text(document, 'zone', ''),
-        born=_whole(document, 'born', 0),
+        data_centre=_get_str(document, 'zone', ''),
+        born=_get_int(document, 'born', 0),
         leaving=state == 'draining',
-        versions=_read_versions(document),
+        versions=_parse_versions(document),
         slots=slots,
     )
 
 
-def _read_versions(document):
+def _parse_versions(document):
     """Return the version by model that is loaded whole, or None."""
     models = document.get('models')
     if models is None:
@@ -191,11 +193,11 @@
     for model in models:
         if not isinstance(model, dict):
             raise InvalidDocumentError('a model is no object')
-        found[_text(model, 'name')] = _whole(model, 'version')
+        found[_get_str(model, 'name')] = _get_int(model, 'version')
     return found
 
 
-def read_report(value):
+def parse_engine_report(value):
     """Return the `spread.EngineReport` of an engine.
 
     Raises:
@@ -203,13 +205,14 @@
     """
     document = load(value)
     return spread.EngineReport(
-        versions=_read_versions(document) or {},
+        versions=_parse_versions(document) or {},
         busy=bool(document.get('busy')),
-        present=_whole(document, 'active', 0) + _whole(document, 'queued', 0),
+        present=_get_int(document, 'active', 0)
+        + _get_int(document, 'queued', 0),
     )
 
 
-def read_staged(value):
+def parse_staged_chunks(value):
     """Return the indices of the chunks that are staged.
 
     Raises:
@@ -228,7 +231,7 @@
         InvalidDocumentError: it is no version.
     """
     document = load(value)
-    return _text(document, 'model'), _whole(document, 'version')
+    return _get_str(document, 'model'), _get_int(document, 'version')
 
 
 def parse_declaration(value):
@@ -240,21 +243,21 @@
     document = load(value)
     try:
         return catalog.Declaration(
-            revision=_whole(document, 'version'),
-            rule_set=rules.RuleSet(_read_rules(document)),
+            revision=_get_int(document, 'version'),
+            rule_set=rules.RuleSet(_parse_rules(document)),
             services={
-                item['name']: _read_service(item)
+                item['name']: _parse_service(item)
                 for item in document['services']
             },
-            accounts=_read_accounts(document),
-            account_priorities=_read_priorities(document),
-            limits=_read_limits(document.get('limits') or {}),
+            accounts=_parse_accounts(document),
+            account_priorities=_parse_priorities(document),
+            limits=_parse_limits(document.get('limits') or {}),
         )
     except (KeyError, TypeError, AttributeError) as exc:
         raise InvalidDocumentError(f'configuration: {exc!r}') from exc
 
 
-def _read_rules(document):
+def _parse_rules(document):
     """Return one rule for each route, those with longer paths first.
 
     The operator means the longest path to decide; with the first match
@@ -263,20 +266,20 @@
     routes = sorted(
         document['routes'], key=lambda item: -len(item['path_prefix'])
     )
-    return [_read_rule(item) for item in routes]
+    return [_parse_rule(item) for item in routes]
 
 
-def _read_rule(item):
+def _parse_rule(item):
     clauses = (
         rules.Clause('host', rules.Equal(item['host'].lower())),
         rules.Clause('path', rules.Prefix(item['path_prefix'])),
     )
     return rules.Rule(
-        item['name'], rules.When('request', clauses), _read_serve(item)
+        item['name'], rules.When('request', clauses), _parse_serve(item)
     )
 
 
-def _read_serve(item):
+def _parse_serve(item):
     split = item.get('split')
     if split:
         shares = [
@@ -299,18 +302,18 @@
     )
 
 
-def _read_service(item):
+def _parse_service(item):
     origin = item.get('origin')
     return catalog.Service(
         name=item['name'],
         health_path=item.get('health_path', ''),
         max_connections=item.get('max_conns', 64),
-        engine=_read_engine(item.get('engine')),
-        origin=None if origin is None else _read_origin(item),
+        engine=_parse_engine(item.get('engine')),
+        origin=None if origin is None else _parse_origin(item),
     )
 
 
-def _read_origin(item):
+def _parse_origin(item):
     return catalog.Origin(
         _settings.parse_address(item['origin']),
         item.get('zone', ''),
@@ -319,7 +322,7 @@
     )
 
 
-def _read_engine(item):
+def _parse_engine(item):
     if not item:
         return None
     usual = item.get('usual') or {}
@@ -340,7 +343,7 @@
     )
 
 
-def _read_accounts(document):
+def _parse_accounts(document):
     tenants = document.get('tenants')
     if tenants is None:
         return None
@@ -349,7 +352,7 @@
     }
 
 
-def _read_priorities(document):
+def _parse_priorities(document):
     return {
         tenant['name']: tenant['priority']
         for tenant in document.get('tenants') or ()
@@ -357,7 +360,7 @@
     }
 
 
-def _read_limits(item):
+def _parse_limits(item):
     default = http1.Limits()
     return attrs.evolve(
         default,
--- a/catkinshunt/platform/_engine.py
+++ b/catkinshunt/platform/_engine.py
@@ -11,16 +11,18 @@
 from catkinshunt import weights
 
 #: Seconds after which a call to the engine is given up.
-ENGINE_S = 1.5
+ENGINE_TIMEOUT_S = 1.5
 #: Seconds after which a chunk of the origin is given up; ten members share
 #: its link at the begin of a transfer.
-ORIGIN_S = 4.0
+ORIGIN_TIMEOUT_S = 4.0
 #: Seconds within which a connection to the origin must be made; the reply
 #: to its first packet waits behind the chunks on the origin's link.
-ORIGIN_CONNECT_S = 2.0
+ORIGIN_CONNECT_TIMEOUT_S = 2.0
 
 
-async def _call(pool, method, path, query=None, body=b'', timeout_s=ENGINE_S):
+async def _call(
+    pool, method, path, query=None, body=b'', timeout_s=ENGINE_TIMEOUT_S
+):
     """Return (status, body) of one call.
 
     Raises:
@@ -60,7 +62,7 @@
                 f'the engine reported {status}', step='report'
             )
         try:
-            return _documents.read_report(body)
+            return _documents.parse_engine_report(body)
         except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='report') from exc
 
@@ -91,7 +93,7 @@
         if status == 404:
             return []
         try:
-            return _documents.read_staged(body)
+            return _documents.parse_staged_chunks(body)
         except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='list stage') from exc
 
@@ -126,8 +128,8 @@
         clock: gives seconds on the steady clock.
     """
 
-    def __init__(self, locate, clock):
-        self.locate = locate
+    def __init__(self, get_origin, clock):
+        self.get_origin = get_origin
         self.clock = clock
         self._pool = None
 
@@ -135,7 +137,7 @@
         """See `base.BaseOrigin.manifest`."""
         body = await self._get(f'/-/manifest/{model}', {'version': version})
         try:
-            return _read_manifest(body, model, version)
+            return _parse_manifest(body, model, version)
         except _documents.InvalidDocumentError as exc:
             raise errors.ManifestError(str(exc), step='manifest') from exc
 
@@ -152,7 +154,11 @@
 
     async def _get(self, path, query):
         status, body = await _call(
-            await self._take_pool(), 'GET', path, query, timeout_s=ORIGIN_S
+            await self._get_pool(),
+            'GET',
+            path,
+            query,
+            timeout_s=ORIGIN_TIMEOUT_S,
         )
         if status != 200:
             raise errors.TransferError(
@@ -160,9 +166,9 @@
             )
         return body
 
-    async def _take_pool(self):
+    async def _get_pool(self):
         try:
-            origin = await self.locate()
+            origin = await self.get_origin()
         except errors.StoreError as exc:
             raise errors.TransferError(exc.message, step='origin') from exc
         if origin is None:
@@ -170,12 +176,12 @@
         host, port = origin.address
         if self._pool is None or self._pool.peer != f'{host}:{port}':
             self._pool = http1.Pool(
-                host, port, self.clock, connect_s=ORIGIN_CONNECT_S
+                host, port, self.clock, connect_s=ORIGIN_CONNECT_TIMEOUT_S
             )
         return self._pool
 
 
-def _read_manifest(body, model, version):
+def _parse_manifest(body, model, version):
     document = _documents.load(body)
     digests = document.get('digests')
     size = document.get('chunk_bytes')
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -28,16 +28,16 @@
 #: Share of the time in which a key that was taken away may still be served
 #: for which word from the store counts as fresh. The rest covers the way of
 #: a request and the time between two watches.
-FRESH_SHARE = 0.7
+KEY_TRUST_SHARE = 0.7
 #: Share of the allowed retries that entries use, for windows that fall
 #: between two bursts.
-RETRY_SHARE = 0.7
+RETRY_RATIO_SHARE = 0.7
 #: Share of the retries beyond the ratio that entries use, for one that has
 #: just started again with a full budget.
-BURST_SHARE = 0.8
+RETRY_SLACK_SHARE = 0.8
 #: Seconds between two looks at the share of the retries, which grows when a
 #: larger number of entries is long past.
-SHARE_S = 10.0
+RETRY_BURST_PERIOD_S = 10.0
 #: Seconds kept back from the time between the signal to stop and the kill, for
 #: ending what is left and the last log lines.
 STOP_MARGIN_S = 1.0
@@ -47,7 +47,7 @@
 #: takes its time on the way.
 VERSION_MARGIN_S = 0.75
 #: Seconds between two removals of what upstreams that are gone left behind.
-TIDY_S = 10.0
+EVICTION_PERIOD_S = 10.0
 
 _log = logs.get_logger('entry')
 
@@ -58,7 +58,7 @@
     Args:
         cfg: `InstanceSettings`.
     """
-    stop = _signals.watch_signals()
+    stop = _signals.install_signal_handlers()
     registry = metrics.Registry()
     context = make_context(cfg, registry)
     await context.places.start(cfg.ip)
@@ -66,20 +66,20 @@
     gossip = make_gossip(cfg, roster, context.random)
     await gossip.start(cfg.ip)
     context.guard = quarantine.Guard(gossip)
-    server = await gateway.Gateway(context).start(*cfg.frontend)
-    show_gauges(registry, server, context)
+    server = await gateway.Gateway(context).start(*cfg.frontend_address)
+    register_gauges(registry, server, context)
     ready = http1.Listener(
-        http1.answer_with(_ready_handler(server)), _clocks.steady
+        http1.answer_with(_readiness_handler(server)), _clocks.monotonic
     )
-    await ready.start(*cfg.ready)
+    await ready.start(*cfg.ready_address)
     await _process.serve_metrics(cfg, registry)
     client = _process.make_store_client(cfg, registry)
     followed = make_feed(cfg, client, roster)
-    await feed.FeedServer(followed, _clocks.wall, _clocks.steady).start(
+    await feed.FeedServer(followed, _clocks.boottime, _clocks.monotonic).start(
         cfg.ip, _process.feed_port(cfg)
     )
-    mirror = make_mirror(followed, context, roster)
-    home = catalogs.Home(cfg.ip, _region(cfg))
+    mirror = make_cache_updater(followed, context, roster)
+    home = catalogs.Home(cfg.ip, _region_of(cfg))
     member = _registration.Registration(client, roster, cfg.name, home)
     pending = _pending_publisher.PendingPublisher(
         client,
@@ -87,13 +87,13 @@
         roster,
         cfg.name,
         context.version_grace_s,
-        _clocks.wall,
+        _clocks.boottime,
     )
     origin = _origin_publisher.OriginPublisher(
         client, context.catalog, roster, cfg.name
     )
     barred = _quarantine_publisher.QuarantinePublisher(
-        client, gossip.quarantine, roster, cfg.name, _clocks.wall
+        client, gossip.quarantine, roster, cfg.name, _clocks.boottime
     )
     tasks = [
         asyncio.ensure_future(work)
@@ -104,8 +104,8 @@
             origin.run(),
             gossip.run(),
             barred.run(),
-            _share_retries(cfg, context, roster),
-            _tidy(context),
+            _update_retry_burst(cfg, context, roster),
+            _evict_gone_upstreams(context),
         )
     ]
     _log.info('Started entry {}.', cfg.name, data_centre=cfg.data_centre)
@@ -123,7 +123,7 @@
     two seconds more, beyond the one that is kept back, and it would be
     killed with its last log lines unwritten.
     """
-    leaving = asyncio.ensure_future(member.leave())
+    leaving = asyncio.ensure_future(member.deregister())
     try:
         await server.stop(grace_s)
     finally:
@@ -136,18 +136,19 @@
     rng = random.Random()
     return gateway.Context(
         catalog=catalogs.Catalog(
-            fresh_s=bounds.revoke_s * FRESH_SHARE, current_s=bounds.config_s
+            fresh_s=bounds.revoke_s * KEY_TRUST_SHARE,
+            current_s=bounds.config_s,
         ),
         dialect=_dialect.PlatformDialect(),
         chooser=dispatch.Chooser(cfg.data_centre, cfg.regions, cfg.name),
-        clock=_clocks.steady,
-        wall=_clocks.wall,
-        retry_ratio=bounds.retry_ratio * RETRY_SHARE,
-        retry_burst=make_burst_share(cfg).choose(_clocks.steady()),
+        clock=_clocks.monotonic,
+        wall=_clocks.boottime,
+        retry_ratio=bounds.retry_ratio * RETRY_RATIO_SHARE,
+        retry_burst=make_burst_share(cfg).choose(_clocks.monotonic()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
         places=places.PlaceClient(
-            _process.place_port(cfg), _clocks.steady, rng
+            _process.permit_port(cfg), _clocks.monotonic, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
     )
@@ -155,29 +156,29 @@
 
 def make_burst_share(cfg):
     """Return the `retries.BurstShare` of an entry with these settings."""
-    return retries.BurstShare(cfg.bounds.retry_slack * BURST_SHARE)
+    return retries.BurstShare(cfg.bounds.retry_slack * RETRY_SLACK_SHARE)
 
 
-async def _share_retries(cfg, context, roster):
+async def _update_retry_burst(cfg, context, roster):
     """Bound the retries to what is left for one of the entries alive."""
     share = make_burst_share(cfg)
     while True:
-        now = _clocks.steady()
+        now = _clocks.monotonic()
         share.see(len(roster.names()), now)
         context.limit_retries(share.choose(now))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SHARE_S):
+            async with asyncio.timeout(RETRY_BURST_PERIOD_S):
                 await roster.wait_for_change()
 
 
-async def _tidy(context):
+async def _evict_gone_upstreams(context):
     """Drop what is kept of upstreams that are gone, now and then."""
     while True:
-        await asyncio.sleep(TIDY_S)
+        await asyncio.sleep(EVICTION_PERIOD_S)
         context.forget(context.catalog.all_upstreams())
 
 
-def show_gauges(registry, server, context):
+def register_gauges(registry, server, context):
     """Show what the entry knows and holds at each scrape."""
     catalog = context.catalog
 
@@ -198,7 +199,7 @@
     registry.gauge(
         'catalog_age_seconds',
         'Time since the state was known to be the newest; -1 for never.',
-        lambda: _or_never(catalog.age_s(_clocks.wall())),
+        lambda: _age_or_minus_one(catalog.age_s(_clocks.boottime())),
     )
     registry.gauge(
         'upstreams',
@@ -219,11 +220,11 @@
     )
 
 
-def _or_never(age_s):
+def _age_or_minus_one(age_s):
     return -1.0 if age_s is None else age_s
 
 
-def _region(cfg):
+def _region_of(cfg):
     return cfg.regions.get(cfg.data_centre, cfg.data_centre)
 
 
@@ -234,8 +235,8 @@
         return feed.PeerFeed(
             host,
             _process.feed_port(cfg),
-            _clocks.steady,
-            _clocks.wall,
+            _clocks.monotonic,
+            _clocks.boottime,
             must_read,
         )
 
@@ -243,10 +244,10 @@
         client,
         roster,
         cfg.name,
-        _region(cfg),
+        _region_of(cfg),
         make_peer,
-        _clocks.wall,
-        _documents.FOLLOWED_PREFIXES,
+        _clocks.boottime,
+        _documents.WATCHED_PREFIXES,
     )
 
 
@@ -257,24 +258,24 @@
         roster,
         cfg.name,
         _process.gossip_port(cfg),
-        _clocks.wall,
+        _clocks.boottime,
         random,
     )
 
 
-def make_mirror(client, context, roster):
+def make_cache_updater(client, context, roster):
     """Return the `CacheUpdater` that feeds the catalog of `context`."""
     return _cache_updater.CacheUpdater(
         client,
         context.catalog,
         roster,
-        _clocks.wall,
+        _clocks.boottime,
         context.random,
         context.guard.gossip.quarantine,
     )
 
 
-def _ready_handler(server):
+def _readiness_handler(server):
     async def handle(req):
         return http1.Reply(200 if server.is_ready() else 503)
 
--- a/catkinshunt/platform/_origin_publisher.py
+++ b/catkinshunt/platform/_origin_publisher.py
@@ -8,9 +8,9 @@
 from catkinshunt import rendezvous
 
 #: Entries that see to the key; one of them may die meanwhile.
-WRITERS = 2
+WRITER_COUNT = 2
 #: Seconds between two looks whether the origin or the writers have changed.
-LOOK_S = 2.0
+CHECK_PERIOD_S = 2.0
 
 _log = logs.get_logger('origin')
 
@@ -35,7 +35,7 @@
         self.catalog = catalog
         self.roster = roster
         self.name = name
-        self._shown = None
+        self._published = None
 
     async def run(self):
         """Keep the key right until cancelled."""
@@ -44,25 +44,29 @@
         )
         while True:
             try:
-                await self._look()
+                await self._publish_if_changed()
                 outage.end()
             except errors.StoreError as exc:
                 outage.begin(exc)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
 
-    async def _look(self):
+    async def _publish_if_changed(self):
         declaration = self.catalog.declaration
         origin = declaration.origin if declaration else None
-        if origin is None or origin == self._shown or not self._is_writer():
+        if (
+            origin is None
+            or origin == self._published
+            or not self._is_writer()
+        ):
             return
         value = _documents.dump_origin(origin)
         page = await self.client.read_prefix(_documents.ORIGIN_KEY)
         if all(item.value != value for item in page.items):
             await self.client.write(_documents.ORIGIN_KEY, value)
             _log.info('Shows the origin {}.', origin.address)
-        self._shown = origin
+        self._published = origin
 
     def _is_writer(self):
         names = sorted({*self.roster.names(), self.name})
         ranked = rendezvous.rank(_documents.ORIGIN_KEY, names)
-        return self.name in ranked[:WRITERS]
+        return self.name in ranked[:WRITER_COUNT]
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -9,13 +9,13 @@
 from catkinshunt import rendezvous
 
 #: Entries that write the key of a version; one of them may die meanwhile.
-WRITERS = 2
+WRITER_COUNT = 2
 #: Shortest lease that is worth its two calls, and that the store grants, in
 #: seconds.
-LEAST_LEASE_S = 1.0
+MIN_LEASE_S = 1.0
 #: Seconds that a lease ends before the version is due, for the way of its
 #: grant; one that took longer is given back.
-MARGIN_S = 0.4
+LEASE_MARGIN_S = 0.4
 
 _log = logs.get_logger('versions')
 
@@ -38,32 +38,32 @@
         wall: gives seconds on the clock of the catalog.
     """
 
-    def __init__(self, client, catalog, roster, name, grace_s, wall):
+    def __init__(self, client, catalog, roster, name, grace_s, boottime):
         self.client = client
         self.catalog = catalog
         self.roster = roster
         self.name = name
         self.grace_s = grace_s
-        self.wall = wall
-        self._written = set()
+        self.boottime = boottime
+        self._handled = set()
 
     async def run(self):
         """Write keys until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
-                for model, named in self._find_new():
-                    group.create_task(self._write(model, named))
+                for model, named in self._find_unpublished():
+                    group.create_task(self._publish(model, named))
                 await self.catalog.wait_for_change()
 
-    def _find_new(self):
+    def _find_unpublished(self):
         """Return pairs of model and version that this entry is to show."""
         found = []
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
             key = (model, named.version)
-            if key in self._written:
+            if key in self._handled:
                 continue
-            self._written.add(key)
+            self._handled.add(key)
             if not named.is_pending and self._is_writer(*key):
                 found.append((model, named))
         return found
@@ -71,17 +71,17 @@
     def _is_writer(self, model, version):
         names = sorted({*self.roster.names(), self.name})
         ranked = rendezvous.rank(f'{model}/{version}', names)
-        return self.name in ranked[:WRITERS]
+        return self.name in ranked[:WRITER_COUNT]
 
-    async def _write(self, model, named):
+    async def _publish(self, model, named):
         """Write the key of one version, unless it is due too soon."""
         due_at = named.since + self.grace_s
-        lease_s = due_at - self.wall() - MARGIN_S
-        if not math.isfinite(lease_s) or lease_s < LEAST_LEASE_S:
+        lease_s = due_at - self.boottime() - LEASE_MARGIN_S
+        if not math.isfinite(lease_s) or lease_s < MIN_LEASE_S:
             return
         try:
             lease = await self.client.grant_lease(lease_s)
-            if self.wall() + lease_s > due_at:
+            if self.boottime() + lease_s > due_at:
                 await self.client.revoke_lease(lease)
                 return
             key = _documents.pending_key(model, named.version)
--- a/catkinshunt/platform/_process.py
+++ b/catkinshunt/platform/_process.py
@@ -10,30 +10,30 @@
 
 def chunk_port(cfg):
     """Return the port on which sidecars give chunks."""
-    return cfg.ports[0] + 1
+    return cfg.port_range[0] + 1
 
 
-def place_port(cfg):
+def permit_port(cfg):
     """Return the port on which places at engines are asked for."""
-    return cfg.ports[0] + 2
+    return cfg.port_range[0] + 2
 
 
 def feed_port(cfg):
     """Return the port on which entries hand on what the store tells."""
-    return cfg.ports[0] + 3
+    return cfg.port_range[0] + 3
 
 
 def gossip_port(cfg):
     """Return the port on which entries tell each other of crashes."""
-    return cfg.ports[0] + 4
+    return cfg.port_range[0] + 4
 
 
 async def serve_metrics(cfg, registry):
     """Show the metrics of `registry` on the first port of the settings."""
     shown = http1.Listener(
-        http1.answer_with(metrics_handler(registry)), _clocks.steady
+        http1.answer_with(metrics_handler(registry)), _clocks.monotonic
     )
-    await shown.start(cfg.ip, cfg.ports[0])
+    await shown.start(cfg.ip, cfg.port_range[0])
 
 
 def metrics_handler(registry):
@@ -42,7 +42,7 @@
     async def handle(req):
         if req.path != METRICS_PATH:
             return http1.Reply(404)
-        kind, text = metrics.expose(registry, _clocks.steady())
+        kind, text = metrics.expose(registry, _clocks.monotonic())
         return http1.Reply(200, text, (('Content-Type', kind),))
 
     return handle
@@ -53,4 +53,4 @@
     calls = registry.counter(
         'store_calls_total', 'Calls to the store.', ('kind', 'result')
     )
-    return _store.StoreClient(cfg.store, _clocks.steady, calls)
+    return _store.StoreClient(cfg.store_address, _clocks.monotonic, calls)
--- a/catkinshunt/platform/_quarantine_publisher.py
+++ b/catkinshunt/platform/_quarantine_publisher.py
@@ -9,9 +9,9 @@
 from catkinshunt import rendezvous
 
 #: Entries that write the key of a request; one of them may die meanwhile.
-WRITERS = 2
+WRITER_COUNT = 2
 #: Seconds between two looks at what is barred.
-LOOK_S = 0.5
+CHECK_PERIOD_S = 0.5
 
 _log = logs.get_logger('quarantine')
 
@@ -31,13 +31,13 @@
         wall: gives seconds on the clock of the quarantine.
     """
 
-    def __init__(self, client, barred, roster, name, wall):
+    def __init__(self, client, barred, roster, name, boottime):
         self.client = client
         self.barred = barred
         self.roster = roster
         self.name = name
-        self.wall = wall
-        self._written = {}
+        self.boottime = boottime
+        self._published_until = {}
 
     async def run(self):
         """Write keys until cancelled."""
@@ -48,17 +48,17 @@
         )
         while True:
             try:
-                await self._write_new()
+                await self._publish_new()
                 outage.end()
             except errors.StoreError as exc:
                 outage.begin(exc)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
 
-    async def _write_new(self):
-        now = self.wall()
+    async def _publish_new(self):
+        now = self.boottime()
         for request, left_s in self.barred.all_barred(now):
             until = now + left_s
-            if self._is_kept(request, until, now):
+            if self._is_published(request, until, now):
                 continue
             if not self._is_writer(request):
                 continue
@@ -66,21 +66,21 @@
             key = _documents.quarantine_key(request)
             value = _documents.dump_quarantine(left_s)
             await self.client.write(key, value, lease)
-            self._written[request] = until
-        self._forget(now)
+            self._published_until[request] = until
+        self._evict_expired(now)
 
-    def _is_kept(self, request, until, now):
+    def _is_published(self, request, until, now):
         """Return whether its key stays for nearly as long as it is barred."""
         most_s = quarantine.BARRED_S * quarantine.RENEW_SHARE
-        return until - self._written.get(request, now) < most_s
+        return until - self._published_until.get(request, now) < most_s
 
     def _is_writer(self, request):
         names = sorted({*self.roster.names(), self.name})
-        return self.name in rendezvous.rank(request, names)[:WRITERS]
+        return self.name in rendezvous.rank(request, names)[:WRITER_COUNT]
 
-    def _forget(self, now):
-        self._written = {
+    def _evict_expired(self, now):
+        self._published_until = {
             request: until
-            for request, until in self._written.items()
+            for request, until in self._published_until.items()
             if until > now
         }
--- a/catkinshunt/platform/_registration.py
+++ b/catkinshunt/platform/_registration.py
@@ -10,11 +10,11 @@
 #: Seconds after which an entry that no longer renews its lease is no longer
 #: listed. It is longer than a usual outage of the store, after which all
 #: entries would have to be listed again at once.
-LEASE_S = 15.0
+LEASE_TTL_S = 15.0
 #: Seconds between two renewals; two may be lost.
-RENEW_S = 5.0
+RENEW_PERIOD_S = 5.0
 #: Pause after a call that failed, in seconds.
-PAUSE_S = 1.0
+RETRY_PAUSE_S = 1.0
 
 _log = logs.get_logger('membership')
 
@@ -35,31 +35,31 @@
         self.name = name
         self.home = home
         self._lease = None
-        self._leaves = False
+        self._is_deregistered = False
 
     async def run(self):
         """Keep the entry listed until it leaves."""
         outage = logs.Outage(
             _log, 'The lease was not renewed: {}.', 'The lease is renewed.'
         )
-        while not self._leaves:
+        while not self._is_deregistered:
             try:
-                await self._keep()
+                await self._renew_or_register()
                 outage.end()
-                await asyncio.sleep(RENEW_S)
+                await asyncio.sleep(RENEW_PERIOD_S)
             except _store.LeaseNotFoundError:
                 self._lease = None
             except errors.StoreError as exc:
                 outage.begin(exc)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _keep(self):
+    async def _renew_or_register(self):
         # A write whose answer was lost may arrive late and bind the key to
         # an older lease. It vanishes with that one; the roster shows it.
         if self._lease is not None and self.roster.has(self.name):
             await self.client.renew_lease(self._lease)
             return
-        lease = await self.client.grant_lease(LEASE_S)
+        lease = await self.client.grant_lease(LEASE_TTL_S)
         key = _documents.ENTRY_PREFIX + self.name
         value = b'{}'
         if self.home is not None:
@@ -68,9 +68,9 @@
         self._lease = lease
         _log.info('Listed as entry {}.', self.name, lease=lease)
 
-    async def leave(self):
+    async def deregister(self):
         """End the lease, so that others no longer count this entry."""
-        self._leaves = True
+        self._is_deregistered = True
         if self._lease is None:
             return
         try:
--- a/catkinshunt/platform/_settings.py
+++ b/catkinshunt/platform/_settings.py
@@ -46,12 +46,12 @@
         ip: its address.
         data_centre: where it stands.
         regions: region by data centre.
-        frontend: (ip, port) for callers, or None.
-        ready: (ip, port) of the readiness check, or None.
-        ports: first and last port for our own processes.
-        store: (ip, port) of the platform's store.
+        frontend_address: (ip, port) for callers, or None.
+        ready_address: (ip, port) of the readiness check, or None.
+        port_range: first and last port for our own processes.
+        store_address: (ip, port) of the platform's store.
         link_mbps: speed of the instance's link.
-        engine: (ip, port) of the engine on this instance, or None.
+        engine_address: (ip, port) of the engine on this instance, or None.
         service: service of that engine, or ''.
     """
 
@@ -59,17 +59,17 @@
     ip: str
     data_centre: str
     regions: dict
-    frontend: tuple | None
-    ready: tuple | None
-    ports: tuple
-    store: tuple
+    frontend_address: tuple | None
+    ready_address: tuple | None
+    port_range: tuple
+    store_address: tuple
     link_mbps: float
-    engine: tuple | None
+    engine_address: tuple | None
     service: str
     bounds: Bounds
 
 
-class _Reader:
+class _FieldReader:
     """Reads fields of a document and gathers what is wrong with them."""
 
     def __init__(self, document, path):
@@ -84,7 +84,7 @@
         if value is None and not required:
             return default
         if isinstance(value, bool) or not isinstance(value, kinds):
-            self._complain(name, value, _describe(kinds))
+            self._add_problem(name, value, _describe_type(kinds))
             return default
         return value
 
@@ -95,10 +95,10 @@
         try:
             return parse_address(text)
         except ValueError:
-            self._complain(name, text, 'an address such as 10.0.0.1:8000')
+            self._add_problem(name, text, 'an address such as 10.0.0.1:8000')
             return None
 
-    def _complain(self, name, value, wanted):
+    def _add_problem(self, name, value, wanted):
         shown = settings.show(value)
         self.problems.append(settings.Problem(self.path, name, shown, wanted))
 
@@ -106,7 +106,7 @@
 _NUMBER = (int, float)
 
 
-def _describe(kinds):
+def _describe_type(kinds):
     if kinds is _NUMBER:
         return 'a number'
     return {str: 'a text', dict: 'a table', list: 'a list'}[kinds]
@@ -158,20 +158,20 @@
 
 def parse_instance_settings(document, path='settings'):
     """Return the `InstanceSettings` in a decoded document."""
-    reader = _Reader(document, path)
+    reader = _FieldReader(document, path)
     found = InstanceSettings(
         name=reader.get('node_name', str, required=True),
         ip=reader.get('ip', str, required=True),
         data_centre=reader.get('zone', str, required=True),
         regions=dict(reader.get('zones', dict, {})),
-        frontend=reader.address('listen.frontend'),
-        ready=reader.address('listen.ready'),
-        ports=tuple(reader.get('port_range', list, [0, 0])),
-        store=reader.address('platform.address', required=True),
+        frontend_address=reader.address('listen.frontend'),
+        ready_address=reader.address('listen.ready'),
+        port_range=tuple(reader.get('port_range', list, [0, 0])),
+        store_address=reader.address('platform.address', required=True),
         link_mbps=reader.get('limits.link_mbps', _NUMBER, 1000.0),
-        engine=reader.address('app'),
+        engine_address=reader.address('app'),
         service=reader.get('service', str, ''),
-        bounds=_read_bounds(reader),
+        bounds=_parse_bounds(reader),
     )
     if reader.problems:
         raise errors.SettingsError(
@@ -181,7 +181,7 @@
     return found
 
 
-def _read_bounds(reader):
+def _parse_bounds(reader):
     default = Bounds()
 
     def seconds(name, value):
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -22,11 +22,11 @@
     Args:
         cfg: `InstanceSettings`.
     """
-    stop = _signals.watch_signals()
+    stop = _signals.install_signal_handlers()
     registry = metrics.Registry()
     await _process.serve_metrics(cfg, registry)
     tasks = await _start(cfg, registry)
-    _log.info('Started sidecar {}.', cfg.name, engine=cfg.engine)
+    _log.info('Started sidecar {}.', cfg.name, engine=cfg.engine_address)
     await stop.wait()
     for task in tasks:
         task.cancel()
@@ -35,43 +35,43 @@
 
 async def _start(cfg, registry):
     """Start what looks after the engine; return its tasks."""
-    if cfg.engine is None:
+    if cfg.engine_address is None:
         return []
     shelf = spread.Shelf()
-    moved = make_metrics(registry, shelf)
-    outlook = _store_view.StoreView(
+    chunk_bytes = register_metrics(registry, shelf)
+    view = _store_view.StoreView(
         cfg,
         _process.make_store_client(cfg, registry),
         catalogs.Catalog(),
-        _clocks.wall,
+        _clocks.boottime,
         cfg.bounds.version_s,
     )
-    door = places.PlaceServer(places.Ledger(), _clocks.steady)
-    await door.start(cfg.ip, _process.place_port(cfg))
+    permit_server = places.PlaceServer(places.Ledger(), _clocks.monotonic)
+    await permit_server.start(cfg.ip, _process.permit_port(cfg))
     chunk_port = _process.chunk_port(cfg)
     agent = spread.Agent(
         spread.Member(cfg.ip, cfg.data_centre),
-        outlook,
-        _engine.PlatformEngine(cfg.engine, _clocks.steady),
-        _engine.PlatformOrigin(outlook.origin, _clocks.steady),
-        spread.PeerClient(chunk_port, _clocks.steady, name=cfg.ip),
+        view,
+        _engine.PlatformEngine(cfg.engine_address, _clocks.monotonic),
+        _engine.PlatformOrigin(view.origin, _clocks.monotonic),
+        spread.PeerClient(chunk_port, _clocks.monotonic, name=cfg.ip),
         shelf,
-        _clocks.steady,
+        _clocks.monotonic,
         cfg.link_mbps,
-        moved,
-        door,
+        chunk_bytes,
+        permit_server,
     )
     server = spread.ChunkServer(
-        shelf, _clocks.steady, cfg.link_mbps, moved, agent.note_asked
+        shelf, _clocks.monotonic, cfg.link_mbps, chunk_bytes, agent.note_asked
     )
     await server.start(cfg.ip, chunk_port)
     return [
-        asyncio.ensure_future(outlook.run()),
+        asyncio.ensure_future(view.run()),
         asyncio.ensure_future(agent.run()),
     ]
 
 
-def make_metrics(registry, shelf):
+def register_metrics(registry, shelf):
     """Show what is on the shelf; return the counter of moved bytes."""
     registry.gauge(
         'versions_whole',
--- a/catkinshunt/platform/_signals.py
+++ b/catkinshunt/platform/_signals.py
@@ -10,7 +10,7 @@
 _log = logs.get_logger('signals')
 
 
-def watch_signals():
+def install_signal_handlers():
     """Return an event that is set at the signal to stop.
 
     The signal to reload reads the settings anew and says what came of it.
@@ -19,11 +19,11 @@
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, _reload)
+    loop.add_signal_handler(signal.SIGHUP, _reload_settings)
     return stop
 
 
-def _reload():
+def _reload_settings():
     try:
         cfg = _settings.load_instance_settings()
     except errors.SettingsError as exc:
--- a/catkinshunt/platform/_store.py
+++ b/catkinshunt/platform/_store.py
@@ -11,7 +11,7 @@
 from catkinshunt import http1
 
 #: Seconds after which a call is given up. A slow store answers in 0.4 s.
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 _MS = 1000
 
 
@@ -31,7 +31,7 @@
     def __init__(self, address, clock, metrics=None):
         host, port = address
         self.metrics = metrics
-        self._pool = http1.Pool(host, port, clock, connect_s=CALL_S)
+        self._pool = http1.Pool(host, port, clock, connect_s=CALL_TIMEOUT_S)
 
     async def read_prefix(self, prefix):
         """Return all items below `prefix` as one `Page`.
@@ -46,8 +46,8 @@
             query = {'path_prefix': prefix}
             if after is not None:
                 query['after'] = after
-            page = _read_page(
-                await self._call('read', '/-/kv-range', query), 'entries'
+            page = _parse_page(
+                await self._query('read', '/-/kv-range', query), 'entries'
             )
             found.extend(page.items)
             if revision is None:
@@ -70,14 +70,14 @@
             'after': after,
             'wait_ms': round(wait_s * _MS),
         }
-        document = await self._call(
-            'watch', '/-/kv-watch', query, timeout_s=wait_s + CALL_S
+        document = await self._query(
+            'watch', '/-/kv-watch', query, timeout_s=wait_s + CALL_TIMEOUT_S
         )
-        return _read_page(document, 'events')
+        return _parse_page(document, 'events')
 
     async def grant_lease(self, ttl_s):
         """Return the id of a new lease that lasts `ttl_s` seconds."""
-        document = await self._change(
+        document = await self._modify(
             'grant-lease', '/-/kv-lease', {'ttl_ms': round(ttl_s * _MS)}
         )
         lease = document.get('lease')
@@ -93,7 +93,7 @@
         Raises:
             LeaseNotFoundError: it has ended.
         """
-        await self._change('renew-lease', f'/-/kv-keep/{lease}')
+        await self._modify('renew-lease', f'/-/kv-keep/{lease}')
 
     async def revoke_lease(self, lease):
         """End a lease and remove its keys.
@@ -101,7 +101,7 @@
         Raises:
             LeaseNotFoundError: it has ended before.
         """
-        await self._change(
+        await self._modify(
             'end-lease', f'/-/kv-lease-end/{lease}', method='DELETE'
         )
 
@@ -114,19 +114,25 @@
         data = base64.b64encode(value).decode()
         row = {'key': key, 'data': data, 'lease': lease}
         document = {'expected': [], 'write': [row], 'remove': []}
-        await self._change('write', '/-/kv-txn', document)
+        await self._modify('write', '/-/kv-txn', document)
 
-    async def _change(self, kind, path, document=None, method='POST'):
+    async def _modify(self, kind, path, document=None, method='POST'):
         body = b'' if document is None else json.dumps(document).encode()
         items = [('Content-Type', 'application/json')] if body else []
-        return await self._exchange(kind, method, path, items, body)
+        return await self._send(kind, method, path, items, body)
 
-    async def _call(self, kind, path, query, timeout_s=CALL_S):
+    async def _query(self, kind, path, query, timeout_s=CALL_TIMEOUT_S):
         target = f'{path}?{urllib.parse.urlencode(query)}'
-        return await self._exchange(kind, 'GET', target, timeout_s=timeout_s)
-
-    async def _exchange(
-        self, kind, method, target, items=(), body=b'', timeout_s=CALL_S
+        return await self._send(kind, 'GET', target, timeout_s=timeout_s)
+
+    async def _send(
+        self,
+        kind,
+        method,
+        target,
+        items=(),
+        body=b'',
+        timeout_s=CALL_TIMEOUT_S,
     ):
         result = 'lost'
         try:
@@ -156,10 +162,10 @@
                 step=kind,
                 peer=self._pool.peer,
             )
-        return _load(reply, kind)
+        return _parse_object(reply, kind)
 
 
-def _load(body, kind):
+def _parse_object(body, kind):
     try:
         document = checks.load_json(body)
     except ValueError as exc:
@@ -171,9 +177,9 @@
     return document
 
 
-def _read_page(document, field):
+def _parse_page(document, field):
     try:
-        items = tuple(_read_item(item) for item in document[field])
+        items = tuple(_parse_item(item) for item in document[field])
         return feed.Page(items, document['at'], bool(document.get('has_more')))
     except (KeyError, TypeError, AttributeError) as exc:
         raise errors.StoreUnavailableError(
@@ -181,7 +187,7 @@
         ) from exc
 
 
-def _read_item(item):
+def _parse_item(item):
     value = b''
     if item.get('deleted'):
         value = None
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -12,13 +12,13 @@
 
 #: Seconds that a watch for new versions waits. A sidecar needs no proof that
 #: what it knows is the newest, so it waits long; all share the store's rate.
-WATCH_S = 10.0
+WATCH_TIMEOUT_S = 10.0
 #: Pause after a call that failed, in seconds.
-PAUSE_S = 0.4
+RETRY_PAUSE_S = 0.4
 #: Seconds for which the list of members is used again.
-MEMBERS_S = 1.5
+MEMBERS_MAX_AGE_S = 1.5
 #: Seconds for which the address of the origin is used again.
-ORIGIN_S = 10.0
+ORIGIN_MAX_AGE_S = 10.0
 #: Seconds before a version is due from which on no request begins on the one
 #: before: the time from a place to the first token, behind others.
 EXPIRY_MARGIN_S = 0.6
@@ -37,22 +37,22 @@
         due_s: seconds after which a named version is needed.
     """
 
-    def __init__(self, cfg, client, catalog, wall, due_s):
+    def __init__(self, cfg, client, catalog, boottime, due_s):
         self.cfg = cfg
         self.client = client
         self.catalog = catalog
-        self.wall = wall
+        self.boottime = boottime
         self.due_s = due_s
         self.regions = cfg.regions
         self._revision = None
         self._origin = None
-        self._origin_at = -math.inf
+        self._origin_read_at = -math.inf
         self._origin_outage = logs.Outage(
             _log,
             'Goes on with the origin known before: {}.',
             'The origin is looked up again.',
         )
-        self._listed_at = None
+        self._members_read_at = None
         self._list_outage = logs.Outage(
             _log,
             'Goes on with the members known before: {}.',
@@ -72,7 +72,7 @@
                 self._revision = None
             except errors.StoreError as exc:
                 outage.begin(exc)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _follow(self):
         first = self._revision is None
@@ -80,16 +80,16 @@
             page = await self.client.read_prefix(_documents.VERSION_PREFIX)
         else:
             page = await self.client.watch(
-                _documents.VERSION_PREFIX, self._revision, WATCH_S
+                _documents.VERSION_PREFIX, self._revision, WATCH_TIMEOUT_S
             )
         for item in page.items:
-            since = self.wall() - (self.due_s if first else 0)
+            since = self.boottime() - (self.due_s if first else 0)
             _apply.apply_version(item, self.catalog, since, found=first)
         self._revision = page.revision
 
     def now(self):
         """See `spread.BaseOutlook.now`."""
-        return self.wall()
+        return self.boottime()
 
     async def origin(self):
         """Return the `catalog.Origin` in force, or None.
@@ -97,14 +97,20 @@
         Looked up when it is asked for, so by few members, and again now and
         then, since it may move.
         """
-        now = self.wall()
-        if self._origin is None or now - self._origin_at > ORIGIN_S:
-            await self._look_up_origin(now)
+        now = self.boottime()
+        if (
+            self._origin is None
+            or now - self._origin_read_at > ORIGIN_MAX_AGE_S
+        ):
+            await self._refresh_origin(now)
         return self._origin
 
-    async def _look_up_origin(self, now):
+    async def _refresh_origin(self, now):
         try:
-            found = await self._shown_origin() or await self._named_origin()
+            found = (
+                await self._read_published_origin()
+                or await self._read_configured_origin()
+            )
         except errors.StoreError as exc:
             if self._origin is None:
                 raise
@@ -112,19 +118,19 @@
             return
         self._origin_outage.end()
         self._origin = found
-        self._origin_at = now
+        self._origin_read_at = now
 
-    async def _shown_origin(self):
+    async def _read_published_origin(self):
         """Return the origin that entries show by a key of its own."""
         page = await self.client.read_prefix(_documents.ORIGIN_KEY)
         for item in page.items:
             try:
-                return _documents.read_shown_origin(item.value)
+                return _documents.parse_published_origin(item.value)
             except _documents.InvalidDocumentError as exc:
                 _log.warning('Left aside {}: {}.', item.key, exc)
         return None
 
-    async def _named_origin(self):
+    async def _read_configured_origin(self):
         """Return the origin that the configuration names.
 
         A large one takes over two seconds where 15 processes read it over
@@ -145,7 +151,7 @@
         """
         if self._origin is None:
             try:
-                self._origin = await self._shown_origin()
+                self._origin = await self._read_published_origin()
             except errors.StoreError as exc:
                 _log.warning('The connections of the origin: {}.', exc)
         return self._origin.max_connections if self._origin else None
@@ -159,7 +165,7 @@
 
     def hear_of(self, model, version):
         """See `spread.BaseOutlook.hear_of`."""
-        self.catalog.name_version(model, version, self.wall())
+        self.catalog.name_version(model, version, self.boottime())
 
     async def wanted(self, report):
         """See `spread.BaseOutlook.wanted`."""
@@ -172,9 +178,9 @@
         # members fetched that one first, and the named one two seconds later.
         if report.versions or self._revision is None:
             return None
-        return await self._served_by_others()
+        return await self._newest_served_version()
 
-    async def _served_by_others(self):
+    async def _newest_served_version(self):
         """Return the newest version that others serve, or None.
 
         Where the operator has named none, an added engine gets what the
@@ -188,7 +194,7 @@
         if not served:
             return None
         version, model = max(served)
-        return spread.Wanted(model, version, self.wall())
+        return spread.Wanted(model, version, self.boottime())
 
     async def wait_for_version(self):
         """See `spread.BaseOutlook.wait_for_version`."""
@@ -197,7 +203,7 @@
     def due_after(self, model, version):
         """See `spread.BaseOutlook.due_after`."""
         newer = self.catalog.first_after(model, version)
-        return self.wall() if newer is None else newer.since + self.due_s
+        return self.boottime() if newer is None else newer.since + self.due_s
 
     def expires_at(self, model, version):
         """See `spread.BaseOutlook.expires_at`."""
@@ -210,9 +216,12 @@
 
     async def members(self):
         """See `spread.BaseOutlook.members`."""
-        now = self.wall()
-        if self._listed_at is None or now - self._listed_at > MEMBERS_S:
-            await self._list_members(now)
+        now = self.boottime()
+        if (
+            self._members_read_at is None
+            or now - self._members_read_at > MEMBERS_MAX_AGE_S
+        ):
+            await self._refresh_members(now)
         listed = [
             upstream
             for upstream in self.catalog.members(self.cfg.service)
@@ -224,7 +233,7 @@
             for u in listed
         ]
 
-    async def _list_members(self, now):
+    async def _refresh_members(self, now):
         """Read the members; keep those known before while the store is away.
 
         A version that is named shortly before an outage of the store could
@@ -233,12 +242,12 @@
         try:
             page = await self.client.read_prefix(_documents.UPSTREAM_PREFIX)
         except errors.StoreError as exc:
-            if self._listed_at is None:
+            if self._members_read_at is None:
                 raise
             self._list_outage.begin(exc)
             return
         self._list_outage.end()
         self.catalog.replace_upstreams(
-            _apply.decode_upstreams(page.items), now
+            _apply.parse_valid_upstreams(page.items), now
         )
-        self._listed_at = now
+        self._members_read_at = now
--- a/catkinshunt/platform/tests/regions.py
+++ b/catkinshunt/platform/tests/regions.py
@@ -40,26 +40,26 @@
             self.name,
             home_region,
             self._make_peer,
-            self.wall,
-            _documents.FOLLOWED_PREFIXES,
+            self.boottime,
+            _documents.WATCHED_PREFIXES,
         )
-        self.server = feed.FeedServer(self.feed, self.wall, self.wall)
+        self.server = feed.FeedServer(self.feed, self.boottime, self.boottime)
         self.barred = quarantine.Quarantine()
         self.mirror = platform.CacheUpdater(
             self.feed,
             self.catalog,
             self.roster,
-            self.wall,
+            self.boottime,
             random.Random(1),
             self.barred,
         )
         self.task = None
 
-    def wall(self):
+    def boottime(self):
         return asyncio.get_running_loop().time() + self.offset_s
 
     def _make_peer(self, host, must_read):
-        return Neighbour(host, self.region.ports, self.wall, must_read)
+        return Neighbour(host, self.region.ports, self.boottime, must_read)
 
     async def start(self):
         await self.server.start(self.host, 0)
@@ -75,7 +75,7 @@
     @property
     def reads(self):
         """Whether this entry reads from the store itself."""
-        return self.feed.readers.choose(self.wall()) is None
+        return self.feed.readers.choose(self.boottime()) is None
 
     @property
     def revision(self):
@@ -86,10 +86,10 @@
 class Neighbour(feed.BaseFeed):
     """Another entry, which refuses connections until it has started."""
 
-    def __init__(self, host, ports, wall, must_read):
+    def __init__(self, host, ports, boottime, must_read):
         self.host = host
         self.ports = ports
-        self.wall = wall
+        self.boottime = boottime
         self.must_read = must_read
 
     async def read_prefix(self, prefix):
@@ -103,7 +103,7 @@
             raise errors.StoreUnavailableError('refused', step='connect')
         port = self.ports[self.host]
         return feed.PeerFeed(
-            self.host, port, self.wall, self.wall, self.must_read
+            self.host, port, self.boottime, self.boottime, self.must_read
         )
 
 
--- a/catkinshunt/platform/tests/test_cache_updater.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -19,12 +19,12 @@
         self.roster = catalogs.Roster()
         self.now_s = 100.0
         loop = asyncio.get_running_loop()
-        self.wall = lambda: loop.time() + self.now_s
+        self.boottime = lambda: loop.time() + self.now_s
         self.mirror = platform.CacheUpdater(
             self.store,
             self.catalog,
             self.roster,
-            self.wall,
+            self.boottime,
             random.Random(1),
             quarantine.Quarantine(),
         )
@@ -38,7 +38,7 @@
             task.cancel()
 
     def ids(self):
-        now = self.wall()
+        now = self.boottime()
         return {u.id for u in self.catalog.upstreams('engines', now)}
 
 
@@ -125,17 +125,19 @@
     The age of what is known must grow, also over a suspend, and be small
     again as soon as the store has answered.
     """
-    monkeypatch.setattr(_cache_updater, 'WATCH_S', 0.1)
-    monkeypatch.setattr(_cache_updater, 'SHORTEST_WATCH_S', 0.05)
-    monkeypatch.setattr(_cache_updater, 'LONGEST_PAUSE_S', 0.05)
+    monkeypatch.setattr(_cache_updater, 'WATCH_TIMEOUT_S', 0.1)
+    monkeypatch.setattr(_cache_updater, 'MIN_WATCH_TIMEOUT_S', 0.05)
+    monkeypatch.setattr(_cache_updater, 'MAX_BACKOFF_S', 0.05)
 
     async def main(followed):
         followed.store.down = True
         await asyncio.sleep(0.2)
         followed.now_s += 5.0
-        stale = followed.catalog.is_fresh(followed.wall())
+        stale = followed.catalog.is_fresh(followed.boottime())
         followed.store.down = False
-        await fakes.until(lambda: followed.catalog.is_fresh(followed.wall()))
+        await fakes.until(
+            lambda: followed.catalog.is_fresh(followed.boottime())
+        )
         return stale
 
     assert run(main) is False
@@ -147,17 +149,17 @@
     Read on waking, it would make a state of some seconds ago look new, and
     a key that was taken away meanwhile would still be served.
     """
-    monkeypatch.setattr(_cache_updater, 'WATCH_S', 0.2)
+    monkeypatch.setattr(_cache_updater, 'WATCH_TIMEOUT_S', 0.2)
 
     async def main(followed):
         age_s = followed.catalog.age_s
-        await fakes.until(lambda: age_s(followed.wall()) < 0.1)
+        await fakes.until(lambda: age_s(followed.boottime()) < 0.1)
         followed.now_s += 30.0
         watches = followed.store.calls.count('watch')
         followed.store.put('servers/i-2', documents.UPSTREAM)
         await fakes.until(lambda: 'i-2' in followed.ids())
         assert followed.store.calls.count('watch') <= watches + 1
-        return followed.catalog.age_s(followed.wall())
+        return followed.catalog.age_s(followed.boottime())
 
     assert run(main) > 25
 
@@ -183,7 +185,7 @@
         await fakes.until(
             lambda: catalog.newest_version('drafts').version == 4
         )
-        return catalog.due_version('drafts', 8.0, followed.wall())
+        return catalog.due_version('drafts', 8.0, followed.boottime())
 
     assert run(main, prepare) == 3
 
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -20,7 +20,7 @@
     context = _entry.make_context(cfg, registry)
     context.budget('desk').offer()
     server = gateway.Gateway(context)
-    _entry.show_gauges(registry, server, context)
+    _entry.register_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
     return registry
 
@@ -29,7 +29,7 @@
     registry = metrics.Registry()
     shelf = spread.Shelf()
     shelf.holding('drafts', 2)
-    _sidecar.make_metrics(registry, shelf)
+    _sidecar.register_metrics(registry, shelf)
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
--- a/catkinshunt/platform/tests/test_origin_publisher.py
+++ b/catkinshunt/platform/tests/test_origin_publisher.py
@@ -38,12 +38,12 @@
 def shown(store):
     """Return the address that the key shows, or None."""
     item = store.items.get(_documents.ORIGIN_KEY)
-    return item and _documents.read_shown_origin(item.value).address[0]
+    return item and _documents.parse_published_origin(item.value).address[0]
 
 
 def test_few_entries_show_where_the_origin_is(monkeypatch):
     """Each call of the store is priced, and its rate is bounded."""
-    monkeypatch.setattr(_origin_publisher, 'LOOK_S', 0.01)
+    monkeypatch.setattr(_origin_publisher, 'CHECK_PERIOD_S', 0.01)
 
     async def main():
         store = fakes.FakeStore()
@@ -60,11 +60,11 @@
             await fakes.until(lambda: shown(store) == '10.9.9.8')
         return calls
 
-    assert asyncio.run(main()) <= 2 * _origin_publisher.WRITERS
+    assert asyncio.run(main()) <= 2 * _origin_publisher.WRITER_COUNT
 
 
 def test_the_key_is_written_once_the_store_is_back(monkeypatch):
-    monkeypatch.setattr(_origin_publisher, 'LOOK_S', 0.01)
+    monkeypatch.setattr(_origin_publisher, 'CHECK_PERIOD_S', 0.01)
 
     async def main():
         store = fakes.FakeStore()
--- a/catkinshunt/platform/tests/test_pending_publisher.py
+++ b/catkinshunt/platform/tests/test_pending_publisher.py
@@ -98,7 +98,9 @@
                 await asyncio.sleep(0)
         return store.calls
 
-    assert asyncio.run(main()).count('write') == _pending_publisher.WRITERS
+    assert (
+        asyncio.run(main()).count('write') == _pending_publisher.WRITER_COUNT
+    )
 
 
 def test_a_version_that_was_there_at_the_start_is_not_shown():
@@ -127,7 +129,7 @@
             followed.store.put(KEY, b'{}')
 
     async def main(followed):
-        now = followed.wall()
+        now = followed.boottime()
         return followed.catalog.due_version('drafts', GRACE_S, now)
 
     due = test_cache_updater.run(main, prepare)
@@ -143,7 +145,7 @@
         followed.store.delete(KEY)
 
         def is_due():
-            now = followed.wall()
+            now = followed.boottime()
             return followed.catalog.due_version('drafts', GRACE_S, now) == 2
 
         await fakes.until(is_due)
@@ -161,7 +163,7 @@
         followed.store.put(KEY, b'{}')
 
         def is_due():
-            now = followed.wall()
+            now = followed.boottime()
             return followed.catalog.due_version('drafts', GRACE_S, now) == 2
 
         await fakes.until(lambda: not is_due())
@@ -179,7 +181,7 @@
         followed.store.forget_history()
 
         def is_due():
-            now = followed.wall()
+            now = followed.boottime()
             return followed.catalog.due_version('drafts', GRACE_S, now) == 2
 
         await fakes.until(is_due)
@@ -197,7 +199,7 @@
         followed.store.delete(KEY)
         followed.store.put('servers/i-9', b'{}')
         await fakes.until(lambda: followed.mirror._revision >= 6)
-        now = followed.wall()
+        now = followed.boottime()
         return followed.catalog.due_version('drafts', GRACE_S, now)
 
     assert test_cache_updater.run(main) is None
--- a/catkinshunt/platform/tests/test_quarantine_publisher.py
+++ b/catkinshunt/platform/tests/test_quarantine_publisher.py
@@ -15,15 +15,15 @@
 @contextlib.asynccontextmanager
 async def writing(store, monkeypatch):
     """Run the writer of each entry; gives their quarantines."""
-    monkeypatch.setattr(_quarantine_publisher, 'LOOK_S', 0.01)
-    wall = asyncio.get_running_loop().time
+    monkeypatch.setattr(_quarantine_publisher, 'CHECK_PERIOD_S', 0.01)
+    boottime = asyncio.get_running_loop().time
     found, tasks = [], []
     for name in NAMES:
         roster = catalogs.Roster()
         roster.replace(NAMES)
         barred = quarantine.Quarantine()
         keys = _quarantine_publisher.QuarantinePublisher(
-            store, barred, roster, name, wall
+            store, barred, roster, name, boottime
         )
         tasks.append(asyncio.ensure_future(keys.run()))
         found.append(barred)
@@ -53,7 +53,7 @@
             return store.calls, store.granted_s
 
     calls, granted_s = asyncio.run(main())
-    assert calls.count('write') <= _quarantine_publisher.WRITERS
+    assert calls.count('write') <= _quarantine_publisher.WRITER_COUNT
     assert max(granted_s) <= quarantine.BARRED_S
 
 
@@ -82,8 +82,8 @@
         async with region.running():
             return [
                 (
-                    entry.barred.barred_s(REQUEST, entry.wall()),
-                    entry.barred.barred_s('odd', entry.wall()),
+                    entry.barred.barred_s(REQUEST, entry.boottime()),
+                    entry.barred.barred_s('odd', entry.boottime()),
                 )
                 for entry in region.entries
             ]
@@ -98,7 +98,7 @@
         key = _documents.quarantine_key(REQUEST)
         region.store.put(key, _documents.dump_quarantine(60.0))
         await region.until(
-            lambda e: e.barred.barred_s(REQUEST, e.wall()) > 0.0
+            lambda e: e.barred.barred_s(REQUEST, e.boottime()) > 0.0
         )
 
     regions.run(main)
--- a/catkinshunt/platform/tests/test_registration.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -13,8 +13,8 @@
 @contextlib.asynccontextmanager
 async def listed(monkeypatch):
     """An entry that keeps itself listed, and looks often."""
-    monkeypatch.setattr(_registration, 'RENEW_S', 0.02)
-    monkeypatch.setattr(_registration, 'PAUSE_S', 0.02)
+    monkeypatch.setattr(_registration, 'RENEW_PERIOD_S', 0.02)
+    monkeypatch.setattr(_registration, 'RETRY_PAUSE_S', 0.02)
     store = fakes.FakeStore()
     roster = catalogs.Roster()
     member = platform.Registration(store, roster, 'edge-1')
@@ -72,7 +72,7 @@
 def test_an_entry_that_stops_is_listed_no_longer(monkeypatch):
     async def main():
         async with listed(monkeypatch) as (store, _, member):
-            await member.leave()
+            await member.deregister()
             return KEY in store.items
 
     assert not asyncio.run(main())
@@ -82,7 +82,7 @@
     async def main():
         async with listed(monkeypatch) as (store, _, member):
             store.down = True
-            await member.leave()
+            await member.deregister()
 
     asyncio.run(main())
 
--- a/catkinshunt/platform/tests/test_settings.py
+++ b/catkinshunt/platform/tests/test_settings.py
@@ -19,12 +19,12 @@
 
 def test_the_platforms_words_become_ours():
     cfg = platform.parse_instance_settings(DOCUMENT)
-    assert cfg.frontend == ('10.1.0.4', 8005)
-    assert cfg.store == ('10.200.1.7', 8007)
+    assert cfg.frontend_address == ('10.1.0.4', 8005)
+    assert cfg.store_address == ('10.200.1.7', 8007)
     assert cfg.data_centre == 'larisa-a'
     assert cfg.bounds.drain_s == 2.0
     assert cfg.bounds.version_s == 13.4
-    assert cfg.engine is None
+    assert cfg.engine_address is None
 
 
 def test_every_wrong_field_is_named_at_once():
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -12,7 +12,7 @@
 DUE_S = 8.0
 
 
-def make_outlook(store):
+def make_view(store):
     cfg = platform.parse_instance_settings(
         {**test_settings.DOCUMENT, 'service': 'engines'}
     )
@@ -31,11 +31,11 @@
                 ]
             ),
         )
-        outlook = make_outlook(store)
-        task = asyncio.ensure_future(outlook.run())
+        view = make_view(store)
+        task = asyncio.ensure_future(view.run())
         try:
             await fakes.until(lambda: 'read' in store.calls)
-            return await main(outlook, store)
+            return await main(view, store)
         finally:
             task.cancel()
 
@@ -51,10 +51,10 @@
 
 
 def test_the_newest_named_version_is_wanted():
-    async def main(outlook, store):
+    async def main(view, store):
         name(store, 2)
-        await fakes.until(lambda: outlook.catalog.named_models())
-        return await outlook.wanted(report(1))
+        await fakes.until(lambda: view.catalog.named_models())
+        return await view.wanted(report(1))
 
     wanted = run(main)
     assert (wanted.model, wanted.version) == ('drafts', 2)
@@ -67,9 +67,9 @@
     those that were there from the begin do.
     """
 
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        return await outlook.wanted(report()), await outlook.wanted(report(1))
+        return await view.wanted(report()), await view.wanted(report(1))
 
     empty, serving = run(main)
     assert (empty.model, empty.version) == ('drafts', 2)
@@ -83,11 +83,11 @@
     regions for seconds, while entries wait for it.
     """
 
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        await outlook.wanted(report())
-        before = outlook.catalog.declaration
-        origin = await outlook.origin()
+        await view.wanted(report())
+        before = view.catalog.declaration
+        origin = await view.origin()
         return before, origin
 
     before, origin = run(main)
@@ -106,13 +106,13 @@
     async def main():
         store = fakes.FakeStore()
         store.put('servers/i-1', documents.UPSTREAM)
-        outlook = make_outlook(store)
-        early = await outlook.wanted(report())
+        view = make_view(store)
+        early = await view.wanted(report())
         name(store, 3)
-        task = asyncio.ensure_future(outlook.run())
-        await fakes.until(lambda: outlook.catalog.named_models())
+        task = asyncio.ensure_future(view.run())
+        await fakes.until(lambda: view.catalog.named_models())
         task.cancel()
-        return early, await outlook.wanted(report())
+        return early, await view.wanted(report())
 
     early, late = asyncio.run(main())
     assert early is None
@@ -127,11 +127,11 @@
     there have no configuration: callers are refused.
     """
 
-    async def main(outlook, store):
+    async def main(view, store):
         shown = catalogs.Origin(('10.9.9.7', 80), 'a', 4.38, 48)
         store.put(_documents.ORIGIN_KEY, _documents.dump_origin(shown))
-        found = await outlook.origin()
-        return found == shown, outlook.catalog.declaration
+        found = await view.origin()
+        return found == shown, view.catalog.declaration
 
     assert run(main) == (True, None)
 
@@ -141,50 +141,50 @@
 
     One that kept the first address for ever would fetch no version again.
     """
-    monkeypatch.setattr(_store_view, 'ORIGIN_S', 0.0)
+    monkeypatch.setattr(_store_view, 'ORIGIN_MAX_AGE_S', 0.0)
 
-    async def main(outlook, store):
+    async def main(view, store):
         found = []
         for host in ('10.9.9.7', '10.9.9.8'):
             shown = catalogs.Origin((host, 80))
             store.put(_documents.ORIGIN_KEY, _documents.dump_origin(shown))
-            found.append((await outlook.origin()).address[0])
+            found.append((await view.origin()).address[0])
         store.down = True
-        found.append((await outlook.origin()).address[0])
+        found.append((await view.origin()).address[0])
         return found
 
     assert run(main) == ['10.9.9.7', '10.9.9.8', '10.9.9.8']
 
 
 def test_a_damaged_key_of_the_origin_is_left_aside():
-    async def main(outlook, store):
+    async def main(view, store):
         store.put(_documents.ORIGIN_KEY, b'{"address": 7}')
-        return await outlook.origin()
+        return await view.origin()
 
     assert run(main).address == ('10.9.9.9', 80)
 
 
 def test_a_version_named_while_it_runs_has_its_whole_time():
-    async def main(outlook, store):
+    async def main(view, store):
         name(store, 2)
-        await fakes.until(lambda: outlook.catalog.named_models())
-        since = outlook.due_after('drafts', 1) - outlook.now()
+        await fakes.until(lambda: view.catalog.named_models())
+        since = view.due_after('drafts', 1) - view.now()
         return since
 
     assert run(main) > DUE_S - 1
 
 
 def test_a_version_expires_before_a_newer_one_is_due():
-    async def main(outlook, store):
-        calm = outlook.expires_at('drafts', 1)
+    async def main(view, store):
+        calm = view.expires_at('drafts', 1)
         name(store, 2)
-        await fakes.until(lambda: outlook.catalog.named_models())
-        named_at = outlook.now()
+        await fakes.until(lambda: view.catalog.named_models())
+        named_at = view.now()
         name(store, 3)
         await fakes.until(
-            lambda: outlook.catalog.newest_version('drafts').version == 3
+            lambda: view.catalog.newest_version('drafts').version == 3
         )
-        return calm, named_at, outlook.expires_at('drafts', 1)
+        return calm, named_at, view.expires_at('drafts', 1)
 
     calm, named_at, expires_at = run(main)
     assert calm == float('inf')
@@ -201,21 +201,21 @@
     async def main():
         store = fakes.FakeStore()
         name(store, 2)
-        outlook = make_outlook(store)
-        task = asyncio.ensure_future(outlook.run())
-        await fakes.until(lambda: outlook.catalog.named_models())
+        view = make_view(store)
+        task = asyncio.ensure_future(view.run())
+        await fakes.until(lambda: view.catalog.named_models())
         task.cancel()
-        return outlook.expires_at('drafts', 1)
+        return view.expires_at('drafts', 1)
 
     assert asyncio.run(main()) == float('inf')
 
 
 def test_leaving_engines_are_no_members():
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
         leaving = {**documents.UPSTREAM, 'state': 'draining'}
         store.put('servers/i-2', {**leaving, 'address': '10.1.0.10:8080'})
-        return await outlook.members()
+        return await view.members()
 
     assert [member.name for member in run(main)] == ['10.1.0.9']
 
@@ -227,16 +227,16 @@
     no transfer begins until the store is back, though all members and the
     origin are there; callers get no answer once the version is due.
     """
-    monkeypatch.setattr(_store_view, 'MEMBERS_S', 0.0)
+    monkeypatch.setattr(_store_view, 'MEMBERS_MAX_AGE_S', 0.0)
 
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        before = await outlook.members()
+        before = await view.members()
         store.down = True
-        during = await outlook.members()
+        during = await view.members()
         store.down = False
         store.delete('servers/i-1')
-        return before, during, await outlook.members()
+        return before, during, await view.members()
 
     before, during, after = run(main)
     assert [member.name for member in before] == ['10.1.0.9']
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -175,7 +175,7 @@
         reader.store.is_cut = True
         region.store.put('op/config', documents.configuration(version=9))
         await region.until(lambda entry: entry.revision == 9, others)
-        return [e.catalog.age_s(e.wall()) for e in others]
+        return [e.catalog.age_s(e.boottime()) for e in others]
 
     assert max(regions.run(main, several)) < 2.0
 
@@ -229,7 +229,7 @@
         ages = []
         for _ in range(40):
             await asyncio.sleep(0.1)
-            ages.append(reader.catalog.age_s(reader.wall()))
+            ages.append(reader.catalog.age_s(reader.boottime()))
         return max(ages)
 
     assert regions.run(main) < regions.FRESH_S
@@ -286,7 +286,7 @@
         ages = []
         await fakes.until(
             lambda: (
-                ages.append(follower.catalog.age_s(follower.wall()))
+                ages.append(follower.catalog.age_s(follower.boottime()))
                 or ages[-1] < 3.0
             )
         )
@@ -346,7 +346,7 @@
             entry
             for entry in region.followers()
             if entry.home.region != reader.home.region
-            and entry.feed.readers.first_near(entry.wall()) is None
+            and entry.feed.readers.first_near(entry.boottime()) is None
         ]
         return len(asking)
 
@@ -363,7 +363,7 @@
         read_s, followed_s = [], []
         for _ in range(50):
             await asyncio.sleep(0.05)
-            now = reader.wall()
+            now = reader.boottime()
             read_s.append(reader.catalog.age_s(now))
             followed_s += [entry.catalog.age_s(now) for entry in others]
         calls = [call for entry in others for call in entry.store.calls]
