--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -27,7 +27,7 @@
             'engines',
             (f'10.{number // 65536}.{number // 256 % 256}.{number % 256}', 80),
             f'zone-{number % 3}',
-            born=number,
+            started_at_ms=number,
             versions={'drafts': 1},
             slots=16,
         )
@@ -67,7 +67,7 @@
 def _plan_ms(upstreams):
     members = [spread.Member(u.address[0], u.data_centre) for u in upstreams]
     began = time.process_time()
-    plan = spread.Plan(members[0], members, {}, 'drafts', 2, CHUNKS)
+    plan = spread.SourcePlan(members[0], members, {}, 'drafts', 2, CHUNKS)
     for index in range(CHUNKS):
         plan.sources(index)
     return (time.process_time() - began) * 1e3
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -213,13 +213,13 @@
     ),
     Mutation(
         'who-begins-late-says-so',
-        'catkinshunt/spread/_peers.py',
+        'catkinshunt/spread/_chunk_server.py',
         "[(UNABLE, '1')]",
         '[]',
     ),
     Mutation(
         'narrow-links-give-nothing',
-        'catkinshunt/spread/_speeds.py',
+        'catkinshunt/spread/_source_speeds.py',
         'return usual >= LEAST_SHARE and share < SLOW_PART * usual',
         'return False',
     ),
@@ -252,36 +252,36 @@
     Mutation(
         'reader-without-proof-is-left',
         'catkinshunt/feed/_regional.py',
-        'if now - page.proved_at >= STALE_S:',
+        'if now - page.confirmed_at >= STALE_S:',
         'if False:',
     ),
     Mutation(
         'one-reader-for-all-regions',
-        'catkinshunt/feed/_readers.py',
+        'catkinshunt/feed/_watchers.py',
         'if far is not None:',
         'if False:',
     ),
     Mutation(
         'whoever-is-turned-away-asks-others',
-        'catkinshunt/feed/_readers.py',
+        'catkinshunt/feed/_watchers.py',
         'if now < self._unserved_until:',
         'if False:',
     ),
     Mutation(
         'region-out-of-reach-is-paused',
-        'catkinshunt/feed/_readers.py',
+        'catkinshunt/feed/_watchers.py',
         'self._pause(_REGIONS_KEY, now)',
         'pass',
     ),
     Mutation(
         'proofs-are-told-at-once',
         'catkinshunt/feed/_server.py',
-        'view.revision > after or view.proved_at > proved_at',
+        'view.revision > after or view.confirmed_at > confirmed_at',
         'view.revision > after',
     ),
     Mutation(
         'reader-tells-only-what-it-knows',
-        'catkinshunt/feed/_view.py',
+        'catkinshunt/feed/_watch_cache.py',
         'return after >= self._floor',
         'return True',
     ),
@@ -293,7 +293,7 @@
     ),
     Mutation(
         'deletions-show-in-a-read',
-        'catkinshunt/feed/_view.py',
+        'catkinshunt/feed/_watch_cache.py',
         'return gone + [',
         'return [',
     ),
@@ -305,7 +305,7 @@
     ),
     Mutation(
         'various-chunks-go-out-first',
-        'catkinshunt/spread/_holding.py',
+        'catkinshunt/spread/_chunk_store.py',
         'index = min(here, key=lambda index: self._given[index])',
         'index = here[0]',
     ),
@@ -341,15 +341,15 @@
     ),
     Mutation(
         'deletions-are-handed-on',
-        'catkinshunt/feed/_view.py',
+        'catkinshunt/feed/_watch_cache.py',
         'self._deleted[item.key] = item',
         'pass',
     ),
     Mutation(
         'unread-answers-prove-nothing',
         'catkinshunt/feed/_peer.py',
-        'proved_at = asked_at + told.held_s - told.proved_ago_s',
-        'proved_at = self.wall() - told.proved_ago_s',
+        'confirmed_at = asked_at + told.held_s - told.proved_ago_s',
+        'confirmed_at = self.wall() - told.proved_ago_s',
     ),
     Mutation(
         'readers-that-start-are-waited-for',
@@ -359,7 +359,7 @@
     ),
     Mutation(
         'names-are-as-old-as-the-reader-knows',
-        'catkinshunt/feed/_view.py',
+        'catkinshunt/feed/_watch_cache.py',
         'ages = [now - self._seen_at.get(item.key, now) for item in items]',
         'ages = []',
     ),
@@ -386,7 +386,7 @@
     Mutation(
         'vanished-entry-is-listed-again',
         'catkinshunt/platform/_registration.py',
-        'and self.roster.has(self.name)',
+        'and self.live_entries.has(self.name)',
         '',
     ),
     # A refusal that says "not run" is true.
@@ -399,7 +399,7 @@
     Mutation(
         'unseen-record-promises-nothing',
         _CLAIMS,
-        'return errors.RecordUnseenError(',
+        'return errors.RecordUnavailableError(',
         'return errors.RefusedError(',
     ),
     Mutation(
@@ -525,18 +525,18 @@
     Mutation(
         'old-configuration-denies-nothing',
         'catkinshunt/gateway/_admission.py',
-        'if not catalog.is_current(now):',
+        'if not catalog.can_trust_absence(now):',
         'if False:',
     ),
     Mutation(
         'proof-of-one-part',
-        'catkinshunt/feed/_view.py',
+        'catkinshunt/feed/_watch_cache.py',
         'self._prove((prefix,), page, now)',
         'self._prove(tuple(self._read_at), page, now)',
     ),
     Mutation(
         'second-read-told-as-changes',
-        'catkinshunt/feed/_view.py',
+        'catkinshunt/feed/_watch_cache.py',
         'if prefix in self._read_at:',
         'if False:',
     ),
--- a/benchmarks/spread_cases.py
+++ b/benchmarks/spread_cases.py
@@ -15,8 +15,8 @@
 from catkinshunt.spread.tests import swarm
 from catkinshunt.spread.tests import test_swarm
 
-LARGE = test_swarm.THREE_PLACES
-HUNDRED = test_swarm.FIVE_PLACES
+LARGE = test_swarm.THREE_DATA_CENTRES
+HUNDRED = test_swarm.FIVE_DATA_CENTRES
 SMALL = swarm.Scale({'a': 2, 'b': 2, 'c': 2}, origin_mbps=7.3)
 #: Times of one copy after which a case ends, whole or not.
 MOST_TIMES = 6.0
@@ -86,8 +86,10 @@
         return fault
 
     fault = swarm.play(day)
-    boxes = [b for b in fault.swarm.boxes.values() if b not in fault.boxes]
-    ends_s = [box.whole_at or float('inf') for box in boxes]
+    instances = [
+        b for b in fault.swarm.instances.values() if b not in fault.instances
+    ]
+    ends_s = [box.completed_at or float('inf') for box in instances]
     times = min(max(ends_s) / case.scale.copy_s, MOST_TIMES)
     return round(times, 2), round(fault.swarm.origin_copies, 2)
 
--- a/catkinshunt/catalog/__init__.py
+++ b/catkinshunt/catalog/__init__.py
@@ -9,17 +9,17 @@
 from catkinshunt.catalog._model import Service
 from catkinshunt.catalog._model import Share
 from catkinshunt.catalog._model import Upstream
-from catkinshunt.catalog._roster import Home
-from catkinshunt.catalog._roster import Roster
+from catkinshunt.catalog._live_entries import EntryLocation
+from catkinshunt.catalog._live_entries import LiveEntries
 
 __all__ = [
-    'Home',
+    'EntryLocation',
     'Catalog',
     'Declaration',
     'EngineProfile',
     'NamedVersion',
     'Origin',
-    'Roster',
+    'LiveEntries',
     'Serve',
     'Service',
     'Share',
--- a/catkinshunt/catalog/_catalog.py
+++ b/catkinshunt/catalog/_catalog.py
@@ -6,7 +6,7 @@
 import attrs
 
 from catkinshunt import base
-from catkinshunt import changes
+from catkinshunt import notifier
 from catkinshunt import logs
 
 #: Seconds for which an upstream that vanished may still be used where no
@@ -32,11 +32,11 @@
         is_pending: it was named before this process started, and others
             know that it is not due yet.
         found: it was there when the store was read, and may have been named
-            long before `since`.
+            long before `learned_at`.
     """
 
     version: int
-    since: float
+    learned_at: float
     is_pending: bool = False
     found: bool = False
 
@@ -45,30 +45,30 @@
     """Keeps the newest declaration, the upstreams, and how fresh they are.
 
     Args:
-        fresh_s: seconds without word from the store after which the keys
+        key_trust_s: seconds without word from the store after which the keys
             of accounts are no longer trusted: a key may have been taken
             away meanwhile. The clock must count the time of a suspend.
-        current_s: the same after which a newer declaration must be in
+        absence_trust_s: the same after which a newer declaration must be in
             force, so that what this one lacks may be there.
 
     Examples:
-        >>> catalog = Catalog(fresh_s=3.0, current_s=2.0)
+        >>> catalog = Catalog(key_trust_s=3.0, absence_trust_s=2.0)
         >>> catalog.confirm(now=10.0)
-        >>> catalog.is_fresh(now=12.5), catalog.is_fresh(now=13.5)
+        >>> catalog.can_trust_keys(now=12.5), catalog.can_trust_keys(now=13.5)
         (True, False)
-        >>> catalog.is_current(now=11.5), catalog.is_current(now=12.5)
+        >>> catalog.can_trust_absence(now=11.5), catalog.can_trust_absence(now=12.5)
         (True, False)
     """
 
-    def __init__(self, fresh_s=3.0, current_s=2.0):
-        self.fresh_s = fresh_s
-        self.current_s = current_s
+    def __init__(self, key_trust_s=3.0, absence_trust_s=2.0):
+        self.key_trust_s = key_trust_s
+        self.absence_trust_s = absence_trust_s
         self.declaration = None
         self._versions = {}
         self._confirmed_at = None
         self._upstreams = {}
         self._vanished = {}
-        self._changes = changes.Changes()
+        self._changes = notifier.Notifier()
 
     async def wait_for_change(self):
         """Return once a version or an upstream has changed.
@@ -78,7 +78,7 @@
         await self._changes.wait()
 
     @property
-    def is_known(self):
+    def is_loaded(self):
         """Whether the state has been read since the start."""
         return self.declaration is not None and self._confirmed_at is not None
 
@@ -86,7 +86,7 @@
         """Note that the state was the newest one at `now`."""
         if self._confirmed_at is None:
             self._confirmed_at = now
-            self._changes.announce()
+            self._changes.notify_all()
         self._confirmed_at = max(self._confirmed_at, now)
 
     @property
@@ -100,15 +100,15 @@
             return None
         return now - self._confirmed_at
 
-    def is_fresh(self, now):
+    def can_trust_keys(self, now):
         """Return whether the keys of accounts can be trusted."""
         age_s = self.age_s(now)
-        return age_s is not None and age_s < self.fresh_s
+        return age_s is not None and age_s < self.key_trust_s
 
-    def is_current(self, now):
+    def can_trust_absence(self, now):
         """Return whether what the declaration lacks can be denied."""
         age_s = self.age_s(now)
-        return age_s is not None and age_s < self.current_s
+        return age_s is not None and age_s < self.absence_trust_s
 
     def declare(self, declaration):
         """Put `declaration` in force unless a newer one is."""
@@ -123,10 +123,10 @@
             rules=len(declaration.rule_set.rules),
         )
         if held is None:
-            self._changes.announce()
+            self._changes.notify_all()
         return True
 
-    def name_version(self, model, version, now, found=False):
+    def add_named_version(self, model, version, now, found=False):
         """Note that the operator wants `version` of `model` served.
 
         Args:
@@ -144,26 +144,26 @@
         _log.info(
             'Version {} of {} is named.', version, model, version=version
         )
-        self._changes.announce()
+        self._changes.notify_all()
         return True
 
     def mark_pending(self, model, version, now):
         """Note that a version that was named before is not due yet."""
         named = self._find_version(model, version)
-        if named is not None and math.isinf(named.since):
-            named.since = now
+        if named is not None and math.isinf(named.learned_at):
+            named.learned_at = now
             named.is_pending = True
             _log.info('Version {} of {} is not due yet.', version, model)
-            self._changes.announce()
+            self._changes.notify_all()
 
     def end_pending(self, model, version):
         """Note that a version may be due from now on."""
         named = self._find_version(model, version)
         if named is not None and named.is_pending:
-            named.since = -math.inf
+            named.learned_at = -math.inf
             named.is_pending = False
             _log.info('Version {} of {} is due.', version, model)
-            self._changes.announce()
+            self._changes.notify_all()
 
     def pending_versions(self):
         """Return pairs of model and version that others know to be pending."""
@@ -189,7 +189,7 @@
         known = self._versions.get(model)
         return known[-1] if known else None
 
-    def first_after(self, model, version):
+    def next_version(self, model, version):
         """Return the first `NamedVersion` after `version`, or None."""
         for named in self._versions.get(model, ()):
             if named.version > version:
@@ -205,7 +205,7 @@
         due = [
             named.version
             for named in self._versions.get(model, ())
-            if now - named.since > grace_s
+            if now - named.learned_at > grace_s
         ]
         return due[-1] if due else None
 
@@ -285,7 +285,7 @@
         self._vanished.pop(upstream.id, None)
         self._upstreams[upstream.id] = upstream
         if known != upstream:
-            self._changes.announce()
+            self._changes.notify_all()
         return known != upstream
 
     def _just_vanished(self, service, now):
--- a/catkinshunt/catalog/_roster.py
+++ b/catkinshunt/catalog/_live_entries.py
@@ -3,11 +3,11 @@
 import attrs
 
 from catkinshunt import base
-from catkinshunt import changes
+from catkinshunt import notifier
 
 
 @attrs.frozen
-class Home:
+class EntryLocation:
     """Where an entry runs.
 
     Attributes:
@@ -19,27 +19,27 @@
     region: str
 
 
-class Roster(base.ParamsMixin):
+class LiveEntries(base.ParamsMixin):
     """Keeps the entries that are listed in the store.
 
     Examples:
-        >>> roster = Roster()
-        >>> roster.replace(['entry-1', 'entry-2'])
-        >>> roster.drop('entry-2')
-        >>> roster.names()
+        >>> live_entries = LiveEntries()
+        >>> live_entries.replace(['entry-1', 'entry-2'])
+        >>> live_entries.drop('entry-2')
+        >>> live_entries.names()
         ['entry-1']
     """
 
     def __init__(self):
         self._entries = {}
-        self._changes = changes.Changes()
+        self._changes = notifier.Notifier()
 
     def names(self):
         """Return the names of the entries that are alive, sorted."""
         return sorted(self._entries)
 
-    def homes(self):
-        """Return the `Home` of each entry that told it, by name."""
+    def locations(self):
+        """Return the `EntryLocation` of each entry that told it, by name."""
         return {
             name: home
             for name, home in self._entries.items()
@@ -77,4 +77,4 @@
         if entries == self._entries:
             return
         self._entries = entries
-        self._changes.announce()
+        self._changes.notify_all()
--- a/catkinshunt/catalog/_model.py
+++ b/catkinshunt/catalog/_model.py
@@ -29,7 +29,7 @@
         streaming: the answer is a series of events.
         resumable: a broken series may be taken up by another upstream.
         public: needs no key of an account.
-        pause_s: longest pause between events that is aimed at.
+        gap_target_s: longest pause between events that is aimed at.
     """
 
     keyword = 'serve'
@@ -43,7 +43,7 @@
     streaming: bool = False
     resumable: bool = False
     public: bool = False
-    pause_s: float = 1.0
+    gap_target_s: float = 1.0
 
     @property
     def repeatable(self):
@@ -73,11 +73,11 @@
     Attributes:
         slots: requests that an engine works on at once.
         step_s: time of one token step without any request.
-        per_request_s: time that each writing request adds to a step.
-        read_tokens_per_s: prompt tokens read in a second.
+        step_s_per_request: time that each writing request adds to a step.
+        prefill_tokens_per_s: prompt tokens read in a second.
         stride: token steps in one pass.
-        usual_prompt: mean prompt tokens of a request.
-        usual_answer: mean tokens of an answer.
+        mean_prompt_tokens: mean prompt tokens of a request.
+        mean_output_tokens: mean tokens of an answer.
         models: names of the models that the engines serve.
         chunks: pieces that the weights of a version consist of.
         chunk_bytes: bytes of one piece.
@@ -86,11 +86,11 @@
 
     slots: int = 8
     step_s: float = 0.01
-    per_request_s: float = 0.0
-    read_tokens_per_s: float = 20000.0
-    stride: int = 1
-    usual_prompt: float = 1000.0
-    usual_answer: float = 100.0
+    step_s_per_request: float = 0.0
+    prefill_tokens_per_s: float = 20000.0
+    steps_per_pass: int = 1
+    mean_prompt_tokens: float = 1000.0
+    mean_output_tokens: float = 100.0
     models: tuple[str, ...] = attrs.field(default=(), converter=tuple)
     chunks: int = 0
     chunk_bytes: int = 0
@@ -180,7 +180,7 @@
     service: str
     address: tuple[str, int]
     data_centre: str = ''
-    born: int = 0
+    started_at_ms: int = 0
     leaving: bool = False
     versions: dict[str, int] | None = None
     slots: int = 1
@@ -188,4 +188,4 @@
     @property
     def key(self):
         """Names this start of the upstream."""
-        return (self.id, self.born, self.address)
+        return (self.id, self.started_at_ms, self.address)
--- a/catkinshunt/catalog/tests/test_catalog.py
+++ b/catkinshunt/catalog/tests/test_catalog.py
@@ -13,16 +13,16 @@
     would begin on the oldest version beyond the bound of the middle one.
     """
     catalog = catalogs.Catalog()
-    catalog.name_version('drafts', 2, now=0.0)
-    catalog.name_version('drafts', 3, now=2.0)
+    catalog.add_named_version('drafts', 2, now=0.0)
+    catalog.add_named_version('drafts', 3, now=2.0)
     due = [catalog.due_version('drafts', 8.0, now) for now in (7, 9, 11)]
     assert due == [None, 2, 3]
 
 
 def test_an_older_version_is_not_taken():
     catalog = catalogs.Catalog()
-    assert catalog.name_version('drafts', 3, now=0.0)
-    assert not catalog.name_version('drafts', 2, now=1.0)
+    assert catalog.add_named_version('drafts', 3, now=0.0)
+    assert not catalog.add_named_version('drafts', 2, now=1.0)
     assert catalog.newest_version('drafts').version == 3
 
 
@@ -51,9 +51,9 @@
 
 
 def test_the_present_time_decides_how_fresh_the_state_is():
-    catalog = catalogs.Catalog(fresh_s=3.0)
-    assert not catalog.is_fresh(0.0)
+    catalog = catalogs.Catalog(key_trust_s=3.0)
+    assert not catalog.can_trust_keys(0.0)
     catalog.confirm(5.0)
     catalog.confirm(4.0)
-    assert catalog.is_fresh(7.9)
-    assert not catalog.is_fresh(8.0)
+    assert catalog.can_trust_keys(7.9)
+    assert not catalog.can_trust_keys(8.0)
--- a/catkinshunt/claims/_ledger.py
+++ b/catkinshunt/claims/_ledger.py
@@ -159,7 +159,7 @@
     def _refusal(self, message, cause=None):
         # An entry that died may have run an earlier try of the same key. Told
         # "not run", its caller would book again under a new key.
-        return errors.RecordUnseenError(
+        return errors.RecordUnavailableError(
             f'{message}; nothing was dispatched now',
             step='claim',
             peer=getattr(cause, 'peer', ''),
--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -9,7 +9,7 @@
 import attrs
 
 
-class UnreadableError(ValueError):
+class DecodeError(ValueError):
     """A datagram that is none of the messages that are known."""
 
 
@@ -19,23 +19,23 @@
     Args:
         kinds: `attrs` classes with a class attribute ``kind``; their fields
             are of type int, float, bool, str or tuple, the last one of str.
-        most_bytes: longest datagram that is read.
+        max_bytes: longest datagram that is read.
 
     Examples:
         >>> @attrs.frozen
         ... class Greeting:
         ...     kind = 'greeting'
         ...     names: tuple
-        >>> codec = Codec([Greeting], most_bytes=100)
+        >>> codec = Codec([Greeting], max_bytes=100)
         >>> codec.dump(Greeting(('a', 'b')))
         b'["greeting",["a","b"]]'
         >>> codec.load(b'["greeting",["a","b"]]')
         Greeting(names=('a', 'b'))
     """
 
-    def __init__(self, kinds, most_bytes):
+    def __init__(self, kinds, max_bytes):
         self.kinds = kinds
-        self.most_bytes = most_bytes
+        self.max_bytes = max_bytes
         self._by_name = {cls.kind: cls for cls in kinds}
 
     def dump(self, message):
@@ -47,18 +47,18 @@
         """Return the message in a datagram.
 
         Raises:
-            UnreadableError: it is none.
+            DecodeError: it is none.
         """
-        if len(data) > self.most_bytes:
-            raise UnreadableError(f'{len(data)} bytes')
+        if len(data) > self.max_bytes:
+            raise DecodeError(f'{len(data)} bytes')
         try:
             kind, *values = json.loads(data)
             cls = self._by_name[kind]
         except (ValueError, TypeError, KeyError, RecursionError) as exc:
-            raise UnreadableError('no message') from exc
+            raise DecodeError('no message') from exc
         fields = attrs.fields(cls)
         if len(values) != len(fields):
-            raise UnreadableError(f'{kind} with {len(values)} fields')
+            raise DecodeError(f'{kind} with {len(values)} fields')
         return cls(*map(_read, fields, values))
 
 
@@ -74,5 +74,5 @@
     else:
         fits = type(value) is field.type
     if not fits:
-        raise UnreadableError(f'{field.name} is {value!r}'[:80])
+        raise DecodeError(f'{field.name} is {value!r}'[:80])
     return value
--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -77,12 +77,12 @@
         return PLAIN_WORK_S * (1 + max(0.0, count + 1 - slots) / slots)
     unread = sum(other.tokens_in for other in ahead if not other.answering)
     waiting = state.load.waiting if state.load and others else 0
-    unread += min(waiting, others) * engine.usual_prompt
-    read_s = (unread + job.tokens_in) / engine.read_tokens_per_s
-    step_s = engine.step_s + engine.per_request_s * min(count, slots)
-    pass_s = engine.stride * step_s
+    unread += min(waiting, others) * engine.mean_prompt_tokens
+    read_s = (unread + job.tokens_in) / engine.prefill_tokens_per_s
+    step_s = engine.step_s + engine.step_s_per_request * min(count, slots)
+    pass_s = engine.steps_per_pass * step_s
     over = max(0.0, count + 1 - slots)
-    answer_s = engine.usual_answer * step_s * 1.5
+    answer_s = engine.mean_output_tokens * step_s * 1.5
     return read_s + pass_s * (1 + count / slots) + over * answer_s / slots
 
 
@@ -101,7 +101,7 @@
 
 def read_s(engine, job):
     """Return the seconds that an engine takes to read the prompt of `job`."""
-    return job.tokens_in / engine.read_tokens_per_s
+    return job.tokens_in / engine.prefill_tokens_per_s
 
 
 def lasts_s(engine, job):
@@ -111,17 +111,17 @@
         engine: `catalog.EngineProfile`.
         job: `Job` that is to be sent.
     """
-    tokens = job.tokens_out or engine.usual_answer
-    passes = tokens / engine.stride
+    tokens = job.tokens_out or engine.mean_output_tokens
+    passes = tokens / engine.steps_per_pass
     pass_s = _full_pass_s(engine) + READS_PER_PASS * (
-        engine.usual_prompt / engine.read_tokens_per_s
+        engine.mean_prompt_tokens / engine.prefill_tokens_per_s
     )
     return first_token_s(engine, job) + passes * pass_s
 
 
 def _full_pass_s(engine):
-    step_s = engine.step_s + engine.per_request_s * engine.slots
-    return engine.stride * step_s
+    step_s = engine.step_s + engine.step_s_per_request * engine.slots
+    return engine.steps_per_pass * step_s
 
 
 class Chooser(base.ParamsMixin):
--- a/catkinshunt/dispatch/tests/burst.py
+++ b/catkinshunt/dispatch/tests/burst.py
@@ -11,10 +11,10 @@
 ENGINE = catalogs.EngineProfile(
     slots=16,
     step_s=0.0093,
-    read_tokens_per_s=20700.0,
-    stride=5,
-    usual_prompt=979,
-    usual_answer=92,
+    prefill_tokens_per_s=20700.0,
+    steps_per_pass=5,
+    mean_prompt_tokens=979,
+    mean_output_tokens=92,
 )
 CHUNK_TOKENS = 2048
 GOAL_S = 0.45
@@ -57,15 +57,15 @@
         """Make one pass that begins at `now`; return when it ends."""
         while self.waiting and len(self.running) < ENGINE.slots:
             self.running.append(self.waiting.pop(0))
-        left = CHUNK_TOKENS * ENGINE.stride
+        left = CHUNK_TOKENS * ENGINE.steps_per_pass
         for request in self.running:
             read = min(left, request.unread)
             request.unread -= read
             left -= read
-        read_tokens = CHUNK_TOKENS * ENGINE.stride - left
+        read_tokens = CHUNK_TOKENS * ENGINE.steps_per_pass - left
         writers = [r for r in self.running if not r.unread]
-        end = now + read_tokens / ENGINE.read_tokens_per_s
-        end += ENGINE.stride * ENGINE.step_s if writers else 0.0
+        end = now + read_tokens / ENGINE.prefill_tokens_per_s
+        end += ENGINE.steps_per_pass * ENGINE.step_s if writers else 0.0
         for request in writers:
             self._write(request, end)
         self.state.hear(end)
@@ -75,7 +75,7 @@
         if request.first_s is None:
             request.first_s = end - request.arrived_at
             request.job.answering = True
-        request.unwritten -= ENGINE.stride
+        request.unwritten -= ENGINE.steps_per_pass
         if request.unwritten <= 0:
             self.running.remove(request)
             self.state.end(request.job)
--- a/catkinshunt/dispatch/tests/test_choice.py
+++ b/catkinshunt/dispatch/tests/test_choice.py
@@ -7,10 +7,10 @@
 ENGINE = catalogs.EngineProfile(
     slots=16,
     step_s=0.0093,
-    read_tokens_per_s=20700.0,
-    stride=5,
-    usual_prompt=979,
-    usual_answer=92,
+    prefill_tokens_per_s=20700.0,
+    steps_per_pass=5,
+    mean_prompt_tokens=979,
+    mean_output_tokens=92,
 )
 REGIONS = {'a': 'east', 'b': 'west'}
 
--- a/catkinshunt/errors.py
+++ b/catkinshunt/errors.py
@@ -85,7 +85,7 @@
     """The peer did not answer before the deadline of the call."""
 
 
-class PeerRefusedError(PeerError):
+class PeerUnauthenticatedError(PeerError):
     """The peer does not accept the deployment's key."""
 
 
@@ -138,7 +138,7 @@
     code = 'leaving'
 
 
-class RecordUnseenError(RefusedError):
+class RecordUnavailableError(RefusedError):
     """Not run now; whether an earlier try ran cannot be seen.
 
     The caller may send the same key again, and must not take another one.
--- a/catkinshunt/feed/__init__.py
+++ b/catkinshunt/feed/__init__.py
@@ -1,25 +1,25 @@
 """Changes of the key-value service, read once for a region."""
 
 from catkinshunt.feed._messages import load
-from catkinshunt.feed._messages import Told
+from catkinshunt.feed._messages import RelayedPage
 from catkinshunt.feed._peer import HistoryGoneError
-from catkinshunt.feed._peer import PeerFeed
-from catkinshunt.feed._regional import RegionalFeed
-from catkinshunt.feed._server import FeedServer
-from catkinshunt.feed._view import View
-from catkinshunt.feed.base import BaseFeed
+from catkinshunt.feed._peer import PeerWatchSource
+from catkinshunt.feed._regional import RegionalWatchSource
+from catkinshunt.feed._server import WatchRelayServer
+from catkinshunt.feed._watch_cache import WatchCache
+from catkinshunt.feed.base import BaseWatchSource
 from catkinshunt.feed.base import Item
 from catkinshunt.feed.base import Page
 
 __all__ = [
-    'BaseFeed',
-    'FeedServer',
+    'BaseWatchSource',
+    'WatchRelayServer',
     'HistoryGoneError',
     'Item',
     'Page',
-    'PeerFeed',
-    'RegionalFeed',
-    'Told',
-    'View',
+    'PeerWatchSource',
+    'RegionalWatchSource',
+    'RelayedPage',
+    'WatchCache',
     'load',
 ]
--- a/catkinshunt/feed/_messages.py
+++ b/catkinshunt/feed/_messages.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Told:
+class RelayedPage:
     """A page as another process told it.
 
     Attributes:
@@ -43,7 +43,7 @@
 
 
 def dump(told):
-    """Return a `Told` as bytes."""
+    """Return a `RelayedPage` as bytes."""
     page = told.page
     document = {
         'revision': page.revision,
@@ -85,7 +85,7 @@
 
 
 def load(data, peer):
-    """Return the `Told` in `data`.
+    """Return the `RelayedPage` in `data`.
 
     Raises:
         errors.StoreUnavailableError: it is none.
@@ -97,7 +97,7 @@
             _whole(document['revision']),
             seen_ago_s=float(document['seen_ago_s']),
         )
-        return Told(
+        return RelayedPage(
             page,
             float(document['proved_ago_s']),
             float(document['held_s']),
--- a/catkinshunt/feed/_peer.py
+++ b/catkinshunt/feed/_peer.py
@@ -25,34 +25,34 @@
     """The process is there, but nobody may rely on what it knows."""
 
 
-class PeerFeed(base.BaseFeed):
+class PeerWatchSource(base.BaseWatchSource):
     """Reads and watches at one other process.
 
     Args:
         host: its address.
-        port: port of its `FeedServer`.
+        port: port of its `WatchRelayServer`.
         clock: gives seconds on the steady clock.
         wall: gives seconds on the clock of the view.
-        must_read: whether it must read from the service itself.
+        must_be_direct: whether it must read from the service itself.
     """
 
-    def __init__(self, host, port, clock, wall, must_read=False):
+    def __init__(self, host, port, clock, wall, must_be_direct=False):
         self.wall = wall
-        self.must_read = must_read
+        self.must_be_direct = must_be_direct
         self._pool = http1.Pool(host, port, clock, connect_s=CONNECT_S)
 
     async def read_prefix(self, prefix, wait_s=_server.LONGEST_WAIT_S):
-        """See `base.BaseFeed.read_prefix`; waits until it is known there."""
+        """See `base.BaseWatchSource.read_prefix`; waits until it is known there."""
         query = {'prefix': prefix, 'wait_s': wait_s}
         return await self._ask(_server.READ_PATH, query, wait_s)
 
     async def watch(self, prefix, after, wait_s):
-        """See `base.BaseFeed.watch`."""
+        """See `base.BaseWatchSource.watch`."""
         query = {'prefix': prefix, 'after': after, 'wait_s': wait_s}
         return await self._ask(_server.WATCH_PATH, query, wait_s)
 
     async def _ask(self, path, query, wait_s):
-        query['reads'] = int(self.must_read)
+        query['reads'] = int(self.must_be_direct)
         target = f'{path}?{urllib.parse.urlencode(query)}'
         asked_at = self.wall()
         try:
@@ -75,5 +75,5 @@
         told = _messages.load(body, self._pool.peer)
         # An answer can lie unread for seconds, so its times count from when
         # it was asked for.
-        proved_at = asked_at + told.held_s - told.proved_ago_s
-        return attrs.evolve(told.page, proved_at=proved_at)
+        confirmed_at = asked_at + told.held_s - told.proved_ago_s
+        return attrs.evolve(told.page, confirmed_at=confirmed_at)
--- a/catkinshunt/feed/_regional.py
+++ b/catkinshunt/feed/_regional.py
@@ -7,8 +7,8 @@
 
 from catkinshunt import errors
 from catkinshunt.feed import _peer
-from catkinshunt.feed import _readers
-from catkinshunt.feed import _view
+from catkinshunt.feed import _watchers
+from catkinshunt.feed import _watch_cache
 from catkinshunt.feed import base
 from catkinshunt import logs
 
@@ -41,37 +41,37 @@
 _log = logs.get_logger('feed')
 
 
-class RegionalFeed(base.BaseFeed):
+class RegionalWatchSource(base.BaseWatchSource):
     """Follows the service through another process, or directly.
 
     A large configuration, read by every entry of a region over one link,
     takes seconds, and after a loss of power all requests are refused for as
-    long. Here one process reads it and hands it on, see `_readers.Readers`.
+    long. Here one process reads it and hands it on, see `_watchers.WatcherSelector`.
     Where that one gives no answer, or has no proof that what it knows is
     new, the service is asked directly.
 
     Args:
-        source: `base.BaseFeed` of the service.
-        roster: `catalog.Roster` with the homes of the entries.
+        source: `base.BaseWatchSource` of the service.
+        roster: `catalog.LiveEntries` with the homes of the entries.
         name: name of this entry.
         region: its region.
         make_peer: function of a host, and of whether the process there must
-            read from the service itself, that returns its `PeerFeed`.
+            read from the service itself, that returns its `PeerWatchSource`.
         wall: gives seconds on the clock of the view.
         prefixes: prefixes of all that is followed; those below the last one
             tell which processes there are, and are read directly.
     """
 
     def __init__(
-        self, source, roster, name, region, make_peer, wall, prefixes
+        self, source, live_entries, name, region, make_peer, wall, prefixes
     ):  # fmt: skip
         self.source = source
-        self.readers = _readers.Readers(roster, name, region)
-        self.roster = roster
+        self.watchers = _watchers.WatcherSelector(live_entries, name, region)
+        self.live_entries = live_entries
         self.make_peer = make_peer
         self.wall = wall
         self.prefixes = prefixes
-        self.view = _view.View(prefixes)
+        self.view = _watch_cache.WatchCache(prefixes)
         self._large_at = None
         self._direct_at = -math.inf
         self._far_at = -math.inf
@@ -84,18 +84,18 @@
         """Whether this process reads from the service itself."""
         return self.wall() - self._direct_at < DIRECT_S
 
-    def may_tell(self, must_read):
+    def may_tell(self, must_be_direct):
         """Return whether another may rely on what this process knows.
 
         Args:
-            must_read: only if this process reads from the service itself.
+            must_be_direct: only if this process reads from the service itself.
         """
         if self.is_direct:
             return True
-        return not must_read and self.wall() - self._far_at < DIRECT_S
+        return not must_be_direct and self.wall() - self._far_at < DIRECT_S
 
     async def read_prefix(self, prefix):
-        """See `base.BaseFeed.read_prefix`."""
+        """See `base.BaseWatchSource.read_prefix`."""
         page = None
         if prefix != self.prefixes[-1]:
             page = await self._read_at_peer(prefix)
@@ -112,10 +112,10 @@
             self._note_unserved()
             raise
         self._note_direct()
-        return attrs.evolve(page, proved_at=asked_at)
+        return attrs.evolve(page, confirmed_at=asked_at)
 
     async def watch(self, prefix, after, wait_s):
-        """See `base.BaseFeed.watch`."""
+        """See `base.BaseWatchSource.watch`."""
         page = await self._watch_at_peer(prefix, after)
         if page is None:
             page = await self._follow_source(prefix, after, wait_s)
@@ -150,8 +150,8 @@
         return base.Page(
             tuple(sorted(items, key=lambda item: item.revision)),
             min(page.revision for _, page in pages),
-            proved_at=asked_at,
-            seen_ago_s=max(0.0, self.wall() - self.view.proved_at),
+            confirmed_at=asked_at,
+            seen_ago_s=max(0.0, self.wall() - self.view.confirmed_at),
         )
 
     def _note_large(self, page):
@@ -171,21 +171,21 @@
         return any(len(item.value or b'') >= least for item in page.items)
 
     async def _watch_source(self, prefix, after, wait_s):
-        if len(self.roster.names()) > 1:
+        if len(self.live_entries.names()) > 1:
             wait_s = min(wait_s, SOURCE_WAIT_S)
         asked_at = self.wall()
         page = await self.source.watch(prefix, after, wait_s)
         # An answer can lie unread while the process is suspended, so the
         # time at which it was read proves nothing.
-        proved_at = asked_at
+        confirmed_at = asked_at
         if not page.items:
-            proved_at = min(asked_at + wait_s, self.wall())
-        return attrs.evolve(page, proved_at=proved_at)
+            confirmed_at = min(asked_at + wait_s, self.wall())
+        return attrs.evolve(page, confirmed_at=confirmed_at)
 
     def _note_unserved(self):
         # Others ask elsewhere at once.
         self._direct_at = -math.inf
-        self.readers.note_unserved(self.wall())
+        self.watchers.note_unserved(self.wall())
 
     def _note_direct(self):
         self._direct_at = self.wall()
@@ -223,31 +223,31 @@
     def _is_new(self, page, reader):
         """Return whether it is proved that little can have changed since."""
         now = self.wall()
-        if now - page.proved_at >= STALE_S:
+        if now - page.confirmed_at >= STALE_S:
             self._blame(reader, 'what it knows is too old', answered=True)
             return False
-        self.readers.praise(reader)
+        self.watchers.praise(reader)
         if reader.is_far:
             self._far_at = now
         return True
 
     def _choose(self):
-        reader = self.readers.choose(self.wall())
+        reader = self.watchers.choose(self.wall())
         if reader is not None and reader != self._asked:
             self._asked = reader
             _log.info('Follows the service through {}.', reader.name)
         return reader
 
     def _peer(self, reader):
-        host = self.roster.homes()[reader.name].host
-        key = (host, reader.must_read)
+        host = self.live_entries.locations()[reader.name].host
+        key = (host, reader.must_be_direct)
         if key not in self._peers:
-            self._peers[key] = self.make_peer(host, reader.must_read)
+            self._peers[key] = self.make_peer(host, reader.must_be_direct)
         return self._peers[key]
 
     def _blame(self, reader, reason, answered=False):
         answered = answered or isinstance(reason, _peer.NotReadingError)
-        self.readers.blame(reader, self.wall(), answered)
+        self.watchers.blame(reader, self.wall(), answered)
         self._asked = None
         _log.warning(
             'Does not follow the service through {}: {}.', reader.name, reason
--- a/catkinshunt/feed/_server.py
+++ b/catkinshunt/feed/_server.py
@@ -20,11 +20,11 @@
 _log = logs.get_logger('feed')
 
 
-class FeedServer:
+class WatchRelayServer:
     """Answers reads and watches of other processes from a view.
 
     Args:
-        feed: `RegionalFeed` of this process.
+        feed: `RegionalWatchSource` of this process.
         wall: gives seconds on the clock of the view.
         clock: gives seconds on the steady clock.
     """
@@ -55,42 +55,42 @@
             prefix = query.get('prefix', '')
             wait_s = min(float(query.get('wait_s', 0)), LONGEST_WAIT_S)
             after = int(query.get('after', 0))
-            must_read = bool(int(query.get('reads', 0)))
+            must_be_direct = bool(int(query.get('reads', 0)))
         except ValueError:
             _log.warning('Left aside a request for {}.', req.target[:100])
             return http1.Reply(400)
         if url.path == READ_PATH:
-            return await self._read(prefix, wait_s, must_read)
+            return await self._read(prefix, wait_s, must_be_direct)
         if url.path == WATCH_PATH:
-            return await self._watch(prefix, after, wait_s, must_read)
+            return await self._watch(prefix, after, wait_s, must_be_direct)
         return http1.Reply(404)
 
-    async def _read(self, prefix, wait_s, must_read):
+    async def _read(self, prefix, wait_s, must_be_direct):
         view = self.feed.view
         began = self.wall()
         # One that follows another by now will not read it from the service.
         await self._wait(
             lambda: view.has_read(prefix) or view.is_complete, wait_s
         )
-        if not (self.feed.may_tell(must_read) and view.has_read(prefix)):
+        if not (self.feed.may_tell(must_be_direct) and view.has_read(prefix)):
             return http1.Reply(NOT_DIRECT)
         return self._tell(view.below(prefix), began)
 
-    async def _watch(self, prefix, after, wait_s, must_read):
+    async def _watch(self, prefix, after, wait_s, must_be_direct):
         view = self.feed.view
         began = self.wall()
-        if not (self.feed.may_tell(must_read) and view.is_complete):
+        if not (self.feed.may_tell(must_be_direct) and view.is_complete):
             return http1.Reply(NOT_DIRECT)
         if not view.knows_since(after):
             return http1.Reply(GONE)
-        proved_at = view.proved_at
+        confirmed_at = view.confirmed_at
         # A new proof is told at once. Told at the end of each wait only, it
         # would be too old behind two processes.
         await self._wait(
-            lambda: view.revision > after or view.proved_at > proved_at,
+            lambda: view.revision > after or view.confirmed_at > confirmed_at,
             wait_s,
         )
-        if not self.feed.may_tell(must_read):
+        if not self.feed.may_tell(must_be_direct):
             return http1.Reply(NOT_DIRECT)
         return self._tell(view.changes(prefix, after, self.wall()), began)
 
@@ -105,6 +105,8 @@
 
     def _tell(self, page, began):
         now = self.wall()
-        told = _messages.Told(page, now - page.proved_at, now - began)
+        told = _messages.RelayedPage(
+            page, now - page.confirmed_at, now - began
+        )
         items = (('Content-Type', 'application/json'),)
         return http1.Reply(200, _messages.dump(told), items)
--- a/catkinshunt/feed/_view.py
+++ b/catkinshunt/feed/_watch_cache.py
@@ -2,21 +2,21 @@
 
 import collections
 
-from catkinshunt import changes
+from catkinshunt import notifier
 from catkinshunt.feed import base
 
 #: Deletions that are remembered; whoever missed an older one reads all again.
 MOST_DELETED = 2000
 
 
-class View:
+class WatchCache:
     """Keeps what pages told, and answers for others like the service.
 
     Args:
         prefixes: prefixes that must have been read before changes are told.
 
     Examples:
-        >>> view = View(prefixes=('rules/',))
+        >>> view = WatchCache(prefixes=('rules/',))
         >>> view.take_read('rules/', base.Page((), 7), now=1.0)
         >>> item = base.Item('rules/first', b'{}', 9)
         >>> view.take_changes(base.Page((item,), 9), now=2.0)
@@ -32,7 +32,7 @@
         self._read_at = {}
         self._proved_at = {}
         self._floor = 0
-        self._news = changes.Changes()
+        self._news = notifier.Notifier()
 
     @property
     def is_complete(self):
@@ -45,7 +45,7 @@
         return min(self._read_at.values(), default=0)
 
     @property
-    def proved_at(self):
+    def confirmed_at(self):
         """When nothing newer was there for certain; None before any read."""
         return min(self._proved_at.values(), default=None)
 
@@ -125,11 +125,11 @@
             self._floor = max(self._floor, dropped.revision)
 
     def _prove(self, prefixes, page, now):
-        proved_at = now if page.proved_at is None else page.proved_at
+        confirmed_at = now if page.confirmed_at is None else page.confirmed_at
         for prefix in prefixes:
-            before = self._proved_at.get(prefix, proved_at)
-            self._proved_at[prefix] = max(proved_at, before)
-        self._news.announce()
+            before = self._proved_at.get(prefix, confirmed_at)
+            self._proved_at[prefix] = max(confirmed_at, before)
+        self._news.notify_all()
 
     def below(self, prefix):
         """Return all items below `prefix` as a `Page`."""
@@ -137,7 +137,7 @@
         return base.Page(
             tuple(items),
             self._read_at[prefix],
-            proved_at=self._proved_at[prefix],
+            confirmed_at=self._proved_at[prefix],
         )
 
     def knows_since(self, after):
@@ -159,6 +159,6 @@
         return base.Page(
             tuple(items),
             max(self.revision, after),
-            proved_at=self.proved_at,
+            confirmed_at=self.confirmed_at,
             seen_ago_s=max(ages, default=0.0),
         )
--- a/catkinshunt/feed/_readers.py
+++ b/catkinshunt/feed/_watchers.py
@@ -18,19 +18,19 @@
 
 
 @attrs.frozen
-class Reader:
+class Watcher:
     """A process that reads for others.
 
     Attributes:
         name: its name.
         is_far: it stands in another region.
-        must_read: it is relied on only if it reads from the service itself,
+        must_be_direct: it is relied on only if it reads from the service itself,
             so that no two follow each other.
     """
 
     name: str
     is_far: bool = False
-    must_read: bool = False
+    must_be_direct: bool = False
 
 
 @attrs.define
@@ -41,7 +41,7 @@
     for_s: float
 
 
-class Readers:
+class WatcherSelector:
     """Chooses who is asked for changes instead of the service.
 
     The first process of a region is asked by the others there. It asks the
@@ -53,32 +53,34 @@
     of reach for some and not for all.
 
     Args:
-        roster: `catalog.Roster`.
+        roster: `catalog.LiveEntries`.
         name: name of this process.
         region: its region.
     """
 
-    def __init__(self, roster, name, region):
-        self.roster = roster
+    def __init__(self, live_entries, name, region):
+        self.live_entries = live_entries
         self.name = name
         self.region = region
         self._pauses = {}
         self._unserved_until = -math.inf
 
     def choose(self, now):
-        """Return the `Reader` to ask now, or None for the service."""
-        near = self.first_near(now)
+        """Return the `Watcher` to ask now, or None for the service."""
+        near = self.regional_watcher(now)
         if near is not None:
-            return Reader(near)
+            return Watcher(near)
         far = self._first_far(now)
         if far is not None:
-            return Reader(far, is_far=True, must_read=True)
+            return Watcher(far, is_far=True, must_be_direct=True)
         if now < self._unserved_until:
             other = self._first_behind(now)
-            return None if other is None else Reader(other, must_read=True)
+            return (
+                None if other is None else Watcher(other, must_be_direct=True)
+            )
         return None
 
-    def first_near(self, now):
+    def regional_watcher(self, now):
         """Return who reads for this region, or None for this process."""
         return self._first(self.region, now)
 
@@ -96,7 +98,7 @@
         """Leave out a reader for a while.
 
         Args:
-            reader: the `Reader`.
+            reader: the `Watcher`.
             now: present time in seconds.
             answered: it is within reach, but does not know enough.
         """
@@ -109,7 +111,9 @@
     def _first_far(self, now):
         if self._is_paused(_REGIONS_KEY, now):
             return None
-        regions = {home.region for home in self.roster.homes().values()}
+        regions = {
+            home.region for home in self.live_entries.locations().values()
+        }
         first = rendezvous.rank(_REGIONS_KEY, regions | {self.region})[0]
         return None if first == self.region else self._first(first, now)
 
@@ -131,7 +135,7 @@
 
     def _members(self, region):
         """Return the names of the entries of a region."""
-        homes = self.roster.homes()
+        homes = self.live_entries.locations()
         names = {n for n, home in homes.items() if home.region == region}
         return names | {self.name} if region == self.region else names
 
--- a/catkinshunt/feed/base.py
+++ b/catkinshunt/feed/base.py
@@ -25,7 +25,7 @@
 
     Attributes:
         has_more: further items follow on another page.
-        proved_at: when nothing newer was there for certain, in seconds on
+        confirmed_at: when nothing newer was there for certain, in seconds on
             the clock of who reads it; None where only the reader can tell.
         seen_ago_s: seconds before it was read in which the oldest of the
             items was learnt elsewhere.
@@ -34,11 +34,11 @@
     items: tuple
     revision: int
     has_more: bool = False
-    proved_at: float | None = None
+    confirmed_at: float | None = None
     seen_ago_s: float = 0.0
 
 
-class BaseFeed(abc.ABC):
+class BaseWatchSource(abc.ABC):
     """Items of the service, and their changes.
 
     Calls raise an `errors.StoreError` where they give no answer, and
--- a/catkinshunt/feed/tests/test_messages.py
+++ b/catkinshunt/feed/tests/test_messages.py
@@ -12,7 +12,7 @@
 
 def tell(value):
     page = feed.Page((feed.Item('rules/all', value, 9),), 9)
-    return _messages.dump(feed.Told(page, 0.5, 0.1))
+    return _messages.dump(feed.RelayedPage(page, 0.5, 0.1))
 
 
 @pytest.mark.parametrize('value', [b'', b'{}', b'\0' * 5000, LARGE, None])
--- a/catkinshunt/feed/tests/test_readers.py
+++ b/catkinshunt/feed/tests/test_readers.py
@@ -1,16 +1,18 @@
 import pytest
 
 from catkinshunt import catalog
-from catkinshunt.feed import _readers
+from catkinshunt.feed import _watchers
 
 REGIONS = ('attiki', 'kriti', 'thessalia')
 NAMES = {f'{region}-{n}': region for region in REGIONS for n in range(4)}
 
 
 def make(name):
-    roster = catalog.Roster()
-    roster.replace({n: catalog.Home(n, r) for n, r in NAMES.items()})
-    return _readers.Readers(roster, name, NAMES[name])
+    live_entries = catalog.LiveEntries()
+    live_entries.replace(
+        {n: catalog.EntryLocation(n, r) for n, r in NAMES.items()}
+    )
+    return _watchers.WatcherSelector(live_entries, name, NAMES[name])
 
 
 def chosen(now=0.0):
@@ -47,5 +49,5 @@
     for _ in range(times):
         readers.blame(readers.choose(now), now)
         assert readers.choose(now) is None
-        now += _readers.MOST_PAUSE_S
+        now += _watchers.MOST_PAUSE_S
     assert readers.choose(now) is not None
--- a/catkinshunt/gateway/__init__.py
+++ b/catkinshunt/gateway/__init__.py
@@ -8,22 +8,22 @@
 from catkinshunt.gateway._exchange import Exchange
 from catkinshunt.gateway._gateway import Gateway
 from catkinshunt.gateway._metrics import GatewayMetrics
-from catkinshunt.gateway.base import Ask
+from catkinshunt.gateway.base import RequestInfo
 from catkinshunt.gateway.base import BaseDialect
-from catkinshunt.gateway.base import Forward
-from catkinshunt.gateway.base import ReplyNote
+from catkinshunt.gateway.base import AttemptInfo
+from catkinshunt.gateway.base import ReplyInfo
 
 __all__ = [
-    'Ask',
+    'RequestInfo',
     'BaseDialect',
     'Context',
     'Decision',
     'EventSplitter',
     'Exchange',
-    'Forward',
+    'AttemptInfo',
     'Gateway',
     'GatewayMetrics',
-    'ReplyNote',
+    'ReplyInfo',
     'StaleError',
     'decide',
 ]
--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -67,7 +67,7 @@
 
     Args:
         catalog: `catalog.Catalog`.
-        ask: `base.Ask`.
+        ask: `base.RequestInfo`.
         fraction: number from 0 up to 1 that picks among shares.
         now: seconds on the clock of the catalog.
 
@@ -107,7 +107,7 @@
         return ''
     # A key may have been taken away while the store was out of reach; one
     # that is unknown may have been added. So neither is decided then.
-    if not catalog.is_fresh(now):
+    if not catalog.can_trust_keys(now):
         raise StaleError('the keys of accounts are too old', step='check-key')
     account = declaration.accounts.get(ask.api_key)
     if account is None:
@@ -121,7 +121,7 @@
 
     Callers do not come back after a denial, so it must be final.
     """
-    if not catalog.is_current(now):
+    if not catalog.can_trust_absence(now):
         raise StaleError(
             'the configuration is too old to deny the request', step=step
         )
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -38,10 +38,10 @@
     retry_burst: float
     random: object
     metrics: object
-    places: object
+    permit_client: object
     guard: quarantine.Guard | None = None
     tracker: dispatch.Tracker = attrs.field(factory=dispatch.Tracker)
-    returns: dispatch.ReturnDetector = attrs.field(
+    return_detector: dispatch.ReturnDetector = attrs.field(
         factory=dispatch.ReturnDetector
     )
     stopping_since: float | None = None
@@ -72,20 +72,20 @@
             self._pools.pop(key).close_idle()
         self.tracker.forget(upstreams)
 
-    def budget_tokens(self):
+    def retry_budget_tokens(self):
         """Return the tokens of each retry budget by label values."""
         return {
             (service,): budget.report()['tokens']
             for service, budget in self._budgets.items()
         }
 
-    def limit_retries(self, burst):
+    def set_retry_burst(self, burst):
         """Allow `burst` retries beyond the share of the requests."""
         self.retry_burst = burst
         for budget in self._budgets.values():
             budget.burst = burst
 
-    def budget(self, service):
+    def retry_budget(self, service):
         """Return the `retries.Budget` of a service."""
         found = self._budgets.get(service)
         if found is None:
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -112,7 +112,7 @@
 
     async def _answer(self):
         now = self.context.clock()
-        self.ask = self.context.dialect.read_ask(self.req)
+        self.ask = self.context.dialect.decode_request(self.req)
         stopping = self.context.stopping_since
         if stopping is not None and now - stopping > STOPPING_SERVES_S:
             raise errors.LeavingError(
@@ -139,13 +139,13 @@
         limit_s = self.decision.serve.timeout_s
         if self.ask.deadline_s is not None:
             limit_s = min(limit_s, self.ask.deadline_s)
-            self.progress.before_s = self.context.returns.waited_s(
+            self.progress.before_s = self.context.return_detector.waited_s(
                 self.decision.service, self.ask.deadline_s, now
             )
         self.end_at = self.req.received_at + limit_s
         if self.ask.last_event_id:
             self.progress.last_id = int(self.ask.last_event_id)
-        self.context.budget(self.decision.service).offer()
+        self.context.retry_budget(self.decision.service).offer()
         try:
             async with asyncio.timeout(self.end_at - self.context.clock()):
                 await self._try_all()
@@ -160,13 +160,13 @@
         to another one that does not know it either, and have no try left.
         """
         catalog = self.context.catalog
-        if catalog.is_known:
+        if catalog.is_loaded:
             return
         hold_s = min(HOLD_S, self.ask.deadline_s or HOLD_S)
         self.progress.hold_until = now + hold_s
         try:
             async with asyncio.timeout(hold_s):
-                while not catalog.is_known:
+                while not catalog.is_loaded:
                     await catalog.wait_for_change()
         except TimeoutError:
             # What is missing is told by the decision that follows.
@@ -215,7 +215,7 @@
         """Return the candidate that has a place; any where none is needed."""
         if self.selection.engine() is None:
             return candidate
-        if not self.context.places.is_started:
+        if not self.context.permit_client.is_started:
             return candidate
         began = self.context.clock()
         try:
@@ -252,7 +252,7 @@
             raise self._final(exc)
         progress.may_have_run |= exc.ran != 'no'
         policy = retries.RetryPolicy(
-            self.context.budget(self.decision.service)
+            self.context.retry_budget(self.decision.service)
             if progress.sends
             else None,
             max_tries=serve.max_tries,
@@ -371,7 +371,7 @@
     def _request_bytes(self, upstream, job):
         left_s = self.end_at - self.context.clock()
         last_id = self.progress.last_id
-        forward = base.Forward(
+        forward = base.AttemptInfo(
             upstream.id,
             left_s,
             self.decision.account,
@@ -430,7 +430,7 @@
             return False
         # With the budget spent the request would end here, while the
         # upstream that it waits for may still answer.
-        if not self.context.budget(self.decision.service).has_token():
+        if not self.context.retry_budget(self.decision.service).has_token():
             return False
         return self.selection.has_other(self.progress.tried)
 
@@ -455,7 +455,7 @@
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
-            self.context.returns.note_refusal(self.context.clock())
+            self.context.return_detector.note_refusal(self.context.clock())
         items = self.context.dialect.reply_headers(self.ask)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -65,7 +65,7 @@
     async def run(self):
         """Relay the reply; return whether the connection can be kept."""
         head = await self._read_own_head()
-        note = self.context.dialect.read_reply(head)
+        note = self.context.dialect.decode_reply(head)
         if note.load is not None:
             self.state.report(note.load, self.context.clock())
         self._check(head, note)
@@ -75,7 +75,7 @@
             await self._relay_events(head)
         else:
             await self._relay_whole(head)
-        return self.conn.sent_whole and not note.leaving
+        return self.conn.sent_whole and not note.closes_connection
 
     async def _read_own_head(self):
         """Return the head of the reply to this request.
@@ -87,7 +87,7 @@
             part = await self._next_part()
             if not isinstance(part, http1.ReplyHead):
                 continue
-            note = self.context.dialect.read_reply(part)
+            note = self.context.dialect.decode_reply(part)
             if note.request_id in ('', self.exchange.ask.id):
                 return part
 
@@ -141,7 +141,7 @@
                 step='read-reply',
                 peer=self.peer,
             )
-        if note.not_run:
+        if note.not_executed:
             self._rest(note)
             raise errors.OverloadedError(
                 f'upstream refused with {head.status}',
--- a/catkinshunt/gateway/_seat.py
+++ b/catkinshunt/gateway/_seat.py
@@ -135,7 +135,7 @@
         return isinstance(reply, places.Granted)
 
     def _may_be_asked(self, upstream):
-        return self.context.places.may_ask(upstream.address[0])
+        return self.context.permit_client.may_ask(upstream.address[0])
 
     def _is_silent(self, upstream):
         return not self._may_be_asked(upstream)
@@ -221,7 +221,7 @@
             probe: whether it must answer at once.
             brief: whether another one was asked in vain.
         """
-        asking = self.context.places.ask(
+        asking = self.context.permit_client.ask(
             _host(candidate),
             lambda number: self._ask(number, candidate, probe),
         )
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -10,7 +10,7 @@
 
     Args:
         context: `Context` of the gateway.
-        ask: the `base.Ask`.
+        ask: the `base.RequestInfo`.
         decision: the `_admission.Decision` on it.
     """
 
--- a/catkinshunt/gateway/base.py
+++ b/catkinshunt/gateway/base.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Ask:
+class RequestInfo:
     """A caller's request, decoded.
 
     Attributes:
@@ -33,31 +33,31 @@
 
 
 @attrs.frozen
-class Forward:
+class AttemptInfo:
     """What one try at an upstream is told.
 
     Attributes:
         upstream_id: the upstream that must answer.
-        left_s: seconds that it may take.
+        timeout_s: seconds that it may take.
         account: name of the account, or ''.
         last_event_id: id of the last event passed on, or ''.
         priority: rank among the waiting requests, or None.
     """
 
     upstream_id: str
-    left_s: float
+    timeout_s: float
     account: str = ''
     last_event_id: str = ''
     priority: int | None = None
 
 
 @attrs.frozen
-class ReplyNote:
+class ReplyInfo:
     """What the head of an upstream's reply says beside its status.
 
     Attributes:
         request_id: id of the request that it answers, or ''.
-        not_run: the upstream says that the request has not run.
+        not_executed: the upstream says that the request has not run.
         misdirected: another upstream has the address, or it does not serve
             what was asked for.
         load: `dispatch.Load`, or None.
@@ -65,18 +65,18 @@
     """
 
     request_id: str = ''
-    not_run: bool = False
+    not_executed: bool = False
     misdirected: bool = False
     load: object = None
-    leaving: bool = False
+    closes_connection: bool = False
 
 
 class BaseDialect(abc.ABC):
     """Translates the headers of requests and replies."""
 
     @abc.abstractmethod
-    def read_ask(self, req):
-        """Return the `Ask` in an `http1.Request`.
+    def decode_request(self, req):
+        """Return the `RequestInfo` in an `http1.Request`.
 
         Raises:
             errors.InvalidRequestError: a header cannot be read.
@@ -87,8 +87,8 @@
         """Return the header items of `req` for an upstream."""
 
     @abc.abstractmethod
-    def read_reply(self, head):
-        """Return the `ReplyNote` in an `http1.ReplyHead`."""
+    def decode_reply(self, head):
+        """Return the `ReplyInfo` in an `http1.ReplyHead`."""
 
     @abc.abstractmethod
     def reply_headers(self, ask):
--- a/catkinshunt/gateway/tests/dialect.py
+++ b/catkinshunt/gateway/tests/dialect.py
@@ -12,13 +12,13 @@
 class PlainDialect(base.BaseDialect):
     """Headers with plain names."""
 
-    def read_ask(self, req):
+    def decode_request(self, req):
         headers = req.headers
         left_ms = headers.get('Left-Ms')
         if left_ms is not None and not left_ms.isdigit():
             raise errors.InvalidRequestError('Left-Ms is no number')
         tokens_in, tokens_out = headers.get('Tokens', '0,0').split(',')
-        return base.Ask(
+        return base.RequestInfo(
             id=headers.get('Request-Id', ''),
             host=headers.get('Host', ''),
             path=req.path,
@@ -33,7 +33,7 @@
 
     def upstream_headers(self, req, ask, forward):
         items = req.headers.end_to_end(without=_OWN)
-        items.append(('Left-Ms', str(int(forward.left_s * 1000))))
+        items.append(('Left-Ms', str(int(forward.timeout_s * 1000))))
         items.append(('Upstream', forward.upstream_id))
         items.append(('Account', forward.account))
         items.append(('Last-Event-Id', forward.last_event_id))
@@ -41,15 +41,16 @@
             items.append(('Rank', str(forward.priority)))
         return items
 
-    def read_reply(self, head):
+    def decode_reply(self, head):
         headers = head.headers
         load = headers.get('Load')
-        return base.ReplyNote(
+        return base.ReplyInfo(
             request_id=headers.get('Request-Id', ''),
-            not_run=headers.get('Not-Run') is not None,
+            not_executed=headers.get('Not-Run') is not None,
             misdirected=head.status == 421,
             load=dispatch.Load(*map(int, load.split(','))) if load else None,
-            leaving='close' in (headers.get('Connection') or '').lower(),
+            closes_connection='close'
+            in (headers.get('Connection') or '').lower(),
         )
 
     def reply_headers(self, ask):
--- a/catkinshunt/gateway/tests/scene.py
+++ b/catkinshunt/gateway/tests/scene.py
@@ -212,7 +212,7 @@
     """Start a gateway before `upstreams`; yields a `Scene`."""
     loop = asyncio.get_running_loop()
     context = gateway.Context(
-        catalog=catalogs.Catalog(fresh_s=3.0),
+        catalog=catalogs.Catalog(key_trust_s=3.0),
         dialect=dialect.PlainDialect(),
         chooser=dispatch.Chooser('larisa-a', {}),
         clock=loop.time,
@@ -221,7 +221,7 @@
         retry_burst=retry_burst,
         random=random.Random(3),
         metrics=gateway.GatewayMetrics(),
-        places=places.PlaceClient(0, loop.time, random.Random(3)),
+        permit_client=places.PlaceClient(0, loop.time, random.Random(3)),
         guard=guard,
     )
     context.catalog.declare(declare(**changes))
--- a/catkinshunt/gateway/tests/test_places.py
+++ b/catkinshunt/gateway/tests/test_places.py
@@ -72,7 +72,7 @@
 
     async def main():
         async with scenes.scene(*engines) as scene:
-            scene.context.places = door
+            scene.context.permit_client = door
             return await scene.ask(
                 '/chat/1', 'POST', b'hello', **CHAT, **headers
             )
@@ -116,9 +116,11 @@
     async def main():
         async with scenes.scene(old, new) as scene:
             context = scene.context
-            context.places = FakeDoor(None, None)
+            context.permit_client = FakeDoor(None, None)
             context.version_grace_s = 8.0
-            context.catalog.name_version(scenes.MODEL, 2, context.wall() - 7.0)
+            context.catalog.add_named_version(
+                scenes.MODEL, 2, context.wall() - 7.0
+            )
             context.tracker.state(new.entry()).rest(context.clock(), 0.2)
             return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
 
@@ -135,13 +137,15 @@
     async def main():
         async with scenes.scene(old) as scene:
             context = scene.context
-            context.places = door
+            context.permit_client = door
             context.version_grace_s = 8.0
 
             class Waiting(FakeAsking):
                 async def last_reply(self):
                     now = context.wall()
-                    context.catalog.name_version(scenes.MODEL, 2, now - 9.0)
+                    context.catalog.add_named_version(
+                        scenes.MODEL, 2, now - 9.0
+                    )
                     return await super().last_reply()
 
             door.make_asking = Waiting
@@ -207,7 +211,7 @@
     async def main():
         only = engine('u1', scenes.streaming(3))
         async with scenes.scene(only) as scene:
-            scene.context.places = FakeDoor(places.RELOADING)
+            scene.context.permit_client = FakeDoor(places.RELOADING)
             asking = asyncio.ensure_future(
                 scene.ask('/chat/1', 'POST', b'hello', **CHAT)
             )
@@ -257,7 +261,7 @@
     async def main():
         async with scenes.scene(*engines) as scene:
             context = scene.context
-            context.places = door
+            context.permit_client = door
             changed = first.entry(address=(SILENT_HOST, first.port))
             context.catalog.put_upstream(changed)
             status, _, _ = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
@@ -289,7 +293,7 @@
     async def main():
         async with scenes.scene(only) as scene:
             context = scene.context
-            context.places = FakeDoor(None)
+            context.permit_client = FakeDoor(None)
             hold_up(context, only, 0.4)
             began = context.clock()
             reply = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
@@ -316,7 +320,7 @@
 
     async def main():
         async with scenes.scene(*engines) as scene:
-            scene.context.places = door
+            scene.context.permit_client = door
             for each in engines:
                 hold_up(scene.context, each, 0.3)
             return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
@@ -358,7 +362,7 @@
 
     async def main():
         async with scenes.scene(*engines) as scene:
-            scene.context.places = door
+            scene.context.permit_client = door
             began = scene.context.clock()
             reply = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
             return reply[0], scene.context.clock() - began
@@ -402,7 +406,7 @@
         hangs = scenes.streaming(3, breaks_after=1, hangs=True)
         hanging = engine('u1', hangs)
         async with scenes.scene(hanging) as scene:
-            scene.context.places = FakeDoor(*[None] * 20)
+            scene.context.permit_client = FakeDoor(*[None] * 20)
             asking = [
                 asyncio.ensure_future(
                     scene.ask('/chat/1', 'POST', b'hello', **CHAT)
@@ -454,7 +458,7 @@
 
     async def main():
         async with scenes.scene(engine('u1', scenes.streaming(3))) as scene:
-            scene.context.places = door
+            scene.context.permit_client = door
             for left_ms in ('5000', '5000', '3000'):
                 await scene.ask(
                     '/chat/1', 'POST', b'hello', Left_Ms=left_ms, **CHAT
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -177,7 +177,7 @@
         request = quarantine.fingerprint(
             scenes.HOST, 'POST', '/read/1', 'workshop', BAD
         )
-        found.when_crashed = lambda: gossip.bar(request, 60.0)
+        found.when_crashed = lambda: gossip.add(request, 60.0)
         first = await found.ask(0)
         return first, await found.ask(0), len(found.crashed_at)
 
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -236,9 +236,9 @@
         async with scenes.scene(old, new) as scene:
             scene.context.version_grace_s = 4.0
             now = scene.context.wall()
-            scene.context.catalog.name_version(scenes.MODEL, 2, now - 5)
+            scene.context.catalog.add_named_version(scenes.MODEL, 2, now - 5)
             first = await chat(scene)
-            scene.context.catalog.name_version(scenes.MODEL, 3, now - 4.5)
+            scene.context.catalog.add_named_version(scenes.MODEL, 3, now - 4.5)
             second = await chat(scene)
             return first, second, len(old.heads)
 
@@ -266,7 +266,9 @@
         async with scenes.scene(old, new) as scene:
             context = scene.context
             context.version_grace_s = 1.0
-            context.catalog.name_version(scenes.MODEL, 2, context.wall() - 0.5)
+            context.catalog.add_named_version(
+                scenes.MODEL, 2, context.wall() - 0.5
+            )
             context.tracker.state(new.entry()).rest(context.clock(), 0.2)
             found = await chat(scene)
             await asyncio.wait_for(old.closed.wait(), 2)
--- a/catkinshunt/changes.py
+++ b/catkinshunt/notifier.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-class Changes:
+class Notifier:
     """Announces changes on one event loop.
 
     Each task that waits is woken by the next announcement; one that comes
@@ -11,10 +11,10 @@
 
     Examples:
         >>> async def main():
-        ...     changes = Changes()
+        ...     changes = Notifier()
         ...     waiting = asyncio.ensure_future(changes.wait())
         ...     await asyncio.sleep(0)
-        ...     changes.announce()
+        ...     changes.notify_all()
         ...     await waiting
         ...     return 'woken'
         >>> asyncio.run(main())
@@ -24,7 +24,7 @@
     def __init__(self):
         self._next = asyncio.Event()
 
-    def announce(self):
+    def notify_all(self):
         """Wake all that wait."""
         told, self._next = self._next, asyncio.Event()
         told.set()
--- a/catkinshunt/peers/_client.py
+++ b/catkinshunt/peers/_client.py
@@ -13,7 +13,7 @@
 TIMEOUT_S = 2.0
 
 _ERRORS = {
-    grpclib.Status.UNAUTHENTICATED: errors.PeerRefusedError,
+    grpclib.Status.UNAUTHENTICATED: errors.PeerUnauthenticatedError,
     grpclib.Status.UNAVAILABLE: errors.PeerUnavailableError,
     grpclib.Status.DEADLINE_EXCEEDED: errors.PeerTimeoutError,
 }
--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -17,7 +17,7 @@
 from catkinshunt.places._messages import load
 from catkinshunt.places._messages import Queued
 from catkinshunt.places._messages import Refused
-from catkinshunt.places._messages import UnreadableError
+from catkinshunt.places._messages import DecodeError
 from catkinshunt.places._server import PlaceServer
 from catkinshunt.places.base import BaseDoor
 
@@ -39,7 +39,7 @@
     'Queued',
     'Refused',
     'ReloadingError',
-    'UnreadableError',
+    'DecodeError',
     'dump',
     'load',
 ]
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -162,7 +162,7 @@
         """Take one message of a sidecar."""
         try:
             message = _messages.load(data)
-        except _messages.UnreadableError as exc:
+        except _messages.DecodeError as exc:
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
         asking = self._asking.get(message.number)
--- a/catkinshunt/places/_messages.py
+++ b/catkinshunt/places/_messages.py
@@ -11,7 +11,7 @@
 #: Longest datagram that is read; ours are below 200 bytes.
 MOST_BYTES = 1000
 
-UnreadableError = datagrams.UnreadableError
+DecodeError = datagrams.DecodeError
 
 
 @attrs.frozen
@@ -94,7 +94,7 @@
 
 
 _CODEC = datagrams.Codec(
-    (Ask, Done, Granted, Queued, Refused), most_bytes=MOST_BYTES
+    (Ask, Done, Granted, Queued, Refused), max_bytes=MOST_BYTES
 )
 dump = _CODEC.dump
 load = _CODEC.load
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -43,7 +43,7 @@
         now = self.clock()
         try:
             message = _messages.load(data)
-        except _messages.UnreadableError as exc:
+        except _messages.DecodeError as exc:
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.Ask):
--- a/catkinshunt/places/tests/test_messages.py
+++ b/catkinshunt/places/tests/test_messages.py
@@ -38,7 +38,7 @@
     ],
 )
 def test_what_is_no_message_is_told_so(data):
-    with pytest.raises(places.UnreadableError):
+    with pytest.raises(places.DecodeError):
         places.load(data)
 
 
@@ -46,6 +46,6 @@
 def test_any_bytes_are_a_message_or_unreadable(data):
     try:
         message = places.load(data)
-    except places.UnreadableError:
+    except places.DecodeError:
         return
     assert places.load(places.dump(message)) == message
--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -33,7 +33,7 @@
     except _documents.InvalidDocumentError as exc:
         _log.error('Left aside {}: {}.', item.key, exc)
         return
-    catalog.name_version(model, version, since, found)
+    catalog.add_named_version(model, version, since, found)
 
 
 def apply_pending(item, catalog, now):
@@ -71,11 +71,11 @@
         _log.warning('Left aside {}: {}.', item.key, exc)
         return
     request = item.key.removeprefix(_documents.QUARANTINE_PREFIX)
-    barred.bar(request, min(for_s, quarantine.BARRED_S), now)
+    barred.add(request, min(for_s, quarantine.QUARANTINE_S), now)
 
 
 def parse_home_or_none(item):
-    """Return the `catalog.Home` of an entry's item, or None for none.
+    """Return the `catalog.EntryLocation` of an entry's item, or None for none.
 
     An entry that does not tell it is there all the same.
     """
--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -31,18 +31,20 @@
     """Reads the store once, then follows its changes.
 
     Args:
-        client: `feed.BaseFeed` of the store.
+        client: `feed.BaseWatchSource` of the store.
         catalog: `catalog.Catalog` that is kept in step.
-        roster: `catalog.Roster` that is kept in step.
+        roster: `catalog.LiveEntries` that is kept in step.
         wall: gives seconds on a clock that counts a suspend too.
         random: source of random numbers, for the pauses.
         barred: `quarantine.Quarantine` that learns of barred requests.
     """
 
-    def __init__(self, client, catalog, roster, boottime, random, barred):
+    def __init__(
+        self, client, catalog, live_entries, boottime, random, barred
+    ):
         self.client = client
         self.catalog = catalog
-        self.roster = roster
+        self.live_entries = live_entries
         self.barred = barred
         self.boottime = boottime
         self.random = random
@@ -115,7 +117,7 @@
         this process would ask it too.
         """
         parts = (_documents.OPERATOR_PREFIX, _documents.UPSTREAM_PREFIX)
-        if self.roster.names():
+        if self.live_entries.names():
             pages = await self._read_together(_documents.SYSTEM_PREFIX, *parts)
             self._replace_entries(pages[0])
             return pages
@@ -134,7 +136,7 @@
 
     def _replace_entries(self, own):
         """Take over which entries are listed."""
-        self.roster.replace(
+        self.live_entries.replace(
             {
                 _entry_name(item): _apply.parse_home_or_none(item)
                 for item in own.items
@@ -200,9 +202,11 @@
 
     def _apply_entry(self, item):
         if item.value is None:
-            self.roster.drop(_entry_name(item))
+            self.live_entries.drop(_entry_name(item))
         else:
-            self.roster.put(_entry_name(item), _apply.parse_home_or_none(item))
+            self.live_entries.put(
+                _entry_name(item), _apply.parse_home_or_none(item)
+            )
 
     def _apply_upstream(self, item, now):
         if item.revision <= self._upstream_revisions.get(item.key, 0):
@@ -217,7 +221,7 @@
 
 def _proved_at(page, read_at):
     """Return when nothing newer than a page was there for certain."""
-    return read_at if page.proved_at is None else page.proved_at
+    return read_at if page.confirmed_at is None else page.confirmed_at
 
 
 def _entry_name(item):
--- a/catkinshunt/platform/_dialect.py
+++ b/catkinshunt/platform/_dialect.py
@@ -40,8 +40,8 @@
 class PlatformDialect(base.BaseDialect):
     """The headers of the platform's pages."""
 
-    def read_ask(self, req):
-        """See `base.BaseDialect.read_ask`."""
+    def decode_request(self, req):
+        """See `base.BaseDialect.decode_request`."""
         headers = req.headers
         hosts = headers.get_all('Host')
         if len(hosts) != 1:
@@ -49,7 +49,7 @@
                 'one Host header is needed', step='read-request'
             )
         tokens_in, most_out = _parse_token_counts(headers.get(TOKEN_COUNTS))
-        return base.Ask(
+        return base.RequestInfo(
             id=headers.get(REQUEST_ID, ''),
             host=hosts[0].partition(':')[0].lower(),
             path=req.path,
@@ -67,7 +67,7 @@
     def upstream_headers(self, req, ask, forward):
         """See `base.BaseDialect.upstream_headers`."""
         items = req.headers.end_to_end(without=_REPLACED_HEADERS)
-        left_ms = max(1, int(forward.left_s * _MS))
+        left_ms = max(1, int(forward.timeout_s * _MS))
         items.append((DEADLINE, str(left_ms)))
         items.append((EXPECTED_UPSTREAM, forward.upstream_id))
         if forward.account:
@@ -78,16 +78,16 @@
             items.append((PRIORITY, str(forward.priority)))
         return items
 
-    def read_reply(self, head):
-        """See `base.BaseDialect.read_reply`."""
+    def decode_reply(self, head):
+        """See `base.BaseDialect.decode_reply`."""
         headers = head.headers
         connection = (headers.get('Connection') or '').lower()
-        return base.ReplyNote(
+        return base.ReplyInfo(
             request_id=headers.get(REQUEST_ID, ''),
-            not_run=headers.get(NOT_EXECUTED) is not None,
+            not_executed=headers.get(NOT_EXECUTED) is not None,
             misdirected=head.status == 421,
             load=_parse_load(headers.get(LOAD)),
-            leaving='close' in connection,
+            closes_connection='close' in connection,
         )
 
     def reply_headers(self, ask):
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -73,18 +73,18 @@
 
 
 def dump_home(home):
-    """Return the value of the key of an entry, from its `catalog.Home`."""
+    """Return the value of the key of an entry, from its `catalog.EntryLocation`."""
     return json.dumps({'host': home.host, 'region': home.region}).encode()
 
 
 def parse_home(value):
-    """Return the `catalog.Home` in the value of an entry's key.
+    """Return the `catalog.EntryLocation` in the value of an entry's key.
 
     Raises:
         InvalidDocumentError: there is none.
     """
     document = load(value)
-    return catalog.Home(
+    return catalog.EntryLocation(
         _get_str(document, 'host'), _get_str(document, 'region')
     )
 
@@ -175,7 +175,7 @@
         service=_get_str(document, 'service'),
         address=address,
         data_centre=_get_str(document, 'zone', ''),
-        born=_get_int(document, 'born', 0),
+        started_at_ms=_get_int(document, 'born', 0),
         leaving=state == 'draining',
         versions=_parse_versions(document),
         slots=slots,
@@ -206,8 +206,8 @@
     document = load(value)
     return spread.EngineReport(
         versions=_parse_versions(document) or {},
-        busy=bool(document.get('busy')),
-        present=_get_int(document, 'active', 0)
+        is_loading=bool(document.get('busy')),
+        request_count=_get_int(document, 'active', 0)
         + _get_int(document, 'queued', 0),
     )
 
@@ -298,7 +298,7 @@
         streaming=kind == 'streaming',
         resumable=bool(item.get('resumable')),
         public=bool(item.get('public')),
-        pause_s=item.get('gap_target_ms', _MS) / _MS,
+        gap_target_s=item.get('gap_target_ms', _MS) / _MS,
     )
 
 
@@ -331,11 +331,13 @@
     return catalog.EngineProfile(
         slots=item.get('slots', default.slots),
         step_s=item.get('step_ms', default.step_s * _MS) / _MS,
-        per_request_s=item.get('per_seq_ms', 0.0) / _MS,
-        read_tokens_per_s=item.get('read_per_s', default.read_tokens_per_s),
-        stride=item.get('stride', 1),
-        usual_prompt=usual.get('prompt', default.usual_prompt),
-        usual_answer=usual.get('answer', default.usual_answer),
+        step_s_per_request=item.get('per_seq_ms', 0.0) / _MS,
+        prefill_tokens_per_s=item.get(
+            'read_per_s', default.prefill_tokens_per_s
+        ),
+        steps_per_pass=item.get('stride', 1),
+        mean_prompt_tokens=usual.get('prompt', default.mean_prompt_tokens),
+        mean_output_tokens=usual.get('answer', default.mean_output_tokens),
         models=[model['name'] for model in models],
         chunks=item.get('chunks', 0),
         chunk_bytes=item.get('chunk_bytes', 0),
--- a/catkinshunt/platform/_engine.py
+++ b/catkinshunt/platform/_engine.py
@@ -87,8 +87,8 @@
         )
         return body if status == 200 else None
 
-    async def staged(self, model):
-        """See `base.BaseEngine.staged`."""
+    async def list_staged(self, model):
+        """See `base.BaseEngine.list_staged`."""
         status, body = await _call(self._pool, 'GET', f'/-/stage-get/{model}')
         if status == 404:
             return []
@@ -112,7 +112,9 @@
         except errors.TransferError as exc:
             if isinstance(exc.__cause__, errors.RefusedError):
                 raise
-            raise base.OrderLostError(exc.message, step='load') from exc
+            raise base.LoadOutcomeUnknownError(
+                exc.message, step='load'
+            ) from exc
         if status not in (200, 202):
             raise errors.OrderError(
                 f'the engine answered {status}: {body[:100]!r}', step='load'
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -61,9 +61,9 @@
     stop = _signals.install_signal_handlers()
     registry = metrics.Registry()
     context = make_context(cfg, registry)
-    await context.places.start(cfg.ip)
-    roster = catalogs.Roster()
-    gossip = make_gossip(cfg, roster, context.random)
+    await context.permit_client.start(cfg.ip)
+    live_entries = catalogs.LiveEntries()
+    gossip = make_gossip(cfg, live_entries, context.random)
     await gossip.start(cfg.ip)
     context.guard = quarantine.Guard(gossip)
     server = await gateway.Gateway(context).start(*cfg.frontend_address)
@@ -74,26 +74,26 @@
     await ready.start(*cfg.ready_address)
     await _process.serve_metrics(cfg, registry)
     client = _process.make_store_client(cfg, registry)
-    followed = make_feed(cfg, client, roster)
-    await feed.FeedServer(followed, _clocks.boottime, _clocks.monotonic).start(
-        cfg.ip, _process.feed_port(cfg)
-    )
-    mirror = make_cache_updater(followed, context, roster)
-    home = catalogs.Home(cfg.ip, _region_of(cfg))
-    member = _registration.Registration(client, roster, cfg.name, home)
+    followed = make_feed(cfg, client, live_entries)
+    await feed.WatchRelayServer(
+        followed, _clocks.boottime, _clocks.monotonic
+    ).start(cfg.ip, _process.feed_port(cfg))
+    mirror = make_cache_updater(followed, context, live_entries)
+    home = catalogs.EntryLocation(cfg.ip, _region_of(cfg))
+    member = _registration.Registration(client, live_entries, cfg.name, home)
     pending = _pending_publisher.PendingPublisher(
         client,
         context.catalog,
-        roster,
+        live_entries,
         cfg.name,
         context.version_grace_s,
         _clocks.boottime,
     )
     origin = _origin_publisher.OriginPublisher(
-        client, context.catalog, roster, cfg.name
+        client, context.catalog, live_entries, cfg.name
     )
     barred = _quarantine_publisher.QuarantinePublisher(
-        client, gossip.quarantine, roster, cfg.name, _clocks.boottime
+        client, gossip.quarantine, live_entries, cfg.name, _clocks.boottime
     )
     tasks = [
         asyncio.ensure_future(work)
@@ -104,7 +104,7 @@
             origin.run(),
             gossip.run(),
             barred.run(),
-            _update_retry_burst(cfg, context, roster),
+            _update_retry_burst(cfg, context, live_entries),
             _evict_gone_upstreams(context),
         )
     ]
@@ -136,8 +136,8 @@
     rng = random.Random()
     return gateway.Context(
         catalog=catalogs.Catalog(
-            fresh_s=bounds.revoke_s * KEY_TRUST_SHARE,
-            current_s=bounds.config_s,
+            key_trust_s=bounds.revoke_s * KEY_TRUST_SHARE,
+            absence_trust_s=bounds.config_s,
         ),
         dialect=_dialect.PlatformDialect(),
         chooser=dispatch.Chooser(cfg.data_centre, cfg.regions, cfg.name),
@@ -147,7 +147,7 @@
         retry_burst=make_burst_share(cfg).choose(_clocks.monotonic()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
-        places=places.PlaceClient(
+        permit_client=places.PlaceClient(
             _process.permit_port(cfg), _clocks.monotonic, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
@@ -159,16 +159,16 @@
     return retries.BurstShare(cfg.bounds.retry_slack * RETRY_SLACK_SHARE)
 
 
-async def _update_retry_burst(cfg, context, roster):
+async def _update_retry_burst(cfg, context, live_entries):
     """Bound the retries to what is left for one of the entries alive."""
     share = make_burst_share(cfg)
     while True:
         now = _clocks.monotonic()
-        share.see(len(roster.names()), now)
-        context.limit_retries(share.choose(now))
+        share.see(len(live_entries.names()), now)
+        context.set_retry_burst(share.choose(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RETRY_BURST_PERIOD_S):
-                await roster.wait_for_change()
+                await live_entries.wait_for_change()
 
 
 async def _evict_gone_upstreams(context):
@@ -210,12 +210,12 @@
     registry.gauge(
         'quarantined_requests',
         'Requests that are not run, since upstreams crashed under them.',
-        lambda: context.guard.count_barred() if context.guard else 0,
+        lambda: context.guard.count_quarantined() if context.guard else 0,
     )
     registry.gauge(
         'retry_budget_tokens',
         'Further tries that are allowed now.',
-        context.budget_tokens,
+        context.retry_budget_tokens,
         ('service',),
     )
 
@@ -228,21 +228,21 @@
     return cfg.regions.get(cfg.data_centre, cfg.data_centre)
 
 
-def make_feed(cfg, client, roster):
-    """Return the `feed.RegionalFeed` of an entry with these settings."""
+def make_feed(cfg, client, live_entries):
+    """Return the `feed.RegionalWatchSource` of an entry with these settings."""
 
-    def make_peer(host, must_read):
-        return feed.PeerFeed(
+    def make_peer(host, must_be_direct):
+        return feed.PeerWatchSource(
             host,
             _process.feed_port(cfg),
             _clocks.monotonic,
             _clocks.boottime,
-            must_read,
+            must_be_direct,
         )
 
-    return feed.RegionalFeed(
+    return feed.RegionalWatchSource(
         client,
-        roster,
+        live_entries,
         cfg.name,
         _region_of(cfg),
         make_peer,
@@ -251,11 +251,11 @@
     )
 
 
-def make_gossip(cfg, roster, random):
+def make_gossip(cfg, live_entries, random):
     """Return the `quarantine.Gossip` of an entry with these settings."""
     return quarantine.Gossip(
         quarantine.Quarantine(),
-        roster,
+        live_entries,
         cfg.name,
         _process.gossip_port(cfg),
         _clocks.boottime,
@@ -263,12 +263,12 @@
     )
 
 
-def make_cache_updater(client, context, roster):
+def make_cache_updater(client, context, live_entries):
     """Return the `CacheUpdater` that feeds the catalog of `context`."""
     return _cache_updater.CacheUpdater(
         client,
         context.catalog,
-        roster,
+        live_entries,
         _clocks.boottime,
         context.random,
         context.guard.gossip.quarantine,
--- a/catkinshunt/platform/_origin_publisher.py
+++ b/catkinshunt/platform/_origin_publisher.py
@@ -26,14 +26,14 @@
     Args:
         client: `StoreClient`.
         catalog: `catalog.Catalog` with the declaration in force.
-        roster: `catalog.Roster` of the entries.
+        roster: `catalog.LiveEntries` of the entries.
         name: name of this entry.
     """
 
-    def __init__(self, client, catalog, roster, name):
+    def __init__(self, client, catalog, live_entries, name):
         self.client = client
         self.catalog = catalog
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self._published = None
 
@@ -67,6 +67,6 @@
         self._published = origin
 
     def _is_writer(self):
-        names = sorted({*self.roster.names(), self.name})
+        names = sorted({*self.live_entries.names(), self.name})
         ranked = rendezvous.rank(_documents.ORIGIN_KEY, names)
         return self.name in ranked[:WRITER_COUNT]
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -32,16 +32,16 @@
     Args:
         client: `StoreClient`.
         catalog: `catalog.Catalog` in which versions are named.
-        roster: `catalog.Roster` of the entries.
+        roster: `catalog.LiveEntries` of the entries.
         name: name of this entry.
         grace_s: seconds after which a named version is due.
         wall: gives seconds on the clock of the catalog.
     """
 
-    def __init__(self, client, catalog, roster, name, grace_s, boottime):
+    def __init__(self, client, catalog, live_entries, name, grace_s, boottime):
         self.client = client
         self.catalog = catalog
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.grace_s = grace_s
         self.boottime = boottime
@@ -69,13 +69,13 @@
         return found
 
     def _is_writer(self, model, version):
-        names = sorted({*self.roster.names(), self.name})
+        names = sorted({*self.live_entries.names(), self.name})
         ranked = rendezvous.rank(f'{model}/{version}', names)
         return self.name in ranked[:WRITER_COUNT]
 
     async def _publish(self, model, named):
         """Write the key of one version, unless it is due too soon."""
-        due_at = named.since + self.grace_s
+        due_at = named.learned_at + self.grace_s
         lease_s = due_at - self.boottime() - LEASE_MARGIN_S
         if not math.isfinite(lease_s) or lease_s < MIN_LEASE_S:
             return
--- a/catkinshunt/platform/_quarantine_publisher.py
+++ b/catkinshunt/platform/_quarantine_publisher.py
@@ -26,15 +26,15 @@
     Args:
         client: `StoreClient`.
         barred: `quarantine.Quarantine` of this entry.
-        roster: `catalog.Roster` of the entries.
+        roster: `catalog.LiveEntries` of the entries.
         name: name of this entry.
         wall: gives seconds on the clock of the quarantine.
     """
 
-    def __init__(self, client, barred, roster, name, boottime):
+    def __init__(self, client, barred, live_entries, name, boottime):
         self.client = client
         self.barred = barred
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.boottime = boottime
         self._published_until = {}
@@ -56,7 +56,7 @@
 
     async def _publish_new(self):
         now = self.boottime()
-        for request, left_s in self.barred.all_barred(now):
+        for request, left_s in self.barred.all_quarantined(now):
             until = now + left_s
             if self._is_published(request, until, now):
                 continue
@@ -71,11 +71,11 @@
 
     def _is_published(self, request, until, now):
         """Return whether its key stays for nearly as long as it is barred."""
-        most_s = quarantine.BARRED_S * quarantine.RENEW_SHARE
+        most_s = quarantine.QUARANTINE_S * quarantine.RENEW_SHARE
         return until - self._published_until.get(request, now) < most_s
 
     def _is_writer(self, request):
-        names = sorted({*self.roster.names(), self.name})
+        names = sorted({*self.live_entries.names(), self.name})
         return self.name in rendezvous.rank(request, names)[:WRITER_COUNT]
 
     def _evict_expired(self, now):
--- a/catkinshunt/platform/_registration.py
+++ b/catkinshunt/platform/_registration.py
@@ -24,14 +24,14 @@
 
     Args:
         client: `StoreClient`.
-        roster: `catalog.Roster` that shows whether the key is there.
+        roster: `catalog.LiveEntries` that shows whether the key is there.
         name: name of the instance.
-        home: its `catalog.Home`, for others of its region; None for none.
+        home: its `catalog.EntryLocation`, for others of its region; None for none.
     """
 
-    def __init__(self, client, roster, name, home=None):
+    def __init__(self, client, live_entries, name, home=None):
         self.client = client
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.home = home
         self._lease = None
@@ -56,7 +56,7 @@
     async def _renew_or_register(self):
         # A write whose answer was lost may arrive late and bind the key to
         # an older lease. It vanishes with that one; the roster shows it.
-        if self._lease is not None and self.roster.has(self.name):
+        if self._lease is not None and self.live_entries.has(self.name):
             await self.client.renew_lease(self._lease)
             return
         lease = await self.client.grant_lease(LEASE_TTL_S)
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -37,8 +37,8 @@
     """Start what looks after the engine; return its tasks."""
     if cfg.engine_address is None:
         return []
-    shelf = spread.Shelf()
-    chunk_bytes = register_metrics(registry, shelf)
+    version_store = spread.VersionStore()
+    chunk_bytes = register_metrics(registry, version_store)
     view = _store_view.StoreView(
         cfg,
         _process.make_store_client(cfg, registry),
@@ -55,14 +55,18 @@
         _engine.PlatformEngine(cfg.engine_address, _clocks.monotonic),
         _engine.PlatformOrigin(view.origin, _clocks.monotonic),
         spread.PeerClient(chunk_port, _clocks.monotonic, name=cfg.ip),
-        shelf,
+        version_store,
         _clocks.monotonic,
         cfg.link_mbps,
         chunk_bytes,
         permit_server,
     )
     server = spread.ChunkServer(
-        shelf, _clocks.monotonic, cfg.link_mbps, chunk_bytes, agent.note_asked
+        version_store,
+        _clocks.monotonic,
+        cfg.link_mbps,
+        chunk_bytes,
+        agent.on_chunk_request,
     )
     await server.start(cfg.ip, chunk_port)
     return [
@@ -71,18 +75,18 @@
     ]
 
 
-def register_metrics(registry, shelf):
+def register_metrics(registry, version_store):
     """Show what is on the shelf; return the counter of moved bytes."""
     registry.gauge(
         'versions_whole',
         'Newest version that is here whole, by model.',
-        shelf.newest_whole,
+        version_store.newest_complete,
         ('model',),
     )
     registry.gauge(
         'chunks_missing',
         'Chunks that are missing, by model and version.',
-        shelf.missing,
+        version_store.missing,
         ('model', 'version'),
     )
     return registry.counter(
--- a/catkinshunt/platform/_store.py
+++ b/catkinshunt/platform/_store.py
@@ -19,7 +19,7 @@
     """The lease has ended, and its keys are gone."""
 
 
-class StoreClient(feed.BaseFeed):
+class StoreClient(feed.BaseWatchSource):
     """Reads, watches and writes keys of the store.
 
     Args:
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -26,7 +26,7 @@
 _log = logs.get_logger('store')
 
 
-class StoreView(spread.BaseOutlook):
+class StoreView(spread.BaseClusterView):
     """Follows the named versions, and lists members when asked.
 
     Args:
@@ -88,7 +88,7 @@
         self._revision = page.revision
 
     def now(self):
-        """See `spread.BaseOutlook.now`."""
+        """See `spread.BaseClusterView.now`."""
         return self.boottime()
 
     async def origin(self):
@@ -144,7 +144,7 @@
         return declaration.origin if declaration else None
 
     async def origin_connections(self):
-        """See `spread.BaseOutlook.origin_connections`.
+        """See `spread.BaseClusterView.origin_connections`.
 
         Read from the key of the origin only: a large configuration that all
         members read at once would fill the links between regions.
@@ -157,22 +157,22 @@
         return self._origin.max_connections if self._origin else None
 
     def origin_copy_s(self, size):
-        """See `spread.BaseOutlook.origin_copy_s`."""
+        """See `spread.BaseClusterView.origin_copy_s`."""
         # An origin that is not known yet is taken to be as fast as this link.
         known = self.cfg if self._origin is None else self._origin
         mbps = known.link_mbps
         return size / (mbps * spread.BYTES_PER_MBIT)
 
-    def hear_of(self, model, version):
-        """See `spread.BaseOutlook.hear_of`."""
-        self.catalog.name_version(model, version, self.boottime())
+    def note_version(self, model, version):
+        """See `spread.BaseClusterView.note_version`."""
+        self.catalog.add_named_version(model, version, self.boottime())
 
-    async def wanted(self, report):
-        """See `spread.BaseOutlook.wanted`."""
+    async def target_version(self, report):
+        """See `spread.BaseClusterView.target_version`."""
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
-            due_at = named.since + self.due_s
-            return spread.Wanted(model, named.version, due_at)
+            due_at = named.learned_at + self.due_s
+            return spread.TargetVersion(model, named.version, due_at)
         # Before the store has told what is named, what others are listed with
         # may be a version that is no longer wanted. After a loss of power all
         # members fetched that one first, and the named one two seconds later.
@@ -194,28 +194,30 @@
         if not served:
             return None
         version, model = max(served)
-        return spread.Wanted(model, version, self.boottime())
+        return spread.TargetVersion(model, version, self.boottime())
 
     async def wait_for_version(self):
-        """See `spread.BaseOutlook.wait_for_version`."""
+        """See `spread.BaseClusterView.wait_for_version`."""
         await self.catalog.wait_for_change()
 
-    def due_after(self, model, version):
-        """See `spread.BaseOutlook.due_after`."""
-        newer = self.catalog.first_after(model, version)
-        return self.boottime() if newer is None else newer.since + self.due_s
+    def superseded_at(self, model, version):
+        """See `spread.BaseClusterView.superseded_at`."""
+        newer = self.catalog.next_version(model, version)
+        return (
+            self.boottime() if newer is None else newer.learned_at + self.due_s
+        )
 
     def expires_at(self, model, version):
-        """See `spread.BaseOutlook.expires_at`."""
-        newer = self.catalog.first_after(model, version)
+        """See `spread.BaseClusterView.expires_at`."""
+        newer = self.catalog.next_version(model, version)
         # How long ago a version was named that stood in the store at the
         # start is not known; others may still use the one before.
         if newer is None or newer.found:
             return math.inf
-        return newer.since + self.due_s - EXPIRY_MARGIN_S
+        return newer.learned_at + self.due_s - EXPIRY_MARGIN_S
 
     async def members(self):
-        """See `spread.BaseOutlook.members`."""
+        """See `spread.BaseClusterView.members`."""
         now = self.boottime()
         if (
             self._members_read_at is None
@@ -227,7 +229,7 @@
             for upstream in self.catalog.members(self.cfg.service)
             if not upstream.leaving
         ]
-        listed.sort(key=lambda upstream: upstream.born)
+        listed.sort(key=lambda upstream: upstream.started_at_ms)
         return [
             spread.Member(u.address[0], u.data_centre, u.versions or {})
             for u in listed
--- a/catkinshunt/platform/tests/fakes.py
+++ b/catkinshunt/platform/tests/fakes.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from catkinshunt import changes
+from catkinshunt import notifier
 from catkinshunt import errors
 from catkinshunt import platform
 
@@ -21,7 +21,7 @@
         self.sent = []
         self.leases = {}
         self.granted_s = []
-        self._changes = changes.Changes()
+        self._changes = notifier.Notifier()
 
     def put(self, key, document):
         value = document
@@ -36,7 +36,7 @@
         """Drop what a watch would need to go on."""
         self.history_from = self.revision + 1
         self.revision += 1
-        self._changes.announce()
+        self._changes.notify_all()
 
     def _change(self, key, value):
         self.revision += 1
@@ -45,7 +45,7 @@
         if value is None:
             del self.items[key]
         self.events.append(item)
-        self._changes.announce()
+        self._changes.notify_all()
 
     async def read_prefix(self, prefix):
         await self._begin('read')
--- a/catkinshunt/platform/tests/regions.py
+++ b/catkinshunt/platform/tests/regions.py
@@ -29,26 +29,28 @@
         self.name = f'edge-{number}'
         self.host = f'127.0.0.{number}'
         self.region = region
-        self.home = catalogs.Home(self.host, home_region)
+        self.home = catalogs.EntryLocation(self.host, home_region)
         self.store = Door(region.store)
-        self.catalog = catalogs.Catalog(fresh_s=FRESH_S)
-        self.roster = catalogs.Roster()
+        self.catalog = catalogs.Catalog(key_trust_s=FRESH_S)
+        self.live_entries = catalogs.LiveEntries()
         self.offset_s = 0.0
-        self.feed = feed.RegionalFeed(
+        self.feed = feed.RegionalWatchSource(
             self.store,
-            self.roster,
+            self.live_entries,
             self.name,
             home_region,
             self._make_peer,
             self.boottime,
             _documents.WATCHED_PREFIXES,
         )
-        self.server = feed.FeedServer(self.feed, self.boottime, self.boottime)
+        self.server = feed.WatchRelayServer(
+            self.feed, self.boottime, self.boottime
+        )
         self.barred = quarantine.Quarantine()
         self.mirror = platform.CacheUpdater(
             self.feed,
             self.catalog,
-            self.roster,
+            self.live_entries,
             self.boottime,
             random.Random(1),
             self.barred,
@@ -58,8 +60,10 @@
     def boottime(self):
         return asyncio.get_running_loop().time() + self.offset_s
 
-    def _make_peer(self, host, must_read):
-        return Neighbour(host, self.region.ports, self.boottime, must_read)
+    def _make_peer(self, host, must_be_direct):
+        return Neighbour(
+            host, self.region.ports, self.boottime, must_be_direct
+        )
 
     async def start(self):
         await self.server.start(self.host, 0)
@@ -75,7 +79,7 @@
     @property
     def reads(self):
         """Whether this entry reads from the store itself."""
-        return self.feed.readers.choose(self.boottime()) is None
+        return self.feed.watchers.choose(self.boottime()) is None
 
     @property
     def revision(self):
@@ -83,14 +87,14 @@
         return declaration.revision if declaration else None
 
 
-class Neighbour(feed.BaseFeed):
+class Neighbour(feed.BaseWatchSource):
     """Another entry, which refuses connections until it has started."""
 
-    def __init__(self, host, ports, boottime, must_read):
+    def __init__(self, host, ports, boottime, must_be_direct):
         self.host = host
         self.ports = ports
         self.boottime = boottime
-        self.must_read = must_read
+        self.must_be_direct = must_be_direct
 
     async def read_prefix(self, prefix):
         return await self._peer().read_prefix(prefix)
@@ -102,12 +106,12 @@
         if self.host not in self.ports:
             raise errors.StoreUnavailableError('refused', step='connect')
         port = self.ports[self.host]
-        return feed.PeerFeed(
-            self.host, port, self.boottime, self.boottime, self.must_read
+        return feed.PeerWatchSource(
+            self.host, port, self.boottime, self.boottime, self.must_be_direct
         )
 
 
-class Door(feed.BaseFeed):
+class Door(feed.BaseWatchSource):
     """The way of one entry to the store, which can fall silent."""
 
     def __init__(self, store):
--- a/catkinshunt/platform/tests/test_cache_updater.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -15,15 +15,15 @@
 
     def __init__(self):
         self.store = fakes.FakeStore()
-        self.catalog = catalogs.Catalog(fresh_s=3.0)
-        self.roster = catalogs.Roster()
+        self.catalog = catalogs.Catalog(key_trust_s=3.0)
+        self.live_entries = catalogs.LiveEntries()
         self.now_s = 100.0
         loop = asyncio.get_running_loop()
         self.boottime = lambda: loop.time() + self.now_s
         self.mirror = platform.CacheUpdater(
             self.store,
             self.catalog,
-            self.roster,
+            self.live_entries,
             self.boottime,
             random.Random(1),
             quarantine.Quarantine(),
@@ -133,10 +133,10 @@
         followed.store.down = True
         await asyncio.sleep(0.2)
         followed.now_s += 5.0
-        stale = followed.catalog.is_fresh(followed.boottime())
+        stale = followed.catalog.can_trust_keys(followed.boottime())
         followed.store.down = False
         await fakes.until(
-            lambda: followed.catalog.is_fresh(followed.boottime())
+            lambda: followed.catalog.can_trust_keys(followed.boottime())
         )
         return stale
 
@@ -193,22 +193,22 @@
 def test_entries_that_come_and_go_are_counted():
     async def main(followed):
         followed.store.put('catkinshunt/entries/edge-2', {})
-        await fakes.until(lambda: followed.roster.names() == ['edge-2'])
+        await fakes.until(lambda: followed.live_entries.names() == ['edge-2'])
         followed.store.delete('catkinshunt/entries/edge-2')
-        await fakes.until(lambda: not followed.roster.names())
+        await fakes.until(lambda: not followed.live_entries.names())
 
     run(main)
 
 
 def test_entries_are_read_anew_where_the_history_is_gone():
     async def main(followed):
-        await fakes.until(lambda: followed.roster.names() == ['edge-1'])
+        await fakes.until(lambda: followed.live_entries.names() == ['edge-1'])
         followed.store.down = True
         followed.store.delete('catkinshunt/entries/edge-1')
         followed.store.put('catkinshunt/entries/edge-3', {})
         followed.store.forget_history()
         followed.store.down = False
-        await fakes.until(lambda: followed.roster.names() == ['edge-3'])
+        await fakes.until(lambda: followed.live_entries.names() == ['edge-3'])
 
     run(main, lambda f: f.store.put('catkinshunt/entries/edge-1', {}))
 
--- a/catkinshunt/platform/tests/test_dialect.py
+++ b/catkinshunt/platform/tests/test_dialect.py
@@ -14,7 +14,7 @@
 
 
 def test_a_request_is_decoded():
-    ask = DIALECT.read_ask(
+    ask = DIALECT.decode_request(
         request(
             ('Attempt-Id', 'a1'),
             ('Deadline-Ms', '1500'),
@@ -23,7 +23,7 @@
             ('Last-Event-Id', '12'),
         )
     )
-    assert ask == gateway.Ask(
+    assert ask == gateway.RequestInfo(
         id='a1',
         host='shop.example',
         path='/a/b',
@@ -46,15 +46,15 @@
     ],
 )
 def test_a_header_that_cannot_be_read_counts_as_missing(name, value):
-    assert DIALECT.read_ask(request((name, value))) == DIALECT.read_ask(
-        request()
-    )
+    assert DIALECT.decode_request(
+        request((name, value))
+    ) == DIALECT.decode_request(request())
 
 
 def test_two_hosts_are_refused():
     """With two hosts, this process and an upstream could each read another."""
     with pytest.raises(errors.InvalidRequestError):
-        DIALECT.read_ask(request(('Host', 'other.example')))
+        DIALECT.decode_request(request(('Host', 'other.example')))
 
 
 def test_headers_of_one_connection_are_not_passed_on():
@@ -66,8 +66,10 @@
         ('Request-Priority', '0'),
         ('X-Kept', 'yes'),
     )
-    ask = DIALECT.read_ask(req)
-    items = DIALECT.upstream_headers(req, ask, gateway.Forward('i-1', 0.0004))
+    ask = DIALECT.decode_request(req)
+    items = DIALECT.upstream_headers(
+        req, ask, gateway.AttemptInfo('i-1', 0.0004)
+    )
     assert dict(items) == {
         'Host': 'Shop.example:80',
         'X-Kept': 'yes',
@@ -88,8 +90,8 @@
             ]
         ),
     )
-    note = DIALECT.read_reply(head)
-    assert note.not_run
-    assert note.leaving
+    note = DIALECT.decode_reply(head)
+    assert note.not_executed
+    assert note.closes_connection
     assert (note.load.running, note.load.slots) == (3, 8)
-    assert DIALECT.read_reply(http1.ReplyHead(200)).load is None
+    assert DIALECT.decode_reply(http1.ReplyHead(200)).load is None
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -18,7 +18,7 @@
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
-    context.budget('desk').offer()
+    context.retry_budget('desk').offer()
     server = gateway.Gateway(context)
     _entry.register_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
@@ -27,9 +27,9 @@
 
 def sidecar_registry():
     registry = metrics.Registry()
-    shelf = spread.Shelf()
-    shelf.holding('drafts', 2)
-    _sidecar.register_metrics(registry, shelf)
+    version_store = spread.VersionStore()
+    version_store.chunk_store('drafts', 2)
+    _sidecar.register_metrics(registry, version_store)
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
--- a/catkinshunt/platform/tests/test_origin_publisher.py
+++ b/catkinshunt/platform/tests/test_origin_publisher.py
@@ -22,10 +22,12 @@
     """Run the writer of each entry; gives their catalogs."""
     found, tasks = [], []
     for name in names:
-        roster = catalogs.Roster()
-        roster.replace(names)
+        live_entries = catalogs.LiveEntries()
+        live_entries.replace(names)
         catalog = catalogs.Catalog()
-        key = _origin_publisher.OriginPublisher(store, catalog, roster, name)
+        key = _origin_publisher.OriginPublisher(
+            store, catalog, live_entries, name
+        )
         tasks.append(asyncio.ensure_future(key.run()))
         found.append(catalog)
     try:
--- a/catkinshunt/platform/tests/test_pending_publisher.py
+++ b/catkinshunt/platform/tests/test_pending_publisher.py
@@ -25,10 +25,10 @@
         self.store = store
         self.now = 100.0
         self.catalog = catalogs.Catalog()
-        roster = catalogs.Roster()
-        roster.replace([name, *others])
+        live_entries = catalogs.LiveEntries()
+        live_entries.replace([name, *others])
         self.pending = _pending_publisher.PendingPublisher(
-            store, self.catalog, roster, name, GRACE_S, lambda: self.now
+            store, self.catalog, live_entries, name, GRACE_S, lambda: self.now
         )
 
     @contextlib.asynccontextmanager
@@ -45,7 +45,7 @@
     async def main():
         store = fakes.FakeStore()
         async with Writer(store).running() as writer:
-            writer.catalog.name_version('drafts', 2, writer.now)
+            writer.catalog.add_named_version('drafts', 2, writer.now)
             await fakes.until(lambda: KEY in store.items)
         return store.granted_s
 
@@ -71,7 +71,7 @@
                 return await grant(ttl_s)
 
             store.grant_lease = slow
-            writer.catalog.name_version('drafts', 2, writer.now)
+            writer.catalog.add_named_version('drafts', 2, writer.now)
             await fakes.until(lambda: 'end' in store.calls)
         return store.items
 
@@ -92,7 +92,7 @@
                 for name in names
             ]
             for writer in writers:
-                writer.catalog.name_version('drafts', 2, writer.now)
+                writer.catalog.add_named_version('drafts', 2, writer.now)
             await fakes.until(lambda: store.calls.count('write') == 2)
             for _ in range(20):
                 await asyncio.sleep(0)
@@ -107,7 +107,7 @@
     async def main():
         store = fakes.FakeStore()
         async with Writer(store).running() as writer:
-            writer.catalog.name_version('drafts', 2, -float('inf'))
+            writer.catalog.add_named_version('drafts', 2, -float('inf'))
             for _ in range(20):
                 await asyncio.sleep(0)
         return store.calls
--- a/catkinshunt/platform/tests/test_quarantine_publisher.py
+++ b/catkinshunt/platform/tests/test_quarantine_publisher.py
@@ -19,11 +19,11 @@
     boottime = asyncio.get_running_loop().time
     found, tasks = [], []
     for name in NAMES:
-        roster = catalogs.Roster()
-        roster.replace(NAMES)
+        live_entries = catalogs.LiveEntries()
+        live_entries.replace(NAMES)
         barred = quarantine.Quarantine()
         keys = _quarantine_publisher.QuarantinePublisher(
-            store, barred, roster, name, boottime
+            store, barred, live_entries, name, boottime
         )
         tasks.append(asyncio.ensure_future(keys.run()))
         found.append(barred)
@@ -34,10 +34,10 @@
             task.cancel()
 
 
-def bar(found, for_s=quarantine.BARRED_S):
+def add(found, for_s=quarantine.QUARANTINE_S):
     now = asyncio.get_running_loop().time()
     for barred in found:
-        barred.bar(REQUEST, for_s, now)
+        barred.add(REQUEST, for_s, now)
 
 
 def test_few_entries_write_a_barred_request_once(monkeypatch):
@@ -46,7 +46,7 @@
     async def main():
         store = fakes.FakeStore()
         async with writing(store, monkeypatch) as found:
-            bar(found)
+            add(found)
             key = _documents.quarantine_key(REQUEST)
             await fakes.until(lambda: key in store.items)
             await asyncio.sleep(0.1)
@@ -54,7 +54,7 @@
 
     calls, granted_s = asyncio.run(main())
     assert calls.count('write') <= _quarantine_publisher.WRITER_COUNT
-    assert max(granted_s) <= quarantine.BARRED_S
+    assert max(granted_s) <= quarantine.QUARANTINE_S
 
 
 def test_it_is_written_when_the_store_is_back(monkeypatch):
@@ -62,7 +62,7 @@
         store = fakes.FakeStore()
         store.down = True
         async with writing(store, monkeypatch) as found:
-            bar(found)
+            add(found)
             await fakes.until(lambda: store.calls)
             store.down = False
             key = _documents.quarantine_key(REQUEST)
@@ -82,8 +82,8 @@
         async with region.running():
             return [
                 (
-                    entry.barred.barred_s(REQUEST, entry.boottime()),
-                    entry.barred.barred_s('odd', entry.boottime()),
+                    entry.barred.remaining_s(REQUEST, entry.boottime()),
+                    entry.barred.remaining_s('odd', entry.boottime()),
                 )
                 for entry in region.entries
             ]
@@ -98,7 +98,7 @@
         key = _documents.quarantine_key(REQUEST)
         region.store.put(key, _documents.dump_quarantine(60.0))
         await region.until(
-            lambda e: e.barred.barred_s(REQUEST, e.boottime()) > 0.0
+            lambda e: e.barred.remaining_s(REQUEST, e.boottime()) > 0.0
         )
 
     regions.run(main)
--- a/catkinshunt/platform/tests/test_registration.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -16,13 +16,13 @@
     monkeypatch.setattr(_registration, 'RENEW_PERIOD_S', 0.02)
     monkeypatch.setattr(_registration, 'RETRY_PAUSE_S', 0.02)
     store = fakes.FakeStore()
-    roster = catalogs.Roster()
-    member = platform.Registration(store, roster, 'edge-1')
+    live_entries = catalogs.LiveEntries()
+    member = platform.Registration(store, live_entries, 'edge-1')
     task = asyncio.ensure_future(member.run())
     try:
         await fakes.until(lambda: KEY in store.items)
-        roster.put('edge-1')
-        yield store, roster, member
+        live_entries.put('edge-1')
+        yield store, live_entries, member
     finally:
         task.cancel()
 
@@ -61,9 +61,9 @@
     """
 
     async def main():
-        async with listed(monkeypatch) as (store, roster, _):
+        async with listed(monkeypatch) as (store, live_entries, _):
             store.delete(KEY)
-            roster.drop('edge-1')
+            live_entries.drop('edge-1')
             await fakes.until(lambda: KEY in store.items)
 
     asyncio.run(main())
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -54,7 +54,7 @@
     async def main(view, store):
         name(store, 2)
         await fakes.until(lambda: view.catalog.named_models())
-        return await view.wanted(report(1))
+        return await view.target_version(report(1))
 
     wanted = run(main)
     assert (wanted.model, wanted.version) == ('drafts', 2)
@@ -69,7 +69,9 @@
 
     async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        return await view.wanted(report()), await view.wanted(report(1))
+        return await view.target_version(report()), await view.target_version(
+            report(1)
+        )
 
     empty, serving = run(main)
     assert (empty.model, empty.version) == ('drafts', 2)
@@ -85,7 +87,7 @@
 
     async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        await view.wanted(report())
+        await view.target_version(report())
         before = view.catalog.declaration
         origin = await view.origin()
         return before, origin
@@ -107,12 +109,12 @@
         store = fakes.FakeStore()
         store.put('servers/i-1', documents.UPSTREAM)
         view = make_view(store)
-        early = await view.wanted(report())
+        early = await view.target_version(report())
         name(store, 3)
         task = asyncio.ensure_future(view.run())
         await fakes.until(lambda: view.catalog.named_models())
         task.cancel()
-        return early, await view.wanted(report())
+        return early, await view.target_version(report())
 
     early, late = asyncio.run(main())
     assert early is None
@@ -168,7 +170,7 @@
     async def main(view, store):
         name(store, 2)
         await fakes.until(lambda: view.catalog.named_models())
-        since = view.due_after('drafts', 1) - view.now()
+        since = view.superseded_at('drafts', 1) - view.now()
         return since
 
     assert run(main) > DUE_S - 1
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -314,7 +314,7 @@
         slow.task = asyncio.ensure_future(slow.mirror.run())
         await fakes.until(lambda: slow.catalog.newest_version('drafts'))
         return [
-            entry.catalog.newest_version('drafts').since
+            entry.catalog.newest_version('drafts').learned_at
             for entry in (reader, slow)
         ]
 
@@ -346,7 +346,7 @@
             entry
             for entry in region.followers()
             if entry.home.region != reader.home.region
-            and entry.feed.readers.first_near(entry.boottime()) is None
+            and entry.feed.watchers.regional_watcher(entry.boottime()) is None
         ]
         return len(asking)
 
@@ -391,7 +391,7 @@
 
 def test_a_neighbour_that_talks_nonsense_is_not_followed():
     async def main():
-        peer = feed.PeerFeed('127.0.0.1', 0, lambda: 0.0, lambda: 0.0)
+        peer = feed.PeerWatchSource('127.0.0.1', 0, lambda: 0.0, lambda: 0.0)
         with pytest.raises(errors.StoreError):
             await peer.watch('', 3, 0.1)
 
--- a/catkinshunt/quarantine/__init__.py
+++ b/catkinshunt/quarantine/__init__.py
@@ -8,13 +8,13 @@
 from catkinshunt.quarantine._messages import dump
 from catkinshunt.quarantine._messages import load
 from catkinshunt.quarantine._messages import Quarantined
-from catkinshunt.quarantine._quarantine import BARRED_S
+from catkinshunt.quarantine._quarantine import QUARANTINE_S
 from catkinshunt.quarantine._quarantine import Quarantine
 from catkinshunt.quarantine._quarantine import RENEW_SHARE
 from catkinshunt.quarantine._quarantine import SETTLE_S
 
 __all__ = [
-    'BARRED_S',
+    'QUARANTINE_S',
     'Completion',
     'CrashReport',
     'Gossip',
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -26,16 +26,16 @@
 
     Args:
         quarantine: `Quarantine` of this entry.
-        roster: `catalog.Roster` with the homes of the entries.
+        roster: `catalog.LiveEntries` with the homes of the entries.
         name: name of this entry.
         port: port of all entries.
         wall: gives seconds on the clock of the quarantine.
         random: source of random numbers.
     """
 
-    def __init__(self, quarantine, roster, name, port, wall, random):
+    def __init__(self, quarantine, live_entries, name, port, wall, random):
         self.quarantine = quarantine
-        self.roster = roster
+        self.live_entries = live_entries
         self.name = name
         self.port = port
         self.wall = wall
@@ -65,7 +65,7 @@
             await asyncio.sleep(REMIND_S)
             now = self.wall()
             self.quarantine.forget(now)
-            barred = self.quarantine.all_barred(now)
+            barred = self.quarantine.all_quarantined(now)
             hosts = self._others()
             if not barred or not hosts:
                 continue
@@ -90,16 +90,16 @@
             self._tell(_messages.Completion(request))
             self._judge_later()
 
-    def bar(self, request, for_s):
+    def add(self, request, for_s):
         """Bar a request; tell others where that is news."""
-        if self.quarantine.bar(request, for_s, self.wall()):
+        if self.quarantine.add(request, for_s, self.wall()):
             self._tell(_messages.Quarantined(request, for_s))
 
     def datagram_received(self, data, addr):
         """Take one message of another entry."""
         try:
             message = _messages.load(data)
-        except datagrams.UnreadableError as exc:
+        except datagrams.DecodeError as exc:
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
         if isinstance(message, _messages.CrashReport):
@@ -107,8 +107,8 @@
         elif isinstance(message, _messages.Completion):
             self.report_completion(message.request)
         else:
-            left_s = min(message.left_s, _quarantine.BARRED_S)
-            self.bar(message.request, left_s)
+            left_s = min(message.left_s, _quarantine.QUARANTINE_S)
+            self.add(message.request, left_s)
 
     def _judge_later(self):
         if self._timer is None:
@@ -118,7 +118,9 @@
     def _judge(self):
         self._timer = None
         for request in self.quarantine.judge(self.wall()):
-            self._tell(_messages.Quarantined(request, _quarantine.BARRED_S))
+            self._tell(
+                _messages.Quarantined(request, _quarantine.QUARANTINE_S)
+            )
         if self.quarantine.is_undecided(self.wall()):
             self._judge_later()
 
@@ -132,5 +134,5 @@
             self._transport.sendto(_messages.dump(message), (host, self.port))
 
     def _others(self):
-        homes = self.roster.homes()
+        homes = self.live_entries.locations()
         return [home.host for name, home in homes.items() if name != self.name]
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -59,9 +59,9 @@
         """Whether no request is suspected or barred."""
         return self.gossip.quarantine.is_idle
 
-    def count_barred(self):
+    def count_quarantined(self):
         """Return the number of requests that are barred."""
-        return len(self.gossip.quarantine.all_barred(self.gossip.wall()))
+        return len(self.gossip.quarantine.all_quarantined(self.gossip.wall()))
 
     def check(self, request):
         """Return the seconds for which a request must not run, or 0.
@@ -69,11 +69,11 @@
         One that is barred and still comes is barred for the whole time again.
         """
         now = self.gossip.wall()
-        left_s = self.gossip.quarantine.barred_s(request, now)
+        left_s = self.gossip.quarantine.remaining_s(request, now)
         if left_s == 0:
             return self.gossip.quarantine.turn_s(request, now)
-        if left_s < _quarantine.BARRED_S * _quarantine.RENEW_SHARE:
-            self.gossip.bar(request, _quarantine.BARRED_S)
+        if left_s < _quarantine.QUARANTINE_S * _quarantine.RENEW_SHARE:
+            self.gossip.add(request, _quarantine.QUARANTINE_S)
         return left_s
 
     def note_completion(self, request):
@@ -112,5 +112,5 @@
 def _name_crash(upstream):
     """Return a text that is equal in all processes for this start."""
     host, port = upstream.address
-    text = f'{upstream.id}\0{upstream.born}\0{host}:{port}'.encode()
+    text = f'{upstream.id}\0{upstream.started_at_ms}\0{host}:{port}'.encode()
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).hexdigest()
--- a/catkinshunt/quarantine/_messages.py
+++ b/catkinshunt/quarantine/_messages.py
@@ -50,7 +50,7 @@
 
 
 _CODEC = datagrams.Codec(
-    (CrashReport, Completion, Quarantined), most_bytes=MOST_BYTES
+    (CrashReport, Completion, Quarantined), max_bytes=MOST_BYTES
 )
 dump = _CODEC.dump
 load = _CODEC.load
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -20,7 +20,7 @@
 #: Seconds for which a crash is held against a request.
 SUSPECT_S = 300.0
 #: Seconds for which a request is barred after it was last asked for.
-BARRED_S = 600.0
+QUARANTINE_S = 600.0
 #: Share of that time after which another try bars it for the whole again.
 RENEW_SHARE = 0.5
 #: Most requests that are suspected, crashes that are remembered, requests of
@@ -74,7 +74,7 @@
         ...     _ = quarantine.note_crash(str(number), ['bad', beside], 1.0)
         >>> quarantine.judge(now=2.0)
         ['bad']
-        >>> quarantine.barred_s('bad', now=2.0), quarantine.barred_s('a', 2.0)
+        >>> quarantine.remaining_s('bad', now=2.0), quarantine.remaining_s('a', 2.0)
         (600.0, 0.0)
     """
 
@@ -130,7 +130,7 @@
                 crashes=total,
             )
         for request in found:
-            self.bar(request, BARRED_S, now)
+            self.add(request, QUARANTINE_S, now)
         return found
 
     def is_undecided(self, now):
@@ -141,13 +141,13 @@
             for suspect in self._suspects.values()
         )
 
-    def bar(self, request, for_s, now):
+    def add(self, request, for_s, now):
         """Bar a request for `for_s` seconds at least.
 
         Returns:
             Whether it was not barred before, or for a much shorter time.
         """
-        before_s = self.barred_s(request, now)
+        before_s = self.remaining_s(request, now)
         if for_s <= before_s:
             return False
         self._barred[request] = now + for_s
@@ -161,7 +161,7 @@
         self._suspects.pop(request, None)
         return before_s < for_s * RENEW_SHARE
 
-    def barred_s(self, request, now):
+    def remaining_s(self, request, now):
         """Return the seconds for which a request is still barred, or 0."""
         until = self._barred.get(request)
         return 0.0 if until is None else max(0.0, until - now)
@@ -184,9 +184,9 @@
         place = (sorted(equal).index(request) - turns) % len(equal)
         return 0.0 if place == 0 else (turns + place) * TURN_S - elapsed_s
 
-    def all_barred(self, now):
+    def all_quarantined(self, now):
         """Return pairs of a barred request and the seconds left."""
-        left = [(r, self.barred_s(r, now)) for r in self._barred]
+        left = [(r, self.remaining_s(r, now)) for r in self._barred]
         return [(request, left_s) for request, left_s in left if left_s > 0]
 
     def forget(self, now):
--- a/catkinshunt/quarantine/tests/entries.py
+++ b/catkinshunt/quarantine/tests/entries.py
@@ -22,16 +22,16 @@
     """Some entries that know of each other.
 
     Attributes:
-        roster: `catalog.Roster` that all share.
+        roster: `catalog.LiveEntries` that all share.
         gossips: `quarantine.Gossip` by name.
     """
 
     def __init__(self, count):
         self.port = free_port()
-        self.roster = catalogs.Roster()
-        self.roster.replace(
+        self.live_entries = catalogs.LiveEntries()
+        self.live_entries.replace(
             {
-                f'entry-{n}': catalogs.Home(f'127.0.1.{n}', 'attiki')
+                f'entry-{n}': catalogs.EntryLocation(f'127.0.1.{n}', 'attiki')
                 for n in range(1, count + 1)
             }
         )
@@ -46,13 +46,13 @@
         loop = asyncio.get_running_loop()
         gossip = quarantine.Gossip(
             quarantine.Quarantine(),
-            self.roster,
+            self.live_entries,
             name,
             self.port,
             loop.time,
             random.Random(name),
         )
-        await gossip.start(self.roster.homes()[name].host)
+        await gossip.start(self.live_entries.locations()[name].host)
         self.gossips[name] = gossip
         self._tasks[name] = asyncio.ensure_future(gossip.run())
         return gossip
@@ -64,7 +64,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        for name in self.roster.names():
+        for name in self.live_entries.names():
             await self.start(name)
         try:
             yield self
@@ -77,7 +77,7 @@
         return [
             name
             for name, gossip in self.gossips.items()
-            if gossip.quarantine.barred_s(request, gossip.wall()) > 0
+            if gossip.quarantine.remaining_s(request, gossip.wall()) > 0
         ]
 
     async def until_all_know(self, request):
--- a/catkinshunt/quarantine/tests/test_gossip.py
+++ b/catkinshunt/quarantine/tests/test_gossip.py
@@ -42,7 +42,7 @@
     """It knows nothing of before, and the store may be away."""
 
     async def main(found):
-        found.gossips['entry-1'].bar('bad', 60.0)
+        found.gossips['entry-1'].add('bad', 60.0)
         await found.until_all_know('bad')
         await found.start('entry-2')
         began = asyncio.get_running_loop().time()
--- a/catkinshunt/quarantine/tests/test_guard.py
+++ b/catkinshunt/quarantine/tests/test_guard.py
@@ -20,8 +20,10 @@
         self.crashes.append((crash, requests))
 
 
-def upstream(born=1, port=1):
-    return catalogs.Upstream('i-1', 'model', ('127.0.0.1', port), born=born)
+def upstream(started_at_ms=1, port=1):
+    return catalogs.Upstream(
+        'i-1', 'model', ('127.0.0.1', port), started_at_ms=started_at_ms
+    )
 
 
 def test_a_reset_connection_is_no_crash():
@@ -72,7 +74,7 @@
         guard = quarantine.Guard(gossip, ended)
         for request in ('b', 'a', 'b'):
             guard.note_break(upstream(), request)
-        guard.note_break(upstream(born=2), 'a')
+        guard.note_break(upstream(started_at_ms=2), 'a')
         await entries.until(lambda: len(gossip.crashes) == 2)
         return gossip.crashes
 
@@ -84,12 +86,12 @@
 def test_a_barred_request_that_still_comes_stays_barred():
     barred = []
     gossip = FakeGossip()
-    gossip.bar = lambda *told: barred.append(told)
+    gossip.add = lambda *told: barred.append(told)
     guard = quarantine.Guard(gossip)
-    gossip.quarantine.bar('bad', quarantine.BARRED_S * 0.9, 0.0)
+    gossip.quarantine.add('bad', quarantine.QUARANTINE_S * 0.9, 0.0)
     assert guard.check('bad') > 0
     assert barred == []
     gossip.quarantine = quarantine.Quarantine()
-    gossip.quarantine.bar('bad', quarantine.BARRED_S * 0.1, 0.0)
+    gossip.quarantine.add('bad', quarantine.QUARANTINE_S * 0.1, 0.0)
     assert guard.check('bad') > 0
-    assert barred == [('bad', quarantine.BARRED_S)]
+    assert barred == [('bad', quarantine.QUARANTINE_S)]
--- a/catkinshunt/quarantine/tests/test_messages.py
+++ b/catkinshunt/quarantine/tests/test_messages.py
@@ -31,5 +31,5 @@
     ],
 )
 def test_anything_else_is_left_aside(data):
-    with pytest.raises(datagrams.UnreadableError):
+    with pytest.raises(datagrams.DecodeError):
         quarantine.load(data)
--- a/catkinshunt/quarantine/tests/test_quarantine.py
+++ b/catkinshunt/quarantine/tests/test_quarantine.py
@@ -108,9 +108,9 @@
     held = quarantine.Quarantine()
     crash(held, 'p', 'p', 'p', 'a')
     held.judge(SETTLED)
-    end = SETTLED + quarantine.BARRED_S
-    assert held.barred_s('p', end - 1.0) == 1.0
-    assert held.barred_s('p', end) == 0.0
+    end = SETTLED + quarantine.QUARANTINE_S
+    assert held.remaining_s('p', end - 1.0) == 1.0
+    assert held.remaining_s('p', end) == 0.0
     held.forget(end)
     assert held.is_idle
 
@@ -123,7 +123,7 @@
     held = quarantine.Quarantine()
     for number in range(50):
         held.note_crash(str(number), [f'{number}-{n}' for n in range(9)], 0.0)
-        held.bar(str(number), 5.0, 0.0)
+        held.add(str(number), 5.0, 0.0)
     assert len(held._suspects) == len(held._crashes) == 10
     assert len(held._barred) == 10
     assert max(map(len, held._crashes.values())) == 5
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -8,11 +8,11 @@
 from catkinshunt import errors
 from catkinshunt import logs
 from catkinshunt.spread import _fetcher
-from catkinshunt.spread import _holding
-from catkinshunt.spread import _loading
+from catkinshunt.spread import _chunk_store
+from catkinshunt.spread import _loader
 from catkinshunt.spread import _plan
 from catkinshunt.spread import _progress
-from catkinshunt.spread import _stage
+from catkinshunt.spread import _staging
 from catkinshunt.spread import base
 
 #: Pause between looks at the engine, in seconds, and while it is being
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class TargetVersion:
     """A version that the engine should serve.
 
     Attributes:
@@ -54,11 +54,11 @@
 
     Args:
         me: `Member` of this sidecar.
-        outlook: `BaseOutlook` on the operator's wishes and the members.
+        outlook: `BaseClusterView` on the operator's wishes and the members.
         engine: `base.BaseEngine`.
         origin: `base.BaseOrigin`.
         peers: `PeerClient`.
-        shelf: `Shelf`.
+        shelf: `VersionStore`.
         clock: gives seconds on the steady clock.
         link_mbps: speed of the instance's link.
         counter: counts bytes by source.
@@ -66,7 +66,7 @@
     """
 
     def __init__(
-        self, me, outlook, engine, origin, peers, shelf, clock, link_mbps,
+        self, me, outlook, engine, origin, peers, version_store, clock, link_mbps,
         counter, door,
     ):  # fmt: skip
         self.me = me
@@ -74,7 +74,7 @@
         self.engine = engine
         self.origin = origin
         self.peers = peers
-        self.shelf = shelf
+        self.version_store = version_store
         self.clock = clock
         self.link_mbps = link_mbps
         self.counter = counter
@@ -87,7 +87,7 @@
         self._progress = {}
         self._news = asyncio.Event()
         self._stage_turn = asyncio.Lock()
-        self._loader = _loading.Loader(
+        self._loader = _loader.Loader(
             engine, outlook, door, clock, self._stage_turn
         )
         self._outage = logs.Outage(
@@ -122,29 +122,29 @@
             news.cancel()
             self._news.clear()
 
-    def note_asked(self, model, version):
+    def on_chunk_request(self, model, version):
         """Learn of a version from a peer that asks for it.
 
         A sidecar that is cut off from the store hears of new versions so.
         """
-        self.outlook.hear_of(model, version)
-        holding = self.shelf.find(model, version)
-        if holding is None and (model, version) not in self._providing:
+        self.outlook.note_version(model, version)
+        chunk_store = self.version_store.find(model, version)
+        if chunk_store is None and (model, version) not in self._providing:
             self._providing.add((model, version))
             asyncio.ensure_future(self._provide(model, version))
 
     async def _look(self):
         report = await self.engine.report()
         self._outage.end()
-        self.door.correct(report.present)
+        self.door.correct(report.request_count)
         self._loader.note(report)
         self._expire(report)
-        wanted = await self.outlook.wanted(report)
+        wanted = await self.outlook.target_version(report)
         if wanted is None:
             return
         if report.versions.get(wanted.model) == wanted.version:
             return
-        if not self._holding_of(wanted).is_whole:
+        if not self._holding_of(wanted).is_complete:
             self._fetch(wanted)
         await self._move(report, wanted)
 
@@ -175,33 +175,34 @@
             report, ready, self._whole_in_s(ready), newer_s
         )
 
-    def _whole_in_s(self, holding):
+    def _whole_in_s(self, chunk_store):
         """Return in how many seconds a version is likely to be whole."""
-        if holding.manifest is None:
+        if chunk_store.manifest is None:
             return math.inf
-        if holding.is_whole:
+        if chunk_store.is_complete:
             return 0.0
         # Engines are emptied by this time. One source with a narrow link can
         # hold up the last chunks for seconds, and nobody serves meanwhile.
         progress = self._progress.setdefault(
-            (holding.model, holding.version), _progress.Progress()
+            (chunk_store.model, chunk_store.version), _progress.Progress()
         )
         now = self.clock()
-        progress.see(holding.left_share, now)
-        copy_s = self._copy_s(holding.manifest.size_bytes)
-        return max(holding.left_share * copy_s, progress.end_in_s(now))
+        progress.see(chunk_store.left_share, now)
+        copy_s = self._copy_s(chunk_store.manifest.size_bytes)
+        return max(chunk_store.left_share * copy_s, progress.end_in_s(now))
 
     def _newest_whole(self, report, wanted):
-        """Return the newest whole `Holding` that the engine lacks, or None.
+        """Return the newest whole `ChunkStore` that the engine lacks, or None.
 
         A version that was named before the wanted one counts too: requests
         may need it before the wanted one has come.
         """
         serves = report.versions.get(wanted.model, 0)
         whole = [
-            holding
-            for holding in self.shelf.of(wanted.model)
-            if holding.is_whole and serves < holding.version <= wanted.version
+            chunk_store
+            for chunk_store in self.version_store.of(wanted.model)
+            if chunk_store.is_complete
+            and serves < chunk_store.version <= wanted.version
         ]
         return max(whole, key=lambda h: h.version, default=None)
 
@@ -211,7 +212,7 @@
         return self._transfer is not None and not self._transfer.done()
 
     def _fetch(self, wanted):
-        """Begin the transfer of `wanted` unless another one goes first."""
+        """Begin the transfer of `target_version` unless another one goes first."""
         if self._is_fetching():
             if self._fetching.version == wanted.version:
                 return
@@ -260,25 +261,25 @@
     def _forget_progress(self):
         """Drop the progress of versions that are not kept any more."""
         kept = {
-            (holding.model, holding.version)
-            for holding in self.shelf.of(self._fetching.model)
+            (chunk_store.model, chunk_store.version)
+            for chunk_store in self.version_store.of(self._fetching.model)
         }
         for key in set(self._progress) - kept:
             del self._progress[key]
 
     def _holding_of(self, wanted):
-        return self.shelf.holding(wanted.model, wanted.version)
+        return self.version_store.chunk_store(wanted.model, wanted.version)
 
     def _finishes_first(self, newer):
         older = self._fetching
-        holding = self._holding_of(older)
-        if holding.manifest is None:
+        chunk_store = self._holding_of(older)
+        if chunk_store.manifest is None:
             return False
         now = self.outlook.now()
         return _plan.finish_older_first(
-            holding.left_share,
-            self._copy_s(holding.manifest.size_bytes),
-            _loading.LOAD_S,
+            chunk_store.left_share,
+            self._copy_s(chunk_store.manifest.size_bytes),
+            _loader.LOAD_S,
             older.due_at - now,
             newer.due_at - now,
         )
@@ -287,10 +288,10 @@
         return size / (self.link_mbps * base.BYTES_PER_MBIT) * COPY_OVERHEAD
 
     async def _run_transfer(self, wanted):
-        holding = self._holding_of(wanted)
-        holding.begin()
+        chunk_store = self._holding_of(wanted)
+        chunk_store.begin()
         try:
-            await self._bring(wanted, holding)
+            await self._bring(wanted, chunk_store)
             return
         except errors.CatkinshuntError as exc:
             _log.warning('A transfer failed: {}.', exc, version=wanted.version)
@@ -303,18 +304,18 @@
         except Exception:
             _log.exception('A transfer failed.')
         finally:
-            holding.end()
+            chunk_store.end()
         self._again_at = self.clock() + AGAIN_S
 
-    async def _bring(self, wanted, holding):
+    async def _bring(self, wanted, chunk_store):
         """Fetch a version until it is whole."""
         began = self.clock()
         plan = await self._plan(wanted.model, wanted.version)
-        fetcher = self._fetcher(holding, plan)
+        fetcher = self._fetcher(chunk_store, plan)
         await fetcher.fetch_manifest()
-        self._loader.set_wave(wanted.version, plan.wave(_loading.WAVES))
+        self._loader.set_wave(wanted.version, plan.wave(_loader.WAVES))
         # After a restart most chunks may lie beside the engine already.
-        restored = await _stage.restore(holding, self.engine)
+        restored = await _staging.restore_staged(chunk_store, self.engine)
         await fetcher.run()
         self._news.set()
         _log.info(
@@ -329,7 +330,7 @@
         members, connections = await asyncio.gather(
             self.outlook.members(), self.outlook.origin_connections()
         )
-        return _plan.Plan(
+        return _plan.SourcePlan(
             self.me,
             members,
             self.outlook.regions,
@@ -338,13 +339,13 @@
             connections=connections or _plan.UNKNOWN_CONNECTIONS,
         )
 
-    def _fetcher(self, holding, plan):
+    def _fetcher(self, chunk_store, plan):
         async def keep(index, data):
             async with self._stage_turn:
-                await self.engine.put_chunk(holding.model, index, data)
+                await self.engine.put_chunk(chunk_store.model, index, data)
 
         return _fetcher.Fetcher(
-            holding,
+            chunk_store,
             plan,
             self.peers,
             self.origin,
@@ -364,10 +365,10 @@
             if report.versions.get(model) != version:
                 return
             plan = await self._plan(model, version)
-            holding = _holding.Holding(model, version)
-            await self._fetcher(holding, plan).fetch_manifest()
-            taken = await _stage.restore(holding, self.engine)
-            self.shelf.add(holding)
+            chunk_store = _chunk_store.ChunkStore(model, version)
+            await self._fetcher(chunk_store, plan).fetch_manifest()
+            taken = await _staging.restore_staged(chunk_store, self.engine)
+            self.version_store.add(chunk_store)
             _log.info('Gives version {} of {}.', version, model, chunks=taken)
         except errors.CatkinshuntError as exc:
             _log.warning('Cannot give version {}: {}.', version, exc)
--- a/catkinshunt/spread/_peers.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -5,7 +5,7 @@
 
 from catkinshunt import http1
 from catkinshunt import logs
-from catkinshunt.spread import _waits
+from catkinshunt.spread import _wait_graph
 from catkinshunt.spread import base
 
 #: Seconds for which a request for a chunk may wait until the chunk is here.
@@ -68,7 +68,7 @@
         return begin - now
 
 
-class Turns:
+class PriorityLock:
     """Lets one at a time go on, those of a lower rank first."""
 
     def __init__(self):
@@ -110,19 +110,19 @@
     """Gives chunks to other sidecars, one after the other.
 
     Args:
-        shelf: `Shelf` with what is here.
+        shelf: `VersionStore` with what is here.
         clock: gives seconds on the steady clock.
         link_mbps: speed of the instance's link.
         counter: counts bytes given.
         on_asked: called with the model and version of each request.
     """
 
-    def __init__(self, shelf, clock, link_mbps, counter, on_asked):
-        self.shelf = shelf
+    def __init__(self, version_store, clock, link_mbps, counter, on_asked):
+        self.version_store = version_store
         self.on_asked = on_asked
         self.clock = clock
         self.counter = counter
-        self._turns = Turns()
+        self._turns = PriorityLock()
         self._pacer = Pacer(
             link_mbps * base.BYTES_PER_MBIT * LINK_SHARE / OVERHEAD
         )
@@ -156,14 +156,18 @@
         model, version, indices = found
         self.on_asked(model, version)
         if req.headers.get(SPARE):
-            holding = self.shelf.find(model, version)
+            chunk_store = self.version_store.find(model, version)
             gives = self._turns.is_free
         else:
             self._note_asker(req.headers.get(ASKER), found)
-            holding = await self._wait_for(model, version, indices)
+            chunk_store = await self._wait_for(model, version, indices)
             gives = True
-        if not gives or holding is None or not holding.find_any(indices):
-            conn.write(http1.dump_reply(503, _refusal(holding, indices)))
+        if (
+            not gives
+            or chunk_store is None
+            or not chunk_store.find_any(indices)
+        ):
+            conn.write(http1.dump_reply(503, _refusal(chunk_store, indices)))
             return
         # Chunks go out one after the other: the one that is sent is whole
         # soon and can be passed on, where ten at once would all be late.
@@ -172,35 +176,37 @@
         await self._turns.take(0 if req.headers.get(RELAY) else 1)
         try:
             # A newer version may have taken its place meanwhile.
-            data = holding.find_any(indices)
+            data = chunk_store.find_any(indices)
             if data is None:
-                conn.write(http1.dump_reply(503, _refusal(holding, indices)))
+                conn.write(
+                    http1.dump_reply(503, _refusal(chunk_store, indices))
+                )
             else:
-                holding.note_given(data[0])
-                await self._send(conn, *data, 1 - holding.left_share)
+                chunk_store.note_given(data[0])
+                await self._send(conn, *data, 1 - chunk_store.left_share)
         finally:
             self._turns.leave()
 
     def _note_asker(self, asker, wanted):
         model, version, indices = wanted
-        holding = self.shelf.find(model, version)
-        if holding is None or not asker:
+        chunk_store = self.version_store.find(model, version)
+        if chunk_store is None or not asker:
             return
         for index in indices:
-            holding.waits.note_asker(index, asker, self.clock())
+            chunk_store.waits.note_asker(index, asker, self.clock())
 
     async def _wait_for(self, model, version, indices):
-        """Return the `Holding` once one of the chunks is here, or None."""
+        """Return the `ChunkStore` once one of the chunks is here, or None."""
         end_at = self.clock() + LONGEST_WAIT_S
         begin_at = self.clock() + BEGIN_S
-        holding = self.shelf.find(model, version)
-        while not _is_of_use(holding, indices) and self.clock() < begin_at:
+        chunk_store = self.version_store.find(model, version)
+        while not _is_of_use(chunk_store, indices) and self.clock() < begin_at:
             await asyncio.sleep(LOOK_S)
-            holding = self.shelf.find(model, version)
-        if holding is not None:
+            chunk_store = self.version_store.find(model, version)
+        if chunk_store is not None:
             wait_s = max(0.0, end_at - self.clock())
-            await holding.wait_for_any(indices, wait_s)
-        return holding
+            await chunk_store.wait_for_any(indices, wait_s)
+        return chunk_store
 
     async def _send(self, conn, index, data, share):
         items = [
@@ -217,19 +223,24 @@
         self.counter.add('given', amount=len(data))
 
 
-def _refusal(holding, indices):
+def _refusal(chunk_store, indices):
     """Return the headers of a reply without a chunk."""
-    if holding is not None and (holding.awaits(indices) or holding.is_whole):
-        chains = holding.waits.chains(indices)
-        return [(CHAINS, _waits.dump_chains(chains))] if chains else []
+    if chunk_store is not None and (
+        chunk_store.awaits(indices) or chunk_store.is_complete
+    ):
+        chains = chunk_store.waits.chains(indices)
+        return [(CHAINS, _wait_graph.dump_chains(chains))] if chains else []
     return [(UNABLE, '1')]
 
 
-def _is_of_use(holding, indices):
+def _is_of_use(chunk_store, indices):
     """Return whether a holding has or gets one of the chunks."""
-    if holding is None:
+    if chunk_store is None:
         return False
-    return holding.awaits(indices) or holding.find_any(indices) is not None
+    return (
+        chunk_store.awaits(indices)
+        or chunk_store.find_any(indices) is not None
+    )
 
 
 def _read_path(path):
--- a/catkinshunt/spread/_holding.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -5,13 +5,13 @@
 
 import attrs
 
-from catkinshunt import changes
+from catkinshunt import notifier
 from catkinshunt import errors
-from catkinshunt.spread import _waits
+from catkinshunt.spread import _wait_graph
 
 
 @attrs.define
-class Holding:
+class ChunkStore:
     """Verified chunks of one version.
 
     Attributes:
@@ -28,9 +28,9 @@
     chunks: dict = attrs.field(factory=dict)
     filled: bool = False
     is_slow: bool = False
-    waits: _waits.Waits = attrs.field(factory=_waits.Waits)
+    waits: _wait_graph.Waits = attrs.field(factory=_wait_graph.Waits)
     _given: collections.Counter = attrs.field(factory=collections.Counter)
-    _changes: changes.Changes = attrs.field(factory=changes.Changes)
+    _changes: notifier.Notifier = attrs.field(factory=notifier.Notifier)
 
     @property
     def missing(self):
@@ -41,7 +41,7 @@
         return [index for index in every if index not in self.chunks]
 
     @property
-    def is_whole(self):
+    def is_complete(self):
         """Whether all chunks are here."""
         return self.manifest is not None and not self.missing
 
@@ -59,12 +59,12 @@
             errors.CorruptChunkError: it is not the chunk of the manifest.
         """
         self.chunks[index] = self.manifest.check(index, data)
-        self._changes.announce()
+        self._changes.notify_all()
 
     def describe(self, manifest):
         """Take over the manifest."""
         self.manifest = manifest
-        self._changes.announce()
+        self._changes.notify_all()
 
     def awaits(self, indices):
         """Return whether one of these comes here soon, to be passed on.
@@ -72,7 +72,7 @@
         The manifest comes before the transfer begins: a newer version takes
         the place of the one before only when its manifest is here.
         """
-        if MANIFEST in indices:
+        if MANIFEST_INDEX in indices:
             return True
         return self.filled and not self.is_slow
 
@@ -83,12 +83,12 @@
     def end(self):
         """Note that no transfer fills it any more."""
         self.filled = False
-        self._changes.announce()
+        self._changes.notify_all()
 
     def give_nothing(self):
         """Let others take all chunks elsewhere from now on."""
         self.is_slow = True
-        self._changes.announce()
+        self._changes.notify_all()
 
     def forget(self):
         """Drop the manifest and all chunks that were checked by it."""
@@ -101,7 +101,7 @@
         It does not wait where none is on its way.
 
         Args:
-            indices: indices of chunks, or `MANIFEST` alone.
+            indices: indices of chunks, or `MANIFEST_INDEX` alone.
             wait_s: longest wait in seconds.
         """
         try:
@@ -131,16 +131,16 @@
         self._given[index] += 1
 
     def _find(self, index):
-        if index == MANIFEST:
+        if index == MANIFEST_INDEX:
             return None if self.manifest is None else self.manifest.dumps()
         return self.chunks.get(index)
 
 
 #: Stands for the manifest where a chunk's index is asked for.
-MANIFEST = -1
+MANIFEST_INDEX = -1
 
 
-class Shelf:
+class VersionStore:
     """The versions that a sidecar has or is fetching; the last two stay.
 
     Args:
@@ -151,41 +151,43 @@
         self.kept = kept
         self._holdings = {}
 
-    def holding(self, model, version):
-        """Return the `Holding`, a new one at first."""
+    def chunk_store(self, model, version):
+        """Return the `ChunkStore`, a new one at first."""
         key = (model, version)
         if key not in self._holdings:
-            self._holdings[key] = Holding(model, version)
+            self._holdings[key] = ChunkStore(model, version)
             self._shorten(model)
         return self._holdings[key]
 
-    def add(self, holding):
-        """Keep `holding` unless its version is here already."""
-        self._holdings.setdefault((holding.model, holding.version), holding)
-        self._shorten(holding.model)
+    def add(self, chunk_store):
+        """Keep `chunk_store` unless its version is here already."""
+        self._holdings.setdefault(
+            (chunk_store.model, chunk_store.version), chunk_store
+        )
+        self._shorten(chunk_store.model)
 
     def of(self, model):
         """Return the holdings of a model."""
         return [h for (name, _), h in self._holdings.items() if name == model]
 
     def find(self, model, version):
-        """Return the `Holding`, or None."""
+        """Return the `ChunkStore`, or None."""
         return self._holdings.get((model, version))
 
-    def newest_whole(self):
+    def newest_complete(self):
         """Return the newest whole version by label values of its model."""
         found = {}
-        for (model, version), holding in self._holdings.items():
-            if holding.is_whole:
+        for (model, version), chunk_store in self._holdings.items():
+            if chunk_store.is_complete:
                 found[(model,)] = max(version, found.get((model,), 0))
         return found
 
     def missing(self):
         """Return the chunks that are missing by (model, version)."""
         return {
-            key: len(holding.missing)
-            for key, holding in self._holdings.items()
-            if holding.manifest is not None
+            key: len(chunk_store.missing)
+            for key, chunk_store in self._holdings.items()
+            if chunk_store.manifest is not None
         }
 
     def _shorten(self, model):
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -7,10 +7,10 @@
 
 from catkinshunt import errors
 from catkinshunt import logs
-from catkinshunt.spread import _health
+from catkinshunt.spread import _source_health
 from catkinshunt.spread import _manifests
 from catkinshunt.spread import _plan
-from catkinshunt.spread import _speeds
+from catkinshunt.spread import _source_speeds
 
 #: Times that a source without the chunk is asked, each for a second, before
 #: its chunks are taken from the next member.
@@ -47,11 +47,11 @@
 
 
 class Fetcher:
-    """Fills one `Holding` from the sources of a `Plan`.
+    """Fills one `ChunkStore` from the sources of a `SourcePlan`.
 
     Args:
         holding: what is filled.
-        plan: `Plan`.
+        plan: `SourcePlan`.
         peers: `PeerClient`.
         origin: `base.BaseOrigin`.
         clock: gives seconds on the steady clock.
@@ -63,10 +63,10 @@
     """
 
     def __init__(
-        self, holding, plan, peers, origin, clock, keep, counter,
+        self, chunk_store, plan, peers, origin, clock, keep, counter,
         copy_s=lambda size: math.inf, origin_copy_s=lambda size: 0.0,
     ):  # fmt: skip
-        self.holding = holding
+        self.chunk_store = chunk_store
         self.plan = plan
         self.peers = peers
         self.origin = origin
@@ -75,8 +75,8 @@
         self.counter = counter
         self.copy_s = copy_s
         self.origin_copy_s = origin_copy_s
-        self._health = _health.SourceHealth(holding, clock)
-        self._speeds = _speeds.Speeds(clock)
+        self._health = _source_health.SourceHealth(chunk_store, clock)
+        self._speeds = _source_speeds.Speeds(clock)
         self._most_vain = LEAST_VAIN
         self._corrupt_in_row = 0
         self._asked = {}
@@ -93,11 +93,11 @@
             errors.ManifestError: no chunk fits the manifest any more; it
                 was dropped with what it had let in.
         """
-        self._judge_by(self.holding.manifest)
+        self._judge_by(self.chunk_store.manifest)
         reports = asyncio.ensure_future(self._report())
         try:
             async with asyncio.TaskGroup() as self._group:
-                for index in self.holding.missing:
+                for index in self.chunk_store.missing:
                     self._assign(index)
         finally:
             reports.cancel()
@@ -113,8 +113,8 @@
             waits_for = {s: left for s, left in self._left().items() if left}
             _log.info(
                 'Waits for {} chunks of version {}.',
-                len(self.holding.missing),
-                self.holding.version,
+                len(self.chunk_store.missing),
+                self.chunk_store.version,
                 waits_for=waits_for,
                 given=dict(self._speeds.given),
                 blamed=[s for s in waits_for if self._health.is_away(s)],
@@ -143,7 +143,7 @@
             # would send a copy to each when it is back.
             tried.clear()
             source = (usable or self._sources_of(index))[0]
-        self.holding.waits.ask(index, source)
+        self.chunk_store.waits.ask(index, source)
         asked = self._asked.setdefault(source, [])
         asked.append(index)
         if source not in self._working:
@@ -153,7 +153,7 @@
     def _sources_of(self, index):
         """Return the sources of a chunk among those that can be reached."""
         away = self._health.members_away()
-        if self.holding.is_slow:
+        if self.chunk_store.is_slow:
             away.add(self.plan.me.name)
         self.plan.leave_out(frozenset(away))
         return self.plan.sources(index)
@@ -222,7 +222,7 @@
         """
         if source == _plan.ORIGIN or self.plan.is_far(source):
             return False
-        if self.holding.is_slow:
+        if self.chunk_store.is_slow:
             # The own link is what all wait for.
             return False
         return not self._health.is_away(source) and bool(self._busiest(source))
@@ -242,12 +242,12 @@
         to give than the rest. What it has given to some is there elsewhere.
         """
         names = self._busiest(source)[:0:-1]
-        holding = self.holding
+        chunk_store = self.chunk_store
         try:
             got, data = await self.peers.spare_chunk(
-                source, holding.model, holding.version, names
+                source, chunk_store.model, chunk_store.version, names
             )
-            holding.put(got, data)
+            chunk_store.put(got, data)
         except errors.SourceBusyError:
             await asyncio.sleep(RELIEF_PAUSE_S)
             return
@@ -305,7 +305,8 @@
         looped = [
             index
             for index in asked
-            if me == min(self.holding.waits.loop(index, me, now), default='')
+            if me
+            == min(self.chunk_store.waits.loop(index, me, now), default='')
         ]
         for index in looped:
             asked.remove(index)
@@ -316,19 +317,19 @@
                 'Takes {} chunks of version {} from the origin; {} waits '
                 'for this member too.',
                 len(looped),
-                self.holding.version,
+                self.chunk_store.version,
                 source,
             )
         return bool(looped)
 
     def _judge_own_link(self):
         """Give nothing of this version where far less comes here."""
-        holding = self.holding
-        if holding.is_slow:
+        chunk_store = self.chunk_store
+        if chunk_store.is_slow:
             return
-        share = 1 - holding.left_share
+        share = 1 - chunk_store.left_share
         told = [
-            self.peers.share(source, holding.model, holding.version)
+            self.peers.share(source, chunk_store.model, chunk_store.version)
             for source in self._asked
             if source != _plan.ORIGIN
         ]
@@ -336,10 +337,10 @@
         if self._speeds.is_own_link_narrow(share, shares):
             _log.info(
                 'Gives nothing of version {}; its link is too narrow.',
-                holding.version,
+                chunk_store.version,
                 has=round(share, 3),
             )
-            holding.give_nothing()
+            chunk_store.give_nothing()
 
     def _recall(self, asked):
         """Give chunks back to members that can be reached again.
@@ -369,7 +370,7 @@
         got = None
         try:
             got, data = await self._ask(source, names)
-            self.holding.put(got, data)
+            self.chunk_store.put(got, data)
         except errors.SourceUnableError as exc:
             self._health.blame(source, exc)
             return _Outcome.FAILED
@@ -377,7 +378,7 @@
             self._health.note_answer(source)
             self._vain.update(names)
             for index, chain in exc.chains.items():
-                self.holding.waits.hear(index, source, chain)
+                self.chunk_store.waits.hear(index, source, chain)
             return _Outcome.NOT_THERE
         except errors.CorruptChunkError as exc:
             self._corrupt_in_row += 1
@@ -388,7 +389,10 @@
             self._health.blame(source, exc)
             return _Outcome.FAILED
         finally:
-            if source == _plan.ORIGIN and names[0] not in self.holding.chunks:
+            if (
+                source == _plan.ORIGIN
+                and names[0] not in self.chunk_store.chunks
+            ):
                 asked.append(names[0])
         if got in asked:
             asked.remove(got)
@@ -400,7 +404,7 @@
         return _Outcome.GIVEN
 
     async def _ask(self, source, names):
-        model, version = self.holding.model, self.holding.version
+        model, version = self.chunk_store.model, self.chunk_store.version
         if source == _plan.ORIGIN:
             data = await self.origin.chunk(model, version, names[0])
             return names[0], data
@@ -410,7 +414,7 @@
     async def fetch_manifest(self):
         """Fetch the manifest unless it is here."""
         await _manifests.fetch(
-            self.holding, self.plan, self.peers, self.origin, self._health
+            self.chunk_store, self.plan, self.peers, self.origin, self._health
         )
 
     def _check_manifest(self):
@@ -421,7 +425,7 @@
         """
         if self._corrupt_in_row < MOST_CORRUPT:
             return
-        self.holding.forget()
+        self.chunk_store.forget()
         raise errors.ManifestError(
             f'{self._corrupt_in_row} chunks in a row differ from it',
             step='fetch chunk',
--- a/catkinshunt/spread/_loading.py
+++ b/catkinshunt/spread/_loader.py
@@ -6,7 +6,7 @@
 import attrs
 
 from catkinshunt import logs
-from catkinshunt.spread import _stage
+from catkinshunt.spread import _staging
 from catkinshunt.spread import base
 
 #: Seconds after which an order that shows no effect is given again.
@@ -91,7 +91,7 @@
 
     Args:
         engine: `base.BaseEngine`.
-        outlook: `base.BaseOutlook`.
+        outlook: `base.BaseClusterView`.
         door: `places.BaseDoor` that lets requests in to the engine.
         clock: gives seconds on the steady clock.
         stage_turn: lock of whoever puts chunks beside the engine.
@@ -126,7 +126,7 @@
         if self._closed_for is None:
             return
         model, version = self._closed_for
-        if report.versions.get(model, 0) >= version and not report.busy:
+        if report.versions.get(model, 0) >= version and not report.is_loading:
             self._closed_for = None
             self.door.open()
             _log.info(
@@ -136,46 +136,46 @@
                 took_s=round(self.clock() - self._ordered_at, 3),
             )
 
-    async def step(self, report, holding, whole_in_s, newer_whole_in_s):
+    async def step(self, report, chunk_store, whole_in_s, newer_whole_in_s):
         """Do what is due to bring the engine to a version.
 
         Args:
             report: the `base.EngineReport` of this moment.
-            holding: the `Holding` of the version.
+            holding: the `ChunkStore` of the version.
             whole_in_s: seconds until it is likely to be whole; 0 if it is.
             newer_whole_in_s: the same for a newer version on its way.
         """
-        if report.busy:
+        if report.is_loading:
             return
-        key = (holding.model, holding.version)
-        if not report.versions.get(holding.model):
+        key = (chunk_store.model, chunk_store.version)
+        if not report.versions.get(chunk_store.model):
             left_s = whole_in_s
         else:
             left_s = turn_in_s(
-                self._move(report, holding, whole_in_s, newer_whole_in_s)
+                self._move(report, chunk_store, whole_in_s, newer_whole_in_s)
             )
         self._prepare(key, left_s)
-        if left_s > 0 or not holding.is_whole or self._was_ordered(key):
+        if left_s > 0 or not chunk_store.is_complete or self._was_ordered(key):
             return
         # The engine loads what is staged when it takes the order. Chunks of
         # another version put there meanwhile would give mixed weights, so
         # none is put until it is known whether the order was taken.
         async with self.stage_turn:
-            await _stage.settle(holding, self.engine)
+            await _staging.verify_staged(chunk_store, self.engine)
             self._ordered = key
             self._ordered_at = self.clock()
             await self._order(*key)
 
-    def _move(self, report, holding, whole_in_s, newer_whole_in_s):
-        serves = report.versions[holding.model]
+    def _move(self, report, chunk_store, whole_in_s, newer_whole_in_s):
+        serves = report.versions[chunk_store.model]
         now = self.outlook.now()
-        if holding.is_whole:
-            whole_at = self._whole_at.setdefault(holding.version, now)
+        if chunk_store.is_complete:
+            whole_at = self._whole_at.setdefault(chunk_store.version, now)
             whole_in_s = whole_at - now
         return Move(
             whole_in_s,
-            self.outlook.due_after(holding.model, serves) - now,
-            self._waves.get(holding.version, 0),
+            self.outlook.superseded_at(chunk_store.model, serves) - now,
+            self._waves.get(chunk_store.version, 0),
             newer_whole_in_s,
         )
 
@@ -200,7 +200,7 @@
         while True:
             try:
                 await self.engine.load(model, version)
-            except base.OrderLostError as exc:
+            except base.LoadOutcomeUnknownError as exc:
                 _log.warning('The answer to an order was lost: {}.', exc)
                 await asyncio.sleep(ORDER_AGAIN_S)
                 continue
--- a/catkinshunt/spread/_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -3,9 +3,9 @@
 from catkinshunt import errors
 from catkinshunt import http1
 from catkinshunt import logs
-from catkinshunt.spread import _holding
-from catkinshunt.spread import _peers
-from catkinshunt.spread import _waits
+from catkinshunt.spread import _chunk_store
+from catkinshunt.spread import _chunk_server
+from catkinshunt.spread import _wait_graph
 
 #: Seconds within which a connection must be made. The first packets wait
 #: behind all else on a link between regions, over 0.6 s after a cold start.
@@ -54,9 +54,9 @@
             errors.SourceBusyError: the peer does not have it yet.
             errors.TransferError: the peer gave no answer.
         """
-        items = [(_peers.RELAY, '1')] if relays else []
+        items = [(_chunk_server.RELAY, '1')] if relays else []
         if self.name:
-            items.append((_peers.ASKER, self.name))
+            items.append((_chunk_server.ASKER, self.name))
         return await self._fetch(peer, model, version, indices, items)
 
     async def spare_chunk(self, peer, model, version, indices):
@@ -66,7 +66,7 @@
             errors.SourceBusyError: it has none, or gives to others.
             errors.TransferError: the peer gave no answer.
         """
-        items = [(_peers.SPARE, '1')]
+        items = [(_chunk_server.SPARE, '1')]
         return await self._fetch(peer, model, version, indices, items)
 
     async def _fetch(self, peer, model, version, indices, items):
@@ -74,7 +74,7 @@
         if pool is None:
             pool = http1.Pool(peer, self.port, self.clock, connect_s=CONNECT_S)
             self._pools[peer] = pool
-        names = ','.join(map(str, indices[: _peers.MOST_NAMED]))
+        names = ','.join(map(str, indices[: _chunk_server.MOST_NAMED]))
         target = f'/chunks/{model}/{version}/{names}'
         try:
             head, body = await http1.exchange(
@@ -88,7 +88,7 @@
             raise errors.TransferError(
                 exc.message, step='fetch chunk', peer=peer
             ) from exc
-        if head.headers.get(_peers.UNABLE):
+        if head.headers.get(_chunk_server.UNABLE):
             raise errors.SourceUnableError(
                 'will not have it soon', step='fetch chunk', peer=peer
             )
@@ -99,10 +99,10 @@
                 peer=peer,
                 chains=_read_chains(head, peer),
             )
-        share = head.headers.get(_peers.SHARE, '')
+        share = head.headers.get(_chunk_server.SHARE, '')
         if share.isdigit():
             self._shares[(peer, model, version)] = int(share) / 1000
-        index = head.headers.get(_peers.INDEX, '')
+        index = head.headers.get(_chunk_server.INDEX, '')
         if not index.removeprefix('-').isdigit() or int(index) not in indices:
             raise errors.TransferError(
                 f'sent chunk {index!r}', step='fetch chunk', peer=peer
@@ -111,18 +111,18 @@
 
     async def manifest(self, peer, model, version):
         """Return the bytes of the manifest."""
-        indices = [_holding.MANIFEST]
+        indices = [_chunk_store.MANIFEST_INDEX]
         _, body = await self.chunk(peer, model, version, indices)
         return body
 
 
 def _read_chains(head, peer):
     """Return the chains that a reply tells; none where they are unreadable."""
-    text = head.headers.get(_peers.CHAINS)
+    text = head.headers.get(_chunk_server.CHAINS)
     if not text:
         return {}
     try:
-        return _waits.load_chains(text)
+        return _wait_graph.load_chains(text)
     except ValueError as exc:
         _log.warning('Left aside what {} waits for: {}.', peer, exc)
         return {}
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -50,7 +50,7 @@
     versions: dict = attrs.field(factory=dict)
 
 
-class Plan:
+class SourcePlan:
     """The sources of each chunk of one version, for one member.
 
     Args:
@@ -64,7 +64,7 @@
 
     Examples:
         >>> here = [Member(name, 'larisa-a') for name in ('a', 'b', 'c')]
-        >>> plans = [Plan(me, here, {}, 'drafts', 2, 6) for me in here]
+        >>> plans = [SourcePlan(me, here, {}, 'drafts', 2, 6) for me in here]
         >>> firsts = [plan.sources(0)[0] for plan in plans]
         >>> firsts.count('origin')
         1
--- a/catkinshunt/spread/_health.py
+++ b/catkinshunt/spread/_source_health.py
@@ -18,12 +18,12 @@
     """Leaves out sources that fail, for a while.
 
     Args:
-        holding: the `Holding` that is filled, named in log lines.
+        holding: the `ChunkStore` that is filled, named in log lines.
         clock: gives seconds on the steady clock.
     """
 
-    def __init__(self, holding, clock):
-        self.holding = holding
+    def __init__(self, chunk_store, clock):
+        self.chunk_store = chunk_store
         self.clock = clock
         self._until = {}
         self._failures = collections.Counter()
@@ -70,6 +70,6 @@
             'Source {} failed: {}.',
             source,
             exc,
-            model=self.holding.model,
-            version=self.holding.version,
+            model=self.chunk_store.model,
+            version=self.chunk_store.version,
         )
--- a/catkinshunt/spread/_stage.py
+++ b/catkinshunt/spread/_staging.py
@@ -6,8 +6,8 @@
 _log = logs.get_logger('stage')
 
 
-async def restore(holding, engine):
-    """Take staged chunks that fit the manifest into `holding`.
+async def restore_staged(chunk_store, engine):
+    """Take staged chunks that fit the manifest into `chunk_store`.
 
     After a restart of the sidecar this spares fetching them again. Chunks
     of another version, and damaged ones, are left.
@@ -16,20 +16,22 @@
         Number of chunks taken.
     """
     taken = 0
-    for index in await engine.staged(holding.model):
-        if index in holding.chunks or index >= len(holding.manifest.chunks):
+    for index in await engine.list_staged(chunk_store.model):
+        if index in chunk_store.chunks or index >= len(
+            chunk_store.manifest.chunks
+        ):
             continue
-        data = await engine.get_chunk(holding.model, index)
+        data = await engine.get_chunk(chunk_store.model, index)
         try:
             if data is not None:
-                holding.put(index, data)
+                chunk_store.put(index, data)
                 taken += 1
         except errors.CorruptChunkError:
             continue
     return taken
 
 
-async def settle(holding, engine):
+async def verify_staged(chunk_store, engine):
     """Make sure that all chunks lie beside the engine as they should.
 
     Staged chunks can turn bad after they were put there; an engine that
@@ -40,15 +42,15 @@
         Number of chunks that were put again.
     """
     put = 0
-    for index, data in sorted(holding.chunks.items()):
-        if await engine.get_chunk(holding.model, index) != data:
-            await engine.put_chunk(holding.model, index, data)
+    for index, data in sorted(chunk_store.chunks.items()):
+        if await engine.get_chunk(chunk_store.model, index) != data:
+            await engine.put_chunk(chunk_store.model, index, data)
             put += 1
     if put:
         _log.info(
             'Put {} chunks of {} again.',
             put,
-            holding.model,
-            version=holding.version,
+            chunk_store.model,
+            version=chunk_store.version,
         )
     return put
--- a/catkinshunt/spread/base.py
+++ b/catkinshunt/spread/base.py
@@ -21,11 +21,11 @@
     """
 
     versions: dict
-    busy: bool = False
-    present: int = 0
+    is_loading: bool = False
+    request_count: int = 0
 
 
-class OrderLostError(errors.OrderError):
+class LoadOutcomeUnknownError(errors.OrderError):
     """The answer to an order was lost; it may have been taken."""
 
 
@@ -48,7 +48,7 @@
         """Return a staged chunk, or None."""
 
     @abc.abstractmethod
-    async def staged(self, model):
+    async def list_staged(self, model):
         """Return the indices of all staged chunks."""
 
     @abc.abstractmethod
@@ -59,7 +59,7 @@
         again.
 
         Raises:
-            OrderLostError: no answer came; the order may have been taken.
+            LoadOutcomeUnknownError: no answer came; the order may have been taken.
             errors.OrderError: the engine refuses.
         """
 
@@ -80,7 +80,7 @@
         """Give up what is kept for further calls; more may come later."""
 
 
-class BaseOutlook(abc.ABC):
+class BaseClusterView(abc.ABC):
     """What a sidecar knows of the operator's wishes and of its peers.
 
     Attributes:
@@ -94,15 +94,15 @@
         """Return seconds on the clock in which versions are due."""
 
     @abc.abstractmethod
-    async def wanted(self, report):
-        """Return the `Wanted` version of the engine, or None."""
+    async def target_version(self, report):
+        """Return the `TargetVersion` version of the engine, or None."""
 
     @abc.abstractmethod
     async def wait_for_version(self):
         """Return once a version that was not known has been named."""
 
     @abc.abstractmethod
-    def due_after(self, model, version):
+    def superseded_at(self, model, version):
         """Return when engines at `version` get no more requests.
 
         That is when the first version after it is due; later ones do not
@@ -132,5 +132,5 @@
         """Return the seconds in which the origin can give `size` bytes."""
 
     @abc.abstractmethod
-    def hear_of(self, model, version):
+    def note_version(self, model, version):
         """Note that a peer asks for this version."""
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -160,7 +160,7 @@
         await asyncio.sleep(0)
         return self.stage.get(index)
 
-    async def staged(self, model):
+    async def list_staged(self, model):
         return list(self.stage)
 
     async def load(self, model, version):
@@ -170,10 +170,10 @@
             self.loaded = dict(self.stage)
         if self.lost_answers:
             self.lost_answers -= 1
-            raise spread.OrderLostError('lost', step='load')
+            raise spread.LoadOutcomeUnknownError('lost', step='load')
 
 
-class FakeOutlook(spread.BaseOutlook):
+class FakeOutlook(spread.BaseClusterView):
     """Names versions as the test wants them."""
 
     regions = {}
@@ -186,20 +186,20 @@
 
     def name(self, version, due_s=8.0):
         due_at = self.now() + due_s
-        self.versions.append(_agent.Wanted(MODEL, version, due_at))
+        self.versions.append(_agent.TargetVersion(MODEL, version, due_at))
         self._named.set()
 
     def now(self):
         return asyncio.get_running_loop().time()
 
-    async def wanted(self, report):
+    async def target_version(self, report):
         return self.versions[-1] if self.versions else None
 
     async def wait_for_version(self):
         await self._named.wait()
         self._named.clear()
 
-    def due_after(self, model, version):
+    def superseded_at(self, model, version):
         return min(w.due_at for w in self.versions if w.version > version)
 
     def expires_at(self, model, version):
@@ -215,5 +215,5 @@
     def origin_copy_s(self, size):
         return 0.0
 
-    def hear_of(self, model, version):
+    def note_version(self, model, version):
         self.heard.append((model, version))
--- a/catkinshunt/spread/tests/swarm.py
+++ b/catkinshunt/spread/tests/swarm.py
@@ -16,8 +16,8 @@
 from catkinshunt import errors
 from catkinshunt import spread
 from catkinshunt.spread import _agent
-from catkinshunt.spread import _holding
-from catkinshunt.spread import _peers
+from catkinshunt.spread import _chunk_store
+from catkinshunt.spread import _chunk_server
 from catkinshunt.spread.tests import fakes
 from catkinshunt import weights
 
@@ -103,23 +103,23 @@
         self.stage = {}
         self.alive = True
         self.frozen = False
-        self.whole_at = None
-        self.holding = None
+        self.completed_at = None
+        self.chunk_store = None
         self.turns = None
         self._task = None
 
     def start(self, version):
         """Fetch a version; what lies staged of it is taken first."""
         self.alive = True
-        self.turns = _peers.Turns()
-        self.holding = spread.Holding(fakes.MODEL, version)
-        self.holding.begin()
+        self.turns = _chunk_server.PriorityLock()
+        self.chunk_store = spread.ChunkStore(fakes.MODEL, version)
+        self.chunk_store.begin()
         self._task = asyncio.ensure_future(self._fetch())
 
     def stay_idle(self):
         """Answer others, without a transfer of the version."""
         self.alive = True
-        self.turns = _peers.Turns()
+        self.turns = _chunk_server.PriorityLock()
 
     def kill(self):
         """End the sidecar; what it staged stays."""
@@ -130,35 +130,35 @@
     def give_up(self):
         """Fetch this version no more, but give what is here."""
         self._task.cancel()
-        self.holding.end()
+        self.chunk_store.end()
 
     async def _fetch(self):
-        while not self.holding.is_whole:
+        while not self.chunk_store.is_complete:
             with contextlib.suppress(errors.CatkinshuntError, ExceptionGroup):
                 fetcher = self._make_fetcher()
                 await fetcher.fetch_manifest()
                 for index, data in self.stage.items():
-                    self.holding.put(index, data)
+                    self.chunk_store.put(index, data)
                 await fetcher.run()
                 break
             await asyncio.sleep(AGAIN_S)
-        self.whole_at = asyncio.get_running_loop().time()
+        self.completed_at = asyncio.get_running_loop().time()
 
     def _make_fetcher(self):
         swarm = self.swarm
-        plan = spread.Plan(
+        plan = spread.SourcePlan(
             self.member,
             swarm.listed_at(self.member),
             {},
             fakes.MODEL,
-            self.holding.version,
+            self.chunk_store.version,
             connections=swarm.scale.origin_connections,
         )
         origin = SwarmOrigin(self)
         copy_s = swarm.scale.copy_s * _agent.COPY_OVERHEAD
         origin_s = swarm.scale.copy_bytes / swarm.origin.bytes_per_s
         return spread.Fetcher(
-            self.holding,
+            self.chunk_store,
             plan,
             SwarmPeers(self),
             origin,
@@ -227,7 +227,7 @@
         return await self._ask(peer, version, indices, None)
 
     async def _ask(self, peer, version, indices, rank):
-        box = self.swarm.boxes[peer]
+        box = self.swarm.instances[peer]
         await asyncio.sleep(DELAY_S)
         if not box.alive:
             raise errors.TransferError('no connection', peer=peer)
@@ -241,36 +241,42 @@
 
     async def manifest(self, peer, model, version):
         """Return the bytes of the manifest."""
-        _, data = await self.chunk(peer, model, version, [_holding.MANIFEST])
+        _, data = await self.chunk(
+            peer, model, version, [_chunk_store.MANIFEST_INDEX]
+        )
         return data
 
     async def _receive(self, box, version, indices, rank):
-        holding, turns = box.holding, box.turns
+        chunk_store, turns = box.chunk_store, box.turns
         peer = box.member.name
-        if holding is None or holding.version != version:
-            await asyncio.sleep(_peers.BEGIN_S)
+        if chunk_store is None or chunk_store.version != version:
+            await asyncio.sleep(_chunk_server.BEGIN_S)
             raise errors.SourceUnableError('not fetched', peer=peer)
         if rank is not None:
-            self._note_asker(holding, indices)
-            await holding.wait_for_any(indices, _peers.LONGEST_WAIT_S)
+            self._note_asker(chunk_store, indices)
+            await chunk_store.wait_for_any(
+                indices, _chunk_server.LONGEST_WAIT_S
+            )
         elif not turns.is_free:
             raise errors.SourceBusyError('gives to others', peer=peer)
-        found = holding.find_any(indices)
-        if found is None and not (holding.awaits(indices) or holding.is_whole):
+        found = chunk_store.find_any(indices)
+        if found is None and not (
+            chunk_store.awaits(indices) or chunk_store.is_complete
+        ):
             raise errors.SourceUnableError('left out', peer=peer)
         if found is None:
             raise errors.SourceBusyError(
                 'not there yet',
                 peer=peer,
-                chains=holding.waits.chains(indices),
+                chains=chunk_store.waits.chains(indices),
             )
         await turns.take(1 if rank is None else rank)
         try:
-            found = holding.find_any(indices)
+            found = chunk_store.find_any(indices)
             if found is None:
                 raise errors.SourceUnableError('left out', peer=peer)
-            holding.note_given(found[0])
-            self.shares[peer] = 1 - holding.left_share
+            chunk_store.note_given(found[0])
+            self.shares[peer] = 1 - chunk_store.left_share
             await box.up.carry(self.swarm.scale.chunk_bytes)
         finally:
             turns.leave()
@@ -280,10 +286,10 @@
         await self.box.down.carry(self.swarm.scale.chunk_bytes)
         return found
 
-    def _note_asker(self, holding, indices):
+    def _note_asker(self, chunk_store, indices):
         now = asyncio.get_running_loop().time()
         for index in indices:
-            holding.waits.note_asker(index, self.box.member.name, now)
+            chunk_store.waits.note_asker(index, self.box.member.name, now)
 
     async def _cross(self, box):
         here, there = self.box.member.data_centre, box.member.data_centre
@@ -310,7 +316,7 @@
         self.missed = {}
         self.origin_down = False
         self.origin_given = collections.Counter()
-        self.boxes = {m.name: Box(self, m) for m in self.members}
+        self.instances = {m.name: Box(self, m) for m in self.members}
         self._between = {}
         self._manifests = {}
 
@@ -348,7 +354,7 @@
 
     def name(self, version):
         """Let all members that live fetch a version."""
-        for box in self.boxes.values():
+        for box in self.instances.values():
             if box.alive:
                 box.start(version)
 
@@ -356,7 +362,9 @@
         """Return once all members have it whole, or after `longest_s`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(longest_s):
-                while any(b.whole_at is None for b in self.boxes.values()):
+                while any(
+                    b.completed_at is None for b in self.instances.values()
+                ):
                     await asyncio.sleep(0.05)
 
     @property
@@ -369,7 +377,7 @@
 
         Members that do not have it are left out.
         """
-        ends = (box.whole_at for box in self.boxes.values())
+        ends = (box.completed_at for box in self.instances.values())
         return sorted(end for end in ends if end is not None)
 
 
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -5,7 +5,7 @@
 from catkinshunt import errors
 from catkinshunt import spread
 from catkinshunt.spread import _agent
-from catkinshunt.spread import _loading
+from catkinshunt.spread import _loader
 from catkinshunt.spread.tests import fakes
 
 ME = spread.Member('a0', 'a')
@@ -14,18 +14,18 @@
 class Sidecar:
     """An agent with its surroundings in memory."""
 
-    def __init__(self, engine=None, shelf=None):
+    def __init__(self, engine=None, version_store=None):
         self.engine = engine or fakes.FakeEngine()
         self.outlook = fakes.FakeOutlook([ME])
         self.origin = fakes.FakeOrigin()
-        self.shelf = shelf or spread.Shelf()
+        self.version_store = version_store or spread.VersionStore()
         self.agent = spread.Agent(
             ME,
             self.outlook,
             self.engine,
             self.origin,
             fakes.FakePeers(),
-            self.shelf,
+            self.version_store,
             asyncio.get_running_loop().time,
             100.0,
             fakes.Counter(),
@@ -204,13 +204,15 @@
     If all load at once nobody serves meanwhile; the last group goes on
     until shortly before the version is due.
     """
-    monkeypatch.setattr(_loading, 'LAST_WAVE_LEAD_S', 0.2)
-    monkeypatch.setattr(spread.Plan, 'wave', lambda self, waves: waves - 1)
+    monkeypatch.setattr(_loader, 'LAST_WAVE_LEAD_S', 0.2)
+    monkeypatch.setattr(
+        spread.SourcePlan, 'wave', lambda self, waves: waves - 1
+    )
 
     async def main(sidecar):
         sidecar.outlook.name(2, due_s=0.8)
-        holding = sidecar.shelf.holding(fakes.MODEL, 2)
-        await sidecar.until(lambda: holding.is_whole)
+        chunk_store = sidecar.version_store.chunk_store(fakes.MODEL, 2)
+        await sidecar.until(lambda: chunk_store.is_complete)
         early = list(sidecar.engine.orders)
         await sidecar.until(lambda: sidecar.engine.version == 2)
         left_s = sidecar.outlook.versions[0].due_at - sidecar.outlook.now()
@@ -227,7 +229,9 @@
     Engines with version 1 get no requests once version 2 is due. Waiting
     for the time of version 3 they would stand idle in between.
     """
-    monkeypatch.setattr(spread.Plan, 'wave', lambda self, waves: waves - 1)
+    monkeypatch.setattr(
+        spread.SourcePlan, 'wave', lambda self, waves: waves - 1
+    )
 
     async def main(sidecar):
         sidecar.outlook.name(2, due_s=0.2)
@@ -262,7 +266,7 @@
     """
 
     async def main(sidecar):
-        sidecar.agent.note_asked(fakes.MODEL, 7)
+        sidecar.agent.on_chunk_request(fakes.MODEL, 7)
         return sidecar.outlook.heard
 
     assert run(main) == [(fakes.MODEL, 7)]
@@ -272,11 +276,11 @@
     async def main():
         sidecar = Sidecar(fakes.FakeEngine(version=1))
         sidecar.engine.stage = whole(1)
-        sidecar.agent.note_asked(fakes.MODEL, 1)
-        await sidecar.until(lambda: sidecar.shelf.find(fakes.MODEL, 1))
-        return sidecar.shelf.find(fakes.MODEL, 1)
+        sidecar.agent.on_chunk_request(fakes.MODEL, 1)
+        await sidecar.until(lambda: sidecar.version_store.find(fakes.MODEL, 1))
+        return sidecar.version_store.find(fakes.MODEL, 1)
 
-    assert asyncio.run(main()).is_whole
+    assert asyncio.run(main()).is_complete
 
 
 def test_a_version_is_not_dropped_for_one_that_cannot_be_had():
@@ -305,7 +309,7 @@
         sidecar.origin.manifest = manifest
         async with sidecar.running():
             sidecar.outlook.name(2, due_s=0.5)
-            older = sidecar.shelf.holding(fakes.MODEL, 2)
+            older = sidecar.version_store.chunk_store(fakes.MODEL, 2)
             await sidecar.until(lambda: older.manifest is not None)
             sidecar.outlook.name(3, due_s=30.0)
             await asyncio.sleep(0.1)
