--- a/catkinshunt/spread/tests/test_peers.py
+++ b/catkinshunt/spread/tests/test_chunk_server.py
@@ -4,41 +4,41 @@
 
 from catkinshunt import errors
 from catkinshunt import spread
-from catkinshunt.spread import _peers
+from catkinshunt.spread import _chunk_server
 from catkinshunt.spread.tests import fakes
 
 
 def test_a_waiting_chunk_is_given_as_soon_as_it_comes():
     async def main():
-        holding = spread.Holding(fakes.MODEL, 2)
-        holding.describe(fakes.manifest(2))
-        holding.begin()
-        waiting = asyncio.ensure_future(holding.wait_for_any([3, 4], 5.0))
+        chunk_store = spread.ChunkStore(fakes.MODEL, 2)
+        chunk_store.describe(fakes.manifest(2))
+        chunk_store.begin()
+        waiting = asyncio.ensure_future(chunk_store.wait_for_any([3, 4], 5.0))
         await asyncio.sleep(0)
-        holding.put(4, fakes.chunk(2, 4))
-        return await waiting, holding.find_any([3, 4])[0]
+        chunk_store.put(4, fakes.chunk(2, 4))
+        return await waiting, chunk_store.find_any([3, 4])[0]
 
     assert asyncio.run(main()) == (True, 4)
 
 
 def test_the_last_two_versions_are_kept():
-    shelf = spread.Shelf()
+    version_store = spread.VersionStore()
     for version in (1, 2, 3):
-        shelf.holding(fakes.MODEL, version)
-    assert shelf.find(fakes.MODEL, 1) is None
-    assert shelf.find(fakes.MODEL, 2) is not None
+        version_store.chunk_store(fakes.MODEL, version)
+    assert version_store.find(fakes.MODEL, 1) is None
+    assert version_store.find(fakes.MODEL, 2) is not None
 
 
 def test_chunks_go_between_sidecars():
     async def main():
         clock = asyncio.get_running_loop().time
-        shelf = spread.Shelf()
-        holding = shelf.holding(fakes.MODEL, 2)
-        holding.describe(fakes.manifest(2))
-        holding.put(3, fakes.chunk(2, 3))
+        version_store = spread.VersionStore()
+        chunk_store = version_store.chunk_store(fakes.MODEL, 2)
+        chunk_store.describe(fakes.manifest(2))
+        chunk_store.put(3, fakes.chunk(2, 3))
         asked = []
         server = spread.ChunkServer(
-            shelf,
+            version_store,
             clock,
             100.0,
             fakes.Counter(),
@@ -63,10 +63,14 @@
 
     async def main():
         clock = asyncio.get_running_loop().time
-        shelf = spread.Shelf()
-        prepare(shelf)
+        version_store = spread.VersionStore()
+        prepare(version_store)
         server = spread.ChunkServer(
-            shelf, clock, 100.0, fakes.Counter(), lambda model, version: None
+            version_store,
+            clock,
+            100.0,
+            fakes.Counter(),
+            lambda model, version: None,
         )
         await server.start('127.0.0.1', 0)
         client = spread.PeerClient(server.port, clock)
@@ -80,11 +84,11 @@
     return asyncio.run(main())
 
 
-def begin_transfer(shelf):
-    holding = shelf.holding(fakes.MODEL, 2)
-    holding.describe(fakes.manifest(2))
-    holding.begin()
-    return holding
+def begin_transfer(version_store):
+    chunk_store = version_store.chunk_store(fakes.MODEL, 2)
+    chunk_store.describe(fakes.manifest(2))
+    chunk_store.begin()
+    return chunk_store
 
 
 def test_a_member_says_that_it_does_not_fetch_a_version():
@@ -93,16 +97,16 @@
     Those who are to take chunks of the newer one from it would wait for it
     for seconds each, as if it were about to have them.
     """
-    kind, took_s = ask_server(lambda shelf: None, lambda c: c.chunk)
+    kind, took_s = ask_server(lambda version_store: None, lambda c: c.chunk)
     assert kind is errors.SourceUnableError
     assert took_s < 1.0
 
 
 def test_a_member_with_a_narrow_link_gives_nothing():
-    def prepare(shelf):
-        holding = begin_transfer(shelf)
-        holding.put(1, fakes.chunk(2, 1))
-        holding.give_nothing()
+    def prepare(version_store):
+        chunk_store = begin_transfer(version_store)
+        chunk_store.put(1, fakes.chunk(2, 1))
+        chunk_store.give_nothing()
 
     kind, _ = ask_server(prepare, lambda c: c.chunk)
     assert kind is errors.SourceUnableError
@@ -117,18 +121,22 @@
 
     async def main():
         clock = asyncio.get_running_loop().time
-        shelf = spread.Shelf()
-        holding = shelf.holding(fakes.MODEL, 2)
+        version_store = spread.VersionStore()
+        chunk_store = version_store.chunk_store(fakes.MODEL, 2)
         server = spread.ChunkServer(
-            shelf, clock, 100.0, fakes.Counter(), lambda model, version: None
+            version_store,
+            clock,
+            100.0,
+            fakes.Counter(),
+            lambda model, version: None,
         )
         await server.start('127.0.0.1', 0)
         client = spread.PeerClient(server.port, clock)
         asking = asyncio.ensure_future(
             client.manifest('127.0.0.1', fakes.MODEL, 2)
         )
-        await asyncio.sleep(1.5 * _peers.BEGIN_S)
-        holding.describe(fakes.manifest(2))
+        await asyncio.sleep(1.5 * _chunk_server.BEGIN_S)
+        chunk_store.describe(fakes.manifest(2))
         return await asking
 
     assert asyncio.run(main()) == fakes.manifest(2).dumps()
@@ -151,7 +159,7 @@
 
 def test_those_who_pass_chunks_on_go_first():
     async def main():
-        turns = spread.Turns()
+        turns = spread.PriorityLock()
         order = []
 
         async def send(name, rank):
--- a/catkinshunt/spread/tests/test_loading.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -2,7 +2,7 @@
 import math
 
 from catkinshunt import spread
-from catkinshunt.spread import _loading
+from catkinshunt.spread import _loader
 from catkinshunt.spread import _progress
 from catkinshunt.spread.tests import fakes
 
@@ -14,7 +14,7 @@
         self.now = clock
         self.due_at = due_at
 
-    def due_after(self, model, version):
+    def superseded_at(self, model, version):
         return self.due_at
 
 
@@ -25,9 +25,9 @@
         self.time = 50.0
         self.engine = fakes.FakeEngine(version)
         self.door = fakes.FakeDoor()
-        self.holding = spread.Holding(fakes.MODEL, 2)
-        self.holding.describe(fakes.manifest(2))
-        self.loader = _loading.Loader(
+        self.chunk_store = spread.ChunkStore(fakes.MODEL, 2)
+        self.chunk_store.describe(fakes.manifest(2))
+        self.loader = _loader.Loader(
             self.engine,
             Outlook(self.clock, self.time + due_in_s),
             self.door,
@@ -41,7 +41,7 @@
 
     def fill(self):
         for index in range(fakes.CHUNKS):
-            self.holding.put(index, fakes.chunk(2, index))
+            self.chunk_store.put(index, fakes.chunk(2, index))
 
     async def step(self, whole_in_s=0.0, newer_whole_in_s=math.inf):
         report = await self.engine.report()
@@ -49,7 +49,7 @@
         if report.versions.get(fakes.MODEL, 0) >= 2:
             return
         await self.loader.step(
-            report, self.holding, whole_in_s, newer_whole_in_s
+            report, self.chunk_store, whole_in_s, newer_whole_in_s
         )
 
     def closes_in_s(self):
@@ -71,7 +71,7 @@
         return found.closes_in_s(), found.engine.orders
 
     closes_in_s, orders = asyncio.run(main())
-    assert closes_in_s == 0.8 + _loading.EMPTYING_S
+    assert closes_in_s == 0.8 + _loader.EMPTYING_S
     assert orders == []
 
 
@@ -96,7 +96,7 @@
     """
 
     async def main(newer_whole_in_s):
-        found = Engine(wave=_loading.WAVES - 1, due_in_s=0.5)
+        found = Engine(wave=_loader.WAVES - 1, due_in_s=0.5)
         found.fill()
         await found.step(newer_whole_in_s=newer_whole_in_s)
         found.time += 0.6
@@ -116,7 +116,7 @@
     """
 
     async def main():
-        found = Engine(wave=_loading.WAVES - 1, due_in_s=0.5)
+        found = Engine(wave=_loader.WAVES - 1, due_in_s=0.5)
         found.fill()
         await found.step(newer_whole_in_s=2.0)
         found.time += 3.0
@@ -128,7 +128,7 @@
 
 def test_an_engine_that_holds_nothing_is_loaded_as_soon_as_it_can_be():
     async def main():
-        found = Engine(version=0, wave=_loading.WAVES - 1)
+        found = Engine(version=0, wave=_loader.WAVES - 1)
         found.fill()
         await found.step(newer_whole_in_s=1.0)
         return found.engine.orders
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -17,7 +17,7 @@
 
 def plans(listed, chunks=96, connections=48):
     return {
-        me.name: spread.Plan(
+        me.name: spread.SourcePlan(
             me, listed, REGIONS, 'drafts', 2, chunks, connections
         )
         for me in listed
@@ -110,7 +110,7 @@
     It must not wait for the origin as if others waited for it.
     """
     listed = members({'a': 4, 'b': 3})
-    plan = spread.Plan(listed[0], listed, REGIONS, 'drafts', 2, 96)
+    plan = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2, 96)
     plan.leave_out(frozenset([listed[0].name]))
     firsts = {plan.sources(index)[0] for index in range(96)}
     assert firsts <= {'a1', 'a2', 'a3'}
@@ -119,7 +119,7 @@
 def test_a_new_member_takes_from_those_nearby_that_hold_it():
     old = members({'a': 2, 'b': 2}, {'drafts': 2})
     new = spread.Member('a9', 'a')
-    plan = spread.Plan(new, [*old, new], REGIONS, 'drafts', 2, 96)
+    plan = spread.SourcePlan(new, [*old, new], REGIONS, 'drafts', 2, 96)
     firsts = collections.Counter(plan.sources(i)[0] for i in range(96))
     assert set(firsts) == {'a0', 'a1'}
 
@@ -177,8 +177,8 @@
     agrees on.
     """
     listed = members({'a': 4, 'b': 3})
-    early = spread.Plan(listed[0], listed, REGIONS, 'drafts', 2)
-    late = spread.Plan(listed[0], listed, REGIONS, 'drafts', 2, 96)
+    early = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2)
+    late = spread.SourcePlan(listed[0], listed, REGIONS, 'drafts', 2, 96)
     for index in range(96):
         early.sources(index)
     early.describe(96)
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -5,7 +5,7 @@
 from catkinshunt import errors
 from catkinshunt import spread
 from catkinshunt.spread import _fetcher
-from catkinshunt.spread import _speeds
+from catkinshunt.spread import _source_speeds
 from catkinshunt.spread.tests import fakes
 from catkinshunt.spread.tests import transfers
 
@@ -26,7 +26,7 @@
 
     peers = NarrowPeers(a1=transfers.EVERY, a2=transfers.EVERY)
     monkeypatch.setattr(
-        spread.Plan,
+        spread.SourcePlan,
         'sources',
         lambda self, index: ['a1' if index < 5 else 'a2', 'a2', 'origin'],
     )
@@ -43,7 +43,7 @@
         return found, clock() - began
 
     found, took_s = asyncio.run(main())
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert took_s < 1.0
 
 
@@ -64,7 +64,7 @@
         listed=transfers.listed('a1', 'a2', a1=2, a2=2),
         copy_s=lambda size: 0.05,
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert not found.origin.given
 
 
@@ -93,7 +93,7 @@
             origin_copy_s=lambda size: 4.0,
         )
         monkeypatch.setattr(
-            spread.Plan,
+            spread.SourcePlan,
             'sources',
             lambda self, index: ['a1', *nearby, 'origin'],
         )
@@ -106,7 +106,7 @@
             await running
         return found
 
-    assert asyncio.run(main()).holding.is_whole
+    assert asyncio.run(main()).chunk_store.is_complete
 
 
 def test_sources_that_are_all_gone_are_asked_now_and_then():
@@ -152,7 +152,7 @@
         listed=transfers.listed('a1', a1=2),
         origin_copy_s=lambda size: 3.0,
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert not found.origin.given
 
 
@@ -186,7 +186,7 @@
         peers=EmptyPeers(a1=transfers.EVERY),
         listed=transfers.listed('a1'),
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert max(most) == 1
 
 
@@ -208,7 +208,7 @@
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert [peer for peer, _ in peers.asked].count('a1') == 1
     assert not found.origin.given
 
@@ -236,7 +236,7 @@
     found = transfers.transfer(
         prepare, peers=peers, listed=transfers.listed('a1', 'a2')
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert [peer for peer, _ in peers.asked].count('a1') <= 2
 
 
@@ -246,7 +246,7 @@
     Others wait for what this member is to pass on, so it lets them take it
     elsewhere from then on.
     """
-    monkeypatch.setattr(_speeds, 'JUDGE_LINK_S', 0.01)
+    monkeypatch.setattr(_source_speeds, 'JUDGE_LINK_S', 0.01)
 
     class SlowPeers(fakes.FakePeers):
         async def chunk(self, peer, model, version, indices, relays=False):
@@ -269,5 +269,5 @@
         listed=transfers.listed(*names),
         copy_s=lambda size: 0.15,
     )
-    assert found.holding.is_whole
-    assert found.holding.is_slow
+    assert found.chunk_store.is_complete
+    assert found.chunk_store.is_slow
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -8,12 +8,12 @@
 import pytest
 
 #: 31 members in three data centres, as they stood in the incident.
-THREE_PLACES = swarm.Scale({'larisa': 11, 'piraeus': 10, 'sindos': 10})
+THREE_DATA_CENTRES = swarm.Scale({'larisa': 11, 'piraeus': 10, 'sindos': 10})
 #: The same with 12 added engines, eight of which begin late.
 GROWN = swarm.Scale({'larisa': 13, 'piraeus': 17, 'sindos': 13})
 LATE = (11, 12, 26, 27, 28, 29, 30, 42)
 #: 76 members in five data centres.
-FIVE_PLACES = swarm.Scale(
+FIVE_DATA_CENTRES = swarm.Scale(
     {'larisa': 16, 'piraeus': 15, 'sindos': 15, 'patra': 15, 'iraklio': 15},
     region_mbps=12.0,
 )
@@ -37,8 +37,8 @@
 
     def __init__(self, scale, numbers):
         self.swarm = swarm.Swarm(scale)
-        self.boxes = [
-            self.swarm.boxes[self.swarm.members[number].name]
+        self.instances = [
+            self.swarm.instances[self.swarm.members[number].name]
             for number in numbers
         ]
 
@@ -49,26 +49,28 @@
             back_s: seconds after which they begin.
             answering: they live until then, and are not dead.
         """
-        for box in self.boxes:
+        for box in self.instances:
             box.kill()
         self.swarm.name(2)
-        for box in self.boxes if answering else ():
+        for box in self.instances if answering else ():
             box.stay_idle()
         await asyncio.sleep(back_s)
-        for box in self.boxes:
+        for box in self.instances:
             box.start(2)
 
     def narrow(self, share):
         """Leave a share of their links to these members."""
-        for box in self.boxes:
+        for box in self.instances:
             box.up.bytes_per_s *= share
             box.down.bytes_per_s *= share
 
     def ends_s(self):
         """Return when the other members had the version, in order."""
-        others = [b for b in self.swarm.boxes.values() if b not in self.boxes]
-        assert all(box.whole_at is not None for box in others)
-        return sorted(box.whole_at for box in others)
+        others = [
+            b for b in self.swarm.instances.values() if b not in self.instances
+        ]
+        assert all(box.completed_at is not None for box in others)
+        return sorted(box.completed_at for box in others)
 
 
 def spread_with_deaths(scale, dead, down_s=DOWN_S):
@@ -92,7 +94,7 @@
 
 
 def test_without_failures_the_origin_sends_a_version_once():
-    found = spread_with_deaths(THREE_PLACES, dead=(), down_s=0.0)
+    found = spread_with_deaths(THREE_DATA_CENTRES, dead=(), down_s=0.0)
     check_spread(found, MOST_CALM_TIMES)
     # Beside the chunks each owner takes the manifest.
     assert found.origin_copies < 1.1
@@ -108,7 +110,7 @@
     96), and everybody waited for it. Callers saw no answers from models once
     the version was due.
     """
-    found = spread_with_deaths(THREE_PLACES, dead=(3, 4, 10, 13, 22))
+    found = spread_with_deaths(THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22))
     check_spread(found)
 
 
@@ -137,15 +139,15 @@
     """
 
     async def day():
-        fault = Fault(THREE_PLACES, (4, 14, 24))
+        fault = Fault(THREE_DATA_CENTRES, (4, 14, 24))
         fault.narrow(0.25)
         fault.swarm.name(2)
-        await fault.swarm.wait(8 * THREE_PLACES.copy_s)
+        await fault.swarm.wait(8 * THREE_DATA_CENTRES.copy_s)
         return fault
 
     fault = swarm.play(day)
-    assert fault.ends_s()[-1] <= MOST_LINK_TIMES * THREE_PLACES.copy_s
-    assert all(box.whole_at for box in fault.boxes)
+    assert fault.ends_s()[-1] <= MOST_LINK_TIMES * THREE_DATA_CENTRES.copy_s
+    assert all(box.completed_at for box in fault.instances)
     assert fault.swarm.origin_copies <= MOST_COPIES
 
 
@@ -157,38 +159,40 @@
     """
 
     async def day():
-        fault = Fault(THREE_PLACES, (14,))
+        fault = Fault(THREE_DATA_CENTRES, (14,))
         fault.swarm.name(2)
-        await asyncio.sleep(THREE_PLACES.copy_s / 3)
-        for box in fault.boxes:
+        await asyncio.sleep(THREE_DATA_CENTRES.copy_s / 3)
+        for box in fault.instances:
             box.frozen = True
         await asyncio.sleep(6.0)
-        for box in fault.boxes:
+        for box in fault.instances:
             box.frozen = False
-        await fault.swarm.wait(8 * THREE_PLACES.copy_s)
+        await fault.swarm.wait(8 * THREE_DATA_CENTRES.copy_s)
         return fault
 
     ends_s = swarm.play(day).ends_s()
-    assert ends_s[-1] <= MOST_LINK_TIMES * THREE_PLACES.copy_s
+    assert ends_s[-1] <= MOST_LINK_TIMES * THREE_DATA_CENTRES.copy_s
 
 
 def test_an_origin_that_returns_gives_each_missing_chunk_once():
     """While it is away, members must not scatter what nobody has."""
 
     async def day():
-        found = swarm.Swarm(FIVE_PLACES)
+        found = swarm.Swarm(FIVE_DATA_CENTRES)
         found.name(2)
         await asyncio.sleep(2.5)
         found.origin_down = True
         await asyncio.sleep(6.0)
         found.origin_down = False
-        missing = FIVE_PLACES.chunks - len(found.origin_given)
+        missing = FIVE_DATA_CENTRES.chunks - len(found.origin_given)
         returned_at = asyncio.get_running_loop().time()
-        while len(found.origin_given) < FIVE_PLACES.chunks:
+        while len(found.origin_given) < FIVE_DATA_CENTRES.chunks:
             await asyncio.sleep(0.01)
         took_s = asyncio.get_running_loop().time() - returned_at
-        await found.wait(8 * FIVE_PLACES.copy_s)
-        needed_s = missing * FIVE_PLACES.chunk_bytes / found.origin.bytes_per_s
+        await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
+        needed_s = (
+            missing * FIVE_DATA_CENTRES.chunk_bytes / found.origin.bytes_per_s
+        )
         return found, took_s / needed_s
 
     found, times = swarm.play(day)
@@ -203,12 +207,12 @@
     """Each misses other members that have just come, and chooses otherwise."""
 
     async def day():
-        found = swarm.Swarm(FIVE_PLACES)
+        found = swarm.Swarm(FIVE_DATA_CENTRES)
         rng = random.Random(seed)
         names = [member.name for member in found.members]
         found.missed = {name: rng.sample(names, missed) for name in names}
         found.name(2)
-        await found.wait(8 * FIVE_PLACES.copy_s)
+        await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
         return found
 
     check_spread(swarm.play(day))
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -6,16 +6,16 @@
 from catkinshunt import errors
 from catkinshunt import spread
 from catkinshunt.spread import _fetcher
-from catkinshunt.spread import _health
+from catkinshunt.spread import _source_health
 from catkinshunt.spread.tests import fakes
 from catkinshunt.spread.tests import transfers
 
 
 def test_a_single_member_takes_all_from_the_origin():
     found = transfers.transfer()
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert sorted(found.origin.given) == list(range(fakes.CHUNKS))
-    assert found.kept == found.holding.chunks
+    assert found.kept == found.chunk_store.chunks
 
 
 def test_the_origin_is_released_after_use():
@@ -32,7 +32,7 @@
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert not found.origin.given
 
 
@@ -43,7 +43,7 @@
     so it is dropped and asked for again.
     """
     found = transfers.transfer(lambda t: t.origin.corrupt.update({1, 4}))
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert found.kept[1] == fakes.chunk(2, 1)
 
 
@@ -53,7 +53,7 @@
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert found.kept[0] == fakes.chunk(2, 0)
 
 
@@ -68,7 +68,7 @@
     found = transfers.transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert sorted(found.origin.given) == list(range(fakes.CHUNKS))
 
 
@@ -81,7 +81,7 @@
     found = transfers.transfer(
         peers=fakes.FakePeers(), listed=transfers.listed('a1')
     )
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
 
 
 def test_members_wait_for_the_owners_while_the_origin_is_down(monkeypatch):
@@ -104,7 +104,7 @@
             PatientPeers(a1=held), transfers.listed('a1')
         )
         monkeypatch.setattr(
-            spread.Plan, 'sources', lambda self, index: ['a1', 'origin']
+            spread.SourcePlan, 'sources', lambda self, index: ['a1', 'origin']
         )
         await found.fetcher.fetch_manifest()
         found.origin.down = True
@@ -118,7 +118,7 @@
         return found
 
     found = asyncio.run(main())
-    assert found.holding.is_whole
+    assert found.chunk_store.is_complete
     assert not found.origin.given
 
 
@@ -136,7 +136,7 @@
         asking = asyncio.ensure_future(found.fetcher.fetch_manifest())
         await asyncio.sleep(0.05)
         found.origin.down = False
-        async with asyncio.timeout(_health.BLAME_S / 3):
+        async with asyncio.timeout(_source_health.BLAME_S / 3):
             await asking
 
     asyncio.run(main())
@@ -182,17 +182,17 @@
         with pytest.raises(ExceptionGroup) as caught:
             await found.run()
         assert caught.group_contains(errors.ManifestError)
-        assert found.holding.manifest is None
+        assert found.chunk_store.manifest is None
         again = transfers.Transfer()
         again.origin = found.origin
         await again.run()
         return again
 
-    assert asyncio.run(main()).holding.is_whole
+    assert asyncio.run(main()).chunk_store.is_complete
 
 
 def test_an_origin_that_is_down_is_asked_again(monkeypatch):
-    monkeypatch.setattr(_health, 'BLAME_S', 0.05)
+    monkeypatch.setattr(_source_health, 'BLAME_S', 0.05)
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
@@ -205,4 +205,4 @@
         await running
         return found
 
-    assert asyncio.run(main()).holding.is_whole
+    assert asyncio.run(main()).chunk_store.is_complete
--- a/catkinshunt/spread/tests/transfers.py
+++ b/catkinshunt/spread/tests/transfers.py
@@ -13,14 +13,14 @@
     """One transfer of version 2 to a member."""
 
     def __init__(self, peers=None, listed=(ME,), **speeds):
-        self.holding = spread.Holding(fakes.MODEL, 2)
+        self.chunk_store = spread.ChunkStore(fakes.MODEL, 2)
         self.origin = fakes.FakeOrigin()
         self.peers = peers or fakes.FakePeers()
         self.counter = fakes.Counter()
         self.kept = {}
-        plan = spread.Plan(ME, listed, {}, fakes.MODEL, 2, fakes.CHUNKS)
+        plan = spread.SourcePlan(ME, listed, {}, fakes.MODEL, 2, fakes.CHUNKS)
         self.fetcher = spread.Fetcher(
-            self.holding,
+            self.chunk_store,
             plan,
             self.peers,
             self.origin,
--- a/standins/experiment/_engines.py
+++ b/standins/experiment/_engines.py
@@ -7,11 +7,11 @@
 PROFILE = catalogs.EngineProfile(
     slots=16,
     step_s=0.0093,
-    per_request_s=0.00003,
-    read_tokens_per_s=20700.0,
-    stride=5,
-    usual_prompt=979,
-    usual_answer=92,
+    step_s_per_request=0.00003,
+    prefill_tokens_per_s=20700.0,
+    steps_per_pass=5,
+    mean_prompt_tokens=979,
+    mean_output_tokens=92,
 )
 #: Prompt tokens that are read in a step at most.
 READ_PER_STEP = 2048
@@ -82,15 +82,15 @@
         read = self._read()
         writers = [r for r in self.running if not r.unread]
         profile = self.profile
-        pass_s = read / profile.read_tokens_per_s
+        pass_s = read / profile.prefill_tokens_per_s
         if writers:
-            step_s = profile.step_s + profile.per_request_s * len(writers)
-            pass_s += profile.stride * step_s
+            step_s = profile.step_s + profile.step_s_per_request * len(writers)
+            pass_s += profile.steps_per_pass * step_s
         self.events.after(pass_s * self.slowness, self._end_pass, writers)
 
     def _read(self):
         """Read prompts in order; return the tokens read."""
-        most = left = READ_PER_STEP * self.profile.stride
+        most = left = READ_PER_STEP * self.profile.steps_per_pass
         for request in self.running:
             read = min(left, request.unread)
             request.unread -= read
@@ -108,7 +108,7 @@
         if request.first_at is None:
             request.first_at = self.events.now
             request.entry.hear_first(request)
-        request.unwritten -= self.profile.stride
+        request.unwritten -= self.profile.steps_per_pass
         if request.unwritten <= 0:
             self.running.remove(request)
             request.end('answered')
--- a/standins/experiment/_results.py
+++ b/standins/experiment/_results.py
@@ -52,8 +52,8 @@
             part of one.
         profile: how the engines work.
     """
-    step_s = profile.step_s + profile.per_request_s * profile.slots
-    read_s = sum(r.tokens_in for r in requests) / profile.read_tokens_per_s
+    step_s = profile.step_s + profile.step_s_per_request * profile.slots
+    read_s = sum(r.tokens_in for r in requests) / profile.prefill_tokens_per_s
     steps = sum(r.tokens_out for r in requests) / profile.slots
     return engines * len(requests) / (read_s + steps * step_s)
 
--- a/standins/soak/_platform.py
+++ b/standins/soak/_platform.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from catkinshunt import changes
+from catkinshunt import notifier
 from catkinshunt import http1
 from standins.soak import _records
 
@@ -71,7 +71,7 @@
         self.fault = None
         self.granted = 0
         self.leases = {}
-        self._changes = changes.Changes()
+        self._changes = notifier.Notifier()
 
     def put(self, key, document):
         """Write `document`; None deletes the key."""
@@ -83,14 +83,14 @@
             item = {'key': key, 'data': data, 'revision': self.revision}
             self.items[key] = item
         self.events.append(item)
-        self._changes.announce()
+        self._changes.notify_all()
 
     def compact(self):
         """Forget the history; watches must read all again."""
         self.revision += 1
         self.oldest = self.revision
         self.events.clear()
-        self._changes.announce()
+        self._changes.notify_all()
 
     async def answer(self, req):
         """Answer one call."""
