--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -39,7 +39,7 @@
     """Return the figures at one size, as a mapping."""
     tracemalloc.start()
     held = catalog.Catalog()
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     for upstream in make_upstreams(size):
         held.put_upstream(upstream)
         tracker.state(upstream)
@@ -79,14 +79,14 @@
     The work is the same whatever the number of upstreams and entries: one
     look at the deadline, one rank, one delay learnt.
     """
-    returns = dispatch.ReturnDetector()
-    forecast = dispatch.Forecast()
+    returns = dispatch.ReturningRequestDetector()
+    forecast = dispatch.DelayCorrector()
     rng = random.Random(1)
     began = time.process_time()
     for number in range(RANKS):
         waited_s = returns.waited_s('chat', 6.0 - rng.random())
         forecast.rank(waited_s, 0.2, 0.5, number)
-        forecast.learn(0.2, 0.3, number)
+        forecast.observe(0.2, 0.3, number)
     return (time.process_time() - began) / RANKS * 1e6
 
 
--- a/benchmarks/bench_retries.py
+++ b/benchmarks/bench_retries.py
@@ -88,7 +88,7 @@
                 return
             now += TRY_S
             deadline = arrived + DEADLINE_S
-            if not policy.check(exc, True, tries, deadline, now).again:
+            if not policy.check(exc, True, tries, deadline, now).should_retry:
                 return
 
     def attempt(self, router, req, now, tried, outage):
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -373,7 +373,7 @@
     Mutation(
         'sidecar-ends-a-version',
         'catkinshunt/places/_ledger.py',
-        'if now + ask.read_s >= self._expires_at:',
+        'if now + ask.prefill_s >= self._expires_at:',
         'if False:',
     ),
     Mutation(
--- a/catkinshunt/dispatch/__init__.py
+++ b/catkinshunt/dispatch/__init__.py
@@ -3,29 +3,29 @@
 from catkinshunt.dispatch._choice import Candidate
 from catkinshunt.dispatch._choice import Chooser
 from catkinshunt.dispatch._choice import first_token_s
-from catkinshunt.dispatch._choice import lasts_s
+from catkinshunt.dispatch._choice import occupancy_s
 from catkinshunt.dispatch._choice import predict_delay_s
-from catkinshunt.dispatch._choice import read_s
-from catkinshunt.dispatch._forecast import Forecast
-from catkinshunt.dispatch._returns import ReturnDetector
+from catkinshunt.dispatch._choice import prefill_s
+from catkinshunt.dispatch._forecast import DelayCorrector
+from catkinshunt.dispatch._returns import ReturningRequestDetector
 from catkinshunt.dispatch._state import Job
 from catkinshunt.dispatch._state import Load
 from catkinshunt.dispatch._state import Rank
-from catkinshunt.dispatch._state import Tracker
+from catkinshunt.dispatch._state import UpstreamTracker
 from catkinshunt.dispatch._state import UpstreamState
 
 __all__ = [
     'Candidate',
     'Chooser',
-    'Forecast',
+    'DelayCorrector',
     'Job',
     'Load',
     'Rank',
-    'ReturnDetector',
-    'Tracker',
+    'ReturningRequestDetector',
+    'UpstreamTracker',
     'UpstreamState',
     'first_token_s',
-    'lasts_s',
+    'occupancy_s',
     'predict_delay_s',
-    'read_s',
+    'prefill_s',
 ]
--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -78,12 +78,12 @@
     unread = sum(other.tokens_in for other in ahead if not other.answering)
     waiting = state.load.waiting if state.load and others else 0
     unread += min(waiting, others) * engine.mean_prompt_tokens
-    read_s = (unread + job.tokens_in) / engine.prefill_tokens_per_s
+    prefill_s = (unread + job.tokens_in) / engine.prefill_tokens_per_s
     step_s = engine.step_s + engine.step_s_per_request * min(count, slots)
     pass_s = engine.steps_per_pass * step_s
     over = max(0.0, count + 1 - slots)
     answer_s = engine.mean_output_tokens * step_s * 1.5
-    return read_s + pass_s * (1 + count / slots) + over * answer_s / slots
+    return prefill_s + pass_s * (1 + count / slots) + over * answer_s / slots
 
 
 def first_token_s(engine, job):
@@ -96,15 +96,15 @@
         engine: `catalog.EngineProfile`.
         job: `Job` that is to be sent.
     """
-    return read_s(engine, job) + FIRST_TOKEN_PASSES * _full_pass_s(engine)
+    return prefill_s(engine, job) + FIRST_TOKEN_PASSES * _full_pass_s(engine)
 
 
-def read_s(engine, job):
+def prefill_s(engine, job):
     """Return the seconds that an engine takes to read the prompt of `job`."""
     return job.tokens_in / engine.prefill_tokens_per_s
 
 
-def lasts_s(engine, job):
+def occupancy_s(engine, job):
     """Return the seconds for which `job` is likely to hold a full engine.
 
     Args:
@@ -147,7 +147,7 @@
 
         Args:
             upstreams: `catalog.Upstream` that may take the request.
-            tracker: `Tracker`.
+            tracker: `UpstreamTracker`.
             engine: profile of the service's engines, or None.
             job: `Job` that is to be sent.
             now: seconds on the steady clock.
@@ -173,7 +173,7 @@
         cost_s += FAILURE_S * state.failure_rate(now)
         if state.is_paused(now, upstream.versions):
             cost_s += PAUSED_S
-        if state.is_silent(now):
+        if state.is_unresponsive(now):
             cost_s += SILENT_S
         return Candidate(upstream, state, delay_s, cost_s)
 
--- a/catkinshunt/dispatch/_forecast.py
+++ b/catkinshunt/dispatch/_forecast.py
@@ -17,7 +17,7 @@
 HALF_LIFE_S = 2.0
 
 
-class Forecast(base.ParamsMixin):
+class DelayCorrector(base.ParamsMixin):
     """Learns by how much delays exceed what was predicted for them.
 
     An entry sees only its own requests and, now and then, how many others
@@ -29,8 +29,8 @@
         newest_weight: share of the newest delay in the running means.
 
     Examples:
-        >>> forecast = Forecast(newest_weight=0.5)
-        >>> forecast.learn(predicted_s=0.2, delay_s=0.6, now=10.0)
+        >>> forecast = DelayCorrector(newest_weight=0.5)
+        >>> forecast.observe(predicted_s=0.2, delay_s=0.6, now=10.0)
         >>> forecast.correct(0.1, now=10.0) > 0.2
         True
     """
@@ -41,7 +41,7 @@
         self._delay_s = 0.1
         self._learnt_at = 0.0
 
-    def learn(self, predicted_s, delay_s, now):
+    def observe(self, predicted_s, delay_s, now):
         """Take in the delay of a request of the first rank.
 
         Args:
@@ -71,8 +71,8 @@
         if waited_s + predicted_s > goal_s:
             return _state.Rank.LATE
         if waited_s + self.correct(predicted_s, now) > goal_s:
-            return _state.Rank.DOUBTFUL
-        return _state.Rank.EARLY
+            return _state.Rank.AT_RISK
+        return _state.Rank.ON_TIME
 
     def scale(self, now):
         """Return by how much delays exceed predictions, from 1."""
--- a/catkinshunt/dispatch/_returns.py
+++ b/catkinshunt/dispatch/_returns.py
@@ -41,7 +41,7 @@
     learnt: int = 0
     usual: tuple | None = None
 
-    def learn(self, deadline_s):
+    def observe(self, deadline_s):
         """Remember a time that was granted in a calm second."""
         self.calm.append(deadline_s)
         self.learnt += 1
@@ -53,7 +53,7 @@
         self.usual = (least_s - MARGIN * ordered[-1], middle_s)
 
 
-class ReturnDetector(base.ParamsMixin):
+class ReturningRequestDetector(base.ParamsMixin):
     """Finds how long callers waited before by the time that they have left.
 
     A caller that comes back after a refusal has less time left than others
@@ -69,7 +69,7 @@
             on shorter ones count as left over.
 
     Examples:
-        >>> detector = ReturnDetector()
+        >>> detector = ReturningRequestDetector()
         >>> waited = [detector.waited_s('chat', 6.0, 1.0) for _ in range(20)]
         >>> detector.waited_s('chat', 5.5, now=1.0)
         0.5
@@ -80,7 +80,7 @@
         self._granted = {}
         self._refused_at = -math.inf
 
-    def note_refusal(self, now):
+    def record_rejection(self, now):
         """Note that a caller was refused; it is likely to come back."""
         self._refused_at = now
 
@@ -104,7 +104,7 @@
         )
         # Those that other entries refused come here too, in the same burst.
         if now - self._refused_at > granted.longest_s:
-            granted.learn(deadline_s)
+            granted.observe(deadline_s)
         if is_longest:
             return 0.0
         if granted.longest_share >= self.constant_share:
--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -26,13 +26,13 @@
 class Rank(enum.IntEnum):
     """Order in which an engine takes requests that wait; lower ones first.
 
-    `DOUBTFUL` ones are in time by prediction, but not by the delays that
+    `AT_RISK` ones are in time by prediction, but not by the delays that
     were seen lately. Where these mislead, the order is no worse than that
     of the prediction alone.
     """
 
-    EARLY = 0
-    DOUBTFUL = 1
+    ON_TIME = 0
+    AT_RISK = 1
     LATE = 2
 
 
@@ -60,14 +60,14 @@
         tokens_out: likely tokens of the answer; 0 where nothing tells.
         answering: its first byte has come.
         rank: place among those that wait at an engine.
-        likely_s: seconds to the first byte that were predicted.
+        predicted_s: seconds to the first byte that were predicted.
     """
 
     tokens_in: int = 0
     tokens_out: int = 0
     answering: bool = False
-    rank: Rank = Rank.EARLY
-    likely_s: float = 0.0
+    rank: Rank = Rank.ON_TIME
+    predicted_s: float = 0.0
 
 
 @attrs.define(eq=False)
@@ -81,10 +81,10 @@
     Examples:
         >>> state = UpstreamState()
         >>> job = state.begin(Job(), now=1.0)
-        >>> state.is_silent(now=1.5), state.is_silent(now=1.8)
+        >>> state.is_unresponsive(now=1.5), state.is_unresponsive(now=1.8)
         (False, True)
-        >>> state.hear(now=1.8)
-        >>> state.is_silent(now=2.0)
+        >>> state.receive(now=1.8)
+        >>> state.is_unresponsive(now=2.0)
         False
     """
 
@@ -113,7 +113,7 @@
         if not self.jobs:
             self.expecting_since = None
 
-    def hear(self, now):
+    def receive(self, now):
         """Note that bytes came from the upstream."""
         if self.expecting_since is not None:
             self.expecting_since = now
@@ -124,30 +124,30 @@
         self.load_at = now
         self.own_at_load = len(self.jobs) + self.asking
 
-    def is_silent(self, now):
+    def is_unresponsive(self, now):
         """Return whether answers are due and no byte has come for long."""
         since = self.expecting_since
         return since is not None and now - since > SILENT_S
 
-    def succeed(self, now):
+    def record_success(self, now):
         """Note a request that went well."""
         self.failures_in_row = 0
         self.paused_until = 0.0
         self._failure_rate = self.failure_rate(now) * (1 - FAILURE_WEIGHT)
         self._failure_rate_at = now
 
-    def fail(self, now):
+    def record_failure(self, now):
         """Note a request that broke off or failed."""
         rate = self.failure_rate(now)
         self._failure_rate = rate + (1 - rate) * FAILURE_WEIGHT
         self._failure_rate_at = now
 
-    def pause(self, now):
+    def back_off(self, now):
         """Give no work for a time that grows with failures in a row."""
         pause_s = FIRST_PAUSE_S * 2**self.failures_in_row
         self.paused_until = now + min(pause_s, LONGEST_PAUSE_S)
         self.failures_in_row += 1
-        self.fail(now)
+        self.record_failure(now)
 
     def rest(self, now, pause_s, versions=None):
         """Give no work for `pause_s` seconds, without blame.
@@ -190,7 +190,7 @@
         return max(0, told - self.own_at_load) * left
 
 
-class Tracker:
+class UpstreamTracker:
     """Keeps an `UpstreamState` for each start of an upstream."""
 
     def __init__(self):
--- a/catkinshunt/dispatch/tests/burst.py
+++ b/catkinshunt/dispatch/tests/burst.py
@@ -68,7 +68,7 @@
         end += ENGINE.steps_per_pass * ENGINE.step_s if writers else 0.0
         for request in writers:
             self._write(request, end)
-        self.state.hear(end)
+        self.state.receive(end)
         return end
 
     def _write(self, request, end):
@@ -118,7 +118,7 @@
         )
         for n in range(engines)
     ]
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     machines = {u.id: SimulatedEngine(u, tracker.state(u)) for u in upstreams}
     done, passes = [], []
     arrivals = make_requests(rate, seconds, random.Random(seed))
--- a/catkinshunt/dispatch/tests/crowd.py
+++ b/catkinshunt/dispatch/tests/crowd.py
@@ -35,9 +35,9 @@
     """What one entry knows of the engines."""
 
     def __init__(self, corrects):
-        self.tracker = dispatch.Tracker()
+        self.tracker = dispatch.UpstreamTracker()
         self.chooser = dispatch.Chooser('a', {})
-        self.forecast = dispatch.Forecast() if corrects else None
+        self.forecast = dispatch.DelayCorrector() if corrects else None
 
     def send(self, upstreams, job, now):
         """Choose an engine for `job`; return the candidate."""
@@ -80,7 +80,7 @@
         caller.entry.tracker.state(self.upstream).report(load, now)
         forecast = caller.entry.forecast
         if forecast and not caller.request.job.rank:
-            forecast.learn(caller.predicted_s, caller.request.first_s, now)
+            forecast.observe(caller.predicted_s, caller.request.first_s, now)
 
     def leave(self, caller, now):
         """Take out the request of a caller who waited in vain."""
@@ -94,7 +94,7 @@
         caller.entry.tracker.state(self.upstream).end(request.job)
         forecast = caller.entry.forecast
         if forecast and not request.job.rank:
-            forecast.learn(caller.predicted_s, PATIENCE_S, now)
+            forecast.observe(caller.predicted_s, PATIENCE_S, now)
 
 
 def play(rate, entries=5, engines=6, seconds=20.0, seed=3, corrects=True):
--- a/catkinshunt/dispatch/tests/test_burst.py
+++ b/catkinshunt/dispatch/tests/test_burst.py
@@ -69,8 +69,8 @@
     It would go on so when the burst is over, and its requests would wait
     behind those of other entries.
     """
-    forecast = dispatch.Forecast()
+    forecast = dispatch.DelayCorrector()
     for _ in range(50):
-        forecast.learn(0.2, 0.6, now=10.0)
+        forecast.observe(0.2, 0.6, now=10.0)
     assert forecast.correct(0.2, now=10.0) > 0.5
     assert forecast.correct(0.2, now=30.0) < 0.21
--- a/catkinshunt/dispatch/tests/test_choice.py
+++ b/catkinshunt/dispatch/tests/test_choice.py
@@ -42,7 +42,7 @@
     five times as long for the first token.
     """
     first, second = upstream('u1'), upstream('u2')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     fill(tracker, first, 1, tokens=12000)
     fill(tracker, second, 3, tokens=300)
     assert choose([first, second], tracker).upstream is second
@@ -50,7 +50,7 @@
 
 def test_a_full_engine_is_left_for_one_with_a_slot():
     first, second = upstream('u1'), upstream('u2')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     fill(tracker, first, 17, answering=True)
     fill(tracker, second, 15, answering=True)
     assert choose([first, second], tracker).upstream is second
@@ -62,7 +62,7 @@
     job = dispatch.Job(1000, 90)
     chosen = collections.Counter(
         dispatch.Chooser('a', REGIONS, f'entry-{number}')
-        .choose(listed, dispatch.Tracker(), ENGINE, job, 0.0)
+        .choose(listed, dispatch.UpstreamTracker(), ENGINE, job, 0.0)
         .upstream.id
         for number in range(60)
     )
@@ -72,7 +72,7 @@
 
 def test_work_stays_in_the_data_centre_until_that_costs_time():
     near, far = upstream('u1', 'a'), upstream('u2', 'b')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     fill(tracker, near, 1)
     assert choose([near, far], tracker).upstream is near
     fill(tracker, near, 5)
@@ -81,7 +81,7 @@
 
 def test_work_that_others_sent_counts_while_it_is_news():
     first, second = upstream('u1'), upstream('u2')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     tracker.state(first).report(dispatch.Load(14, 6, 16), now=0.0)
     assert choose([first, second], tracker, now=0.1).upstream is second
     # After a second the report says nothing any more.
@@ -95,7 +95,7 @@
     Failing at once it is always the emptiest, and would draw most requests.
     """
     bad, good = upstream('u1'), upstream('u2')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     rng = random.Random(5)
     sent = []
     for step in range(200):
@@ -103,16 +103,16 @@
         found = choose([bad, good], tracker, now, engine=None)
         sent.append(found.upstream.id)
         if found.upstream is bad and rng.random() < 0.5:
-            found.state.fail(now)
+            found.state.record_failure(now)
         else:
-            found.state.succeed(now)
+            found.state.record_success(now)
     assert sent.count('u1') < 30
 
 
 def test_an_upstream_that_recovered_gets_work_again():
     state = dispatch.UpstreamState()
     for _ in range(20):
-        state.fail(now=0.0)
+        state.record_failure(now=0.0)
     assert state.failure_rate(now=0.0) > 0.9
     assert state.failure_rate(now=20.0) < 0.05
 
@@ -120,7 +120,7 @@
 def test_a_silent_upstream_gets_work_only_as_the_last():
     """An upstream loses its power; its connections stay open and silent."""
     dark, other = upstream('u1'), upstream('u2')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     fill(tracker, dark, 1, now=0.0)
     fill(tracker, other, 20, now=1.0)
     assert choose([dark, other], tracker, now=1.0).upstream is other
@@ -131,14 +131,14 @@
     state = dispatch.UpstreamState()
     pauses = []
     for _ in range(5):
-        state.pause(now=0.0)
+        state.back_off(now=0.0)
         pauses.append(state.paused_until)
     assert pauses == [0.4, 0.8, 1.6, 3.2, 4.0]
 
 
 def test_what_was_tried_is_not_tried_again():
     first = upstream('u1')
-    tracker = dispatch.Tracker()
+    tracker = dispatch.UpstreamTracker()
     assert choose([first], tracker, avoid={first.key}) is None
 
 
--- a/catkinshunt/dispatch/tests/test_returns.py
+++ b/catkinshunt/dispatch/tests/test_returns.py
@@ -6,7 +6,7 @@
 
 
 def test_a_caller_that_comes_back_is_told_by_its_deadline():
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     assert detector.waited_s('chat', 5.2, 1.0) == pytest.approx(0.8)
@@ -19,7 +19,7 @@
     calm day, and wait behind the others as soon as there is a queue.
     """
     rng = random.Random(3)
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     told = [
         detector.waited_s('chat', rng.uniform(4.8, 6.0), 1.0)
         for _ in range(500)
@@ -30,7 +30,7 @@
 def test_many_that_come_back_are_still_told():
     """In a burst two in five requests are of callers that come back."""
     rng = random.Random(4)
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     told = []
@@ -43,7 +43,7 @@
 
 
 def test_rules_are_told_apart():
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     assert detector.waited_s('desk', 1.5, 1.0) == 0.0
@@ -51,7 +51,7 @@
 
 def test_the_first_request_may_be_one_that_came_back():
     """An entry starts in the middle of a burst."""
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     detector.waited_s('chat', 4.0, 1.0)
     assert detector.waited_s('chat', 6.0, 1.0) == 0.0
     assert detector.waited_s('chat', 4.0, 1.0) == pytest.approx(2.0)
@@ -64,10 +64,10 @@
     a new one it gets a place that another would have been in time with.
     """
     rng = random.Random(5)
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     for _ in range(60):
         detector.waited_s('chat', rng.uniform(5.1, 6.0), 1.0)
-    detector.note_refusal(2.0)
+    detector.record_rejection(2.0)
     first = [
         detector.waited_s('chat', rng.uniform(5.1, 6.0), 3.0)
         for _ in range(200)
@@ -83,10 +83,10 @@
 def test_times_granted_in_a_burst_teach_nothing():
     """Many of them are of callers that came back."""
     rng = random.Random(6)
-    detector = dispatch.ReturnDetector()
+    detector = dispatch.ReturningRequestDetector()
     for _ in range(60):
         detector.waited_s('chat', rng.uniform(5.1, 6.0), 1.0)
-    detector.note_refusal(2.0)
+    detector.record_rejection(2.0)
     for _ in range(500):
         detector.waited_s('chat', rng.uniform(2.0, 4.0), 3.0)
     assert detector.waited_s('chat', 3.9, 3.1) > 1.0
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -182,11 +182,11 @@
             'Failed at {choice}, {verdict}: {cause}; {grounds}.',
             request_id=self.req.request_id,
             choice=self._choice.upstream.name,
-            verdict='tried again' if verdict.again else 'given up',
+            verdict='tried again' if verdict.should_retry else 'given up',
             cause=exc,
             grounds=verdict.grounds,
         )
-        if not verdict.again:
+        if not verdict.should_retry:
             self._give_up(exc)
 
     def _give_up(self, exc):
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -24,7 +24,7 @@
             once more.
         retry_burst: retries that are allowed beyond that share.
         random: source of random numbers, such as `random.Random(7)`.
-        places: `places.PlaceClient` that asks engines for room.
+        places: `places.PermitClient` that asks engines for room.
         guard: `quarantine.Guard` against requests that crash upstreams, or
             None for none.
     """
@@ -40,16 +40,18 @@
     metrics: object
     permit_client: object
     guard: quarantine.Guard | None = None
-    tracker: dispatch.Tracker = attrs.field(factory=dispatch.Tracker)
-    return_detector: dispatch.ReturnDetector = attrs.field(
-        factory=dispatch.ReturnDetector
+    tracker: dispatch.UpstreamTracker = attrs.field(
+        factory=dispatch.UpstreamTracker
+    )
+    return_detector: dispatch.ReturningRequestDetector = attrs.field(
+        factory=dispatch.ReturningRequestDetector
     )
     stopping_since: float | None = None
     version_grace_s: float = 8.0
     _pools: dict = attrs.field(factory=dict)
     _budgets: dict = attrs.field(factory=dict)
     _forecasts: dict = attrs.field(
-        factory=lambda: collections.defaultdict(dispatch.Forecast)
+        factory=lambda: collections.defaultdict(dispatch.DelayCorrector)
     )
 
     def pool(self, upstream):
@@ -94,5 +96,5 @@
         return found
 
     def forecast(self, service):
-        """Return the `dispatch.Forecast` of a service."""
+        """Return the `dispatch.DelayCorrector` of a service."""
         return self._forecasts[service]
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -23,8 +23,8 @@
 NO_UPSTREAM_RETRY_S = 0.8
 #: Priority at an engine by rank, from 0 (first) to 9; 5 is the usual one.
 PRIORITIES = {
-    dispatch.Rank.EARLY: 4,
-    dispatch.Rank.DOUBTFUL: 6,
+    dispatch.Rank.ON_TIME: 4,
+    dispatch.Rank.AT_RISK: 6,
     dispatch.Rank.LATE: 7,
 }
 #: Share of the retry burst that is kept for requests at upstreams that break
@@ -222,7 +222,7 @@
             found = await finder.find(candidate)
             self._check_version(found)
             return found
-        except places.NoPlaceError:
+        except places.NoPermitError:
             if not self.progress.head_sent:
                 raise
             # Its caller is reading; the engine takes it before others.
@@ -248,7 +248,7 @@
         """Raise what the request ends with unless it may be tried again."""
         progress = self.progress
         serve = self.decision.serve
-        if isinstance(exc, places.NoPlaceError):
+        if isinstance(exc, places.NoPermitError):
             raise self._final(exc)
         progress.may_have_run |= exc.ran != 'no'
         policy = retries.RetryPolicy(
@@ -266,8 +266,10 @@
             self.end_at,
             self.context.clock(),
         )
-        progress.notes.append(f'{verdict.grounds}, again {verdict.again}')
-        if verdict.again:
+        progress.notes.append(
+            f'{verdict.grounds}, again {verdict.should_retry}'
+        )
+        if verdict.should_retry:
             return
         raise self._final(exc)
 
@@ -316,20 +318,20 @@
         self.suspicion.check()
         state = candidate.state
         job = state.begin(self.selection.make_job(), self.context.clock())
-        job.likely_s = candidate.delay_s
+        job.predicted_s = candidate.delay_s
         job.rank = self._rank(candidate)
         try:
             await self._send_job(candidate, job)
-            state.succeed(self.context.clock())
+            state.record_success(self.context.clock())
             self.suspicion.note_completion()
         except errors.RefusedError:
             raise
         except _relay.BrokenOffError:
             self.suspicion.note_break(candidate.upstream)
-            state.fail(self.context.clock())
+            state.record_failure(self.context.clock())
             raise
         except errors.RequestError:
-            state.fail(self.context.clock())
+            state.record_failure(self.context.clock())
             raise
         finally:
             state.end(job)
@@ -348,7 +350,7 @@
         except asyncio.CancelledError:
             # The caller left, or its time is over, before the first byte.
             now = self.context.clock()
-            if not job.answering and not candidate.state.is_silent(now):
+            if not job.answering and not candidate.state.is_unresponsive(now):
                 self.learn_delay(job, now - sent_at)
             raise
         finally:
@@ -365,7 +367,7 @@
         try:
             return await pool.take(fresh=fresh)
         except errors.RefusedError:
-            state.pause(self.context.clock())
+            state.back_off(self.context.clock())
             raise
 
     def _request_bytes(self, upstream, job):
@@ -391,7 +393,7 @@
         if self.progress.head_sent:
             # The caller is reading, and leaves where the stream stands still
             # for long; late ones wait for seconds in a burst.
-            return dispatch.Rank.EARLY
+            return dispatch.Rank.ON_TIME
         now = self.context.clock()
         return self.context.forecast(self.decision.service).rank(
             now - self.req.received_at + self.progress.before_s,
@@ -412,9 +414,9 @@
 
     def learn_delay(self, job, delay_s):
         """Take in the seconds that a try took to its first byte."""
-        if job.rank == dispatch.Rank.EARLY:
+        if job.rank == dispatch.Rank.ON_TIME:
             forecast = self.context.forecast(self.decision.service)
-            forecast.learn(job.likely_s, delay_s, self.context.clock())
+            forecast.observe(job.predicted_s, delay_s, self.context.clock())
 
     def _priority(self, job):
         """Return the rank of the request at an engine, or None."""
@@ -455,7 +457,7 @@
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
-            self.context.return_detector.note_refusal(self.context.clock())
+            self.context.return_detector.record_rejection(self.context.clock())
         items = self.context.dialect.reply_headers(self.ask)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -104,7 +104,7 @@
                 raise BrokenOffError(
                     part.reason, step='read-reply', peer=self.peer
                 )
-            self.state.hear(self.context.clock())
+            self.state.receive(self.context.clock())
             self.job.answering = True
             return part
 
@@ -125,7 +125,7 @@
 
     def _check_silence(self):
         now = self.context.clock()
-        if not self.state.is_silent(now) or now - self.sent_at < LOOK_S:
+        if not self.state.is_unresponsive(now) or now - self.sent_at < LOOK_S:
             return
         if self.exchange.can_move():
             raise SilentError(
--- a/catkinshunt/gateway/_seat.py
+++ b/catkinshunt/gateway/_seat.py
@@ -23,7 +23,7 @@
 #: Seconds within which an engine whose sidecar gives no answer must accept a
 #: connection to get a request; as long as an ask may take. What is sent over
 #: a full link cannot be taken back, and comes after its caller has left.
-PROVE_S = places.ANSWER_S * places.SENDS
+PROVE_S = places.REPLY_TIMEOUT_S * places.MAX_SENDS
 #: Such engines that are tried.
 MOST_PROVED = 2
 #: Share of the slots of an engine that one entry uses where the sidecar gives
@@ -51,7 +51,7 @@
     """
 
     candidate: dispatch.Candidate
-    asking: places.Asking
+    asking: places.PermitHandle
     is_open: bool = True
 
     def settle(self):
@@ -91,23 +91,23 @@
             candidate: the one to ask first.
 
         Raises:
-            places.NoPlaceError: there is no place in time.
+            places.NoPermitError: there is no place in time.
             places.ReloadingError: all are about to load another version.
         """
         asked, waiting, silent = 0, None, []
         in_vain = False
         while candidate is not None and asked < MOST_ASKED:
-            may_ask = self._may_be_asked(candidate.upstream)
+            is_responsive = self._may_be_asked(candidate.upstream)
             bid = None
-            if may_ask:
+            if is_responsive:
                 bid = await self._bid(candidate, asked > 0, in_vain)
             reply = bid.asking.reply if bid is not None else None
-            if isinstance(reply, places.Granted):
+            if isinstance(reply, places.PermitGranted):
                 return self._settle(candidate, bid)
-            if isinstance(reply, places.Queued):
+            if isinstance(reply, places.PermitQueued):
                 waiting = bid
             if reply is None:
-                in_vain |= may_ask
+                in_vain |= is_responsive
                 silent.append(candidate)
                 if len(silent) >= MOST_PROVED:
                     break
@@ -129,13 +129,13 @@
         """Return whether a bid gets its place within `most_s` seconds."""
         try:
             async with asyncio.timeout(most_s):
-                reply = await bid.asking.last_reply()
+                reply = await bid.asking.final_reply()
         except TimeoutError:
             return False
-        return isinstance(reply, places.Granted)
+        return isinstance(reply, places.PermitGranted)
 
     def _may_be_asked(self, upstream):
-        return self.context.permit_client.may_ask(upstream.address[0])
+        return self.context.permit_client.is_responsive(upstream.address[0])
 
     def _is_silent(self, upstream):
         return not self._may_be_asked(upstream)
@@ -179,7 +179,7 @@
             return False
         except errors.RefusedError as exc:
             self._note_try(candidate, str(exc))
-            candidate.state.pause(self.context.clock())
+            candidate.state.back_off(self.context.clock())
             return False
         pool.give_back(conn)
         self._note_try(candidate, 'accepted a connection')
@@ -213,7 +213,7 @@
         self._bids = [kept] if kept is not None else []
         return candidate
 
-    async def _bid(self, candidate, probe, brief):
+    async def _bid(self, candidate, no_wait, brief):
         """Return a `_Bid` with its first reply, or None where none comes.
 
         Args:
@@ -221,9 +221,9 @@
             probe: whether it must answer at once.
             brief: whether another one was asked in vain.
         """
-        asking = self.context.permit_client.ask(
+        asking = self.context.permit_client.request(
             _host(candidate),
-            lambda number: self._ask(number, candidate, probe),
+            lambda number: self._ask(number, candidate, no_wait),
         )
         bid = _Bid(candidate, asking)
         self._bids.append(bid)
@@ -242,26 +242,26 @@
         asking.end()
         return None
 
-    def _ask(self, number, candidate, probe):
-        """Return the `places.Ask` for a candidate."""
+    def _ask(self, number, candidate, no_wait):
+        """Return the `places.PermitRequest` for a candidate."""
         engine = self.selection.engine()
         job = self.selection.make_job()
-        moving = self.waited_s is None
-        if moving:
+        resumed = self.waited_s is None
+        if resumed:
             wait_s = MOVE_WAIT_S
         else:
             held_s = self.context.clock() - self._began
             wait_s = self.goal_s - self.waited_s - held_s
             wait_s -= dispatch.first_token_s(engine, job)
-        return places.Ask(
+        return places.PermitRequest(
             number=number,
             wait_s=round(max(0.0, wait_s), 3),
-            lasts_s=round(dispatch.lasts_s(engine, job), 3),
-            read_s=round(dispatch.read_s(engine, job), 4),
+            occupancy_s=round(dispatch.occupancy_s(engine, job), 3),
+            prefill_s=round(dispatch.prefill_s(engine, job), 4),
             slots=candidate.upstream.slots,
-            probe=probe,
+            no_wait=no_wait,
             late=wait_s <= 0,
-            moving=moving,
+            resumed=resumed,
         )
 
     def _note(self, bid):
@@ -277,8 +277,8 @@
             state.rest(now, RELOAD_PAUSE_S, upstream.versions)
             return
         slots = upstream.slots
-        if isinstance(reply, places.Granted):
-            load = dispatch.Load(reply.held, 0, slots)
+        if isinstance(reply, places.PermitGranted):
+            load = dispatch.Load(reply.in_use, 0, slots)
         else:
             load = dispatch.Load(slots, 1, slots)
         state.report(load, self.context.clock())
@@ -288,18 +288,18 @@
         refused = [
             bid.asking.reply
             for bid in self._bids
-            if isinstance(bid.asking.reply, places.Refused)
+            if isinstance(bid.asking.reply, places.PermitRejected)
         ]
         full = [reply for reply in refused if not _is_reloading(reply)]
         if refused and not full:
             return places.ReloadingError(
                 'all engines are about to load', step='take-place'
             )
-        return places.NoPlaceError(
+        return places.NoPermitError(
             f'no engine has room, {len(full)} said so',
             step='take-place',
             peer=', '.join(_host(bid.candidate) for bid in self._bids),
-            retry_after_s=full[0].retry_s if full else None,
+            retry_after_s=full[0].retry_after_s if full else None,
         )
 
 
@@ -308,7 +308,7 @@
 
 
 def _is_reloading(reply):
-    refused = isinstance(reply, places.Refused)
+    refused = isinstance(reply, places.PermitRejected)
     return refused and reply.reason == places.RELOADING
 
 
@@ -316,6 +316,6 @@
     """Return a note for the log."""
     if reply is None:
         return f'{upstream.id}: its sidecar gave no answer'
-    if isinstance(reply, places.Refused):
+    if isinstance(reply, places.PermitRejected):
         return f'{upstream.id}: refused, {reply.reason}'
     return f'{upstream.id}: {reply.kind}'
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -72,7 +72,7 @@
         """Return whether one that is not tried is there and not silent."""
         now = self.context.clock()
         return any(
-            not self.context.tracker.state(upstream).is_silent(now)
+            not self.context.tracker.state(upstream).is_unresponsive(now)
             for upstream in self._upstreams()
             if upstream.key not in tried
         )
--- a/catkinshunt/gateway/tests/scene.py
+++ b/catkinshunt/gateway/tests/scene.py
@@ -221,7 +221,7 @@
         retry_burst=retry_burst,
         random=random.Random(3),
         metrics=gateway.GatewayMetrics(),
-        permit_client=places.PlaceClient(0, loop.time, random.Random(3)),
+        permit_client=places.PermitClient(0, loop.time, random.Random(3)),
         guard=guard,
     )
     context.catalog.declare(declare(**changes))
@@ -248,7 +248,7 @@
         """Return (reader, writer) of a new connection."""
         return await asyncio.open_connection('127.0.0.1', self.server.port)
 
-    async def ask(self, path, method='GET', body=b'', **headers):
+    async def request(self, path, method='GET', body=b'', **headers):
         """Send one request; return (status, head, bytes of the body).
 
         The body is None where the reply broke off.
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -18,7 +18,7 @@
             'u1', scenes.answering(201, b'booked', [('X-Own', 'kept')])
         )
         async with scenes.scene(upstream) as scene:
-            reply = await scene.ask('/book/9', 'POST', b'die 4')
+            reply = await scene.request('/book/9', 'POST', b'die 4')
             return reply, upstream.heads
 
     (status, head, body), heads = run(main)
@@ -38,7 +38,7 @@
     async def main():
         upstream = scenes.FakeUpstream('u1', scenes.answering())
         async with scenes.scene(upstream) as scene:
-            await scene.ask('/read/1', Account='somebody-else')
+            await scene.request('/read/1', Account='somebody-else')
         return upstream.heads[0]
 
     head = run(main)
@@ -53,8 +53,8 @@
     async def main():
         upstream = scenes.FakeUpstream('u1', scenes.answering())
         async with scenes.scene(upstream) as scene:
-            await scene.ask('/book/1', Left_Ms='700')
-            await scene.ask('/book/1', Left_Ms='60000')
+            await scene.request('/book/1', Left_Ms='700')
+            await scene.request('/book/1', Left_Ms='60000')
         return [int(field(h, 'Left-Ms')) for h in upstream.heads]
 
     short, long = run(main)
@@ -76,7 +76,7 @@
     async def main():
         upstream = scenes.FakeUpstream('u1', scenes.answering())
         async with scenes.scene(upstream) as scene:
-            found = await scene.ask(path, Api_Key=key)
+            found = await scene.request(path, Api_Key=key)
             return found[0], len(upstream.heads)
 
     assert run(main) == (status, 1 if status == 200 else 0)
@@ -98,8 +98,8 @@
             ready = scene.server.is_ready()
             return (
                 ready,
-                await scene.ask('/read/1'),
-                await scene.ask('/open/1', Api_Key=''),
+                await scene.request('/read/1'),
+                await scene.request('/open/1', Api_Key=''),
             )
 
     ready, (status, head, _), public = run(main)
@@ -117,7 +117,7 @@
 
     async def main():
         async with scenes.scene() as scene:
-            return await scene.ask('/unknown/1')
+            return await scene.request('/unknown/1')
 
     try:
         status = run(main)[0]
@@ -138,9 +138,9 @@
     async def main():
         async with scenes.scene() as scene:
             base = scene.context.wall
-            early = await scene.ask(path, Api_Key=key)
+            early = await scene.request(path, Api_Key=key)
             scene.context.wall = lambda: base() + 2.5
-            return early, await scene.ask(path, Api_Key=key)
+            return early, await scene.request(path, Api_Key=key)
 
     early, (status, head, _) = run(main)
     assert early[0] in (401, 404)
@@ -158,7 +158,7 @@
     async def main():
         async with scenes.scene() as scene:
             scene.context.catalog.declaration = None
-            return await scene.ask('/read/1')
+            return await scene.request('/read/1')
 
     assert run(main)[0] == 503
 
@@ -171,7 +171,7 @@
         async with scenes.scene(upstream) as scene:
             catalog = scene.context.catalog
             known, catalog.declaration = catalog.declaration, None
-            asked = asyncio.ensure_future(scene.ask('/read/1'))
+            asked = asyncio.ensure_future(scene.request('/read/1'))
             await asyncio.sleep(0.1)
             early = asked.done()
             catalog.declare(known)
@@ -185,7 +185,7 @@
         full = scenes.FakeUpstream('u1', scenes.refusing())
         free = scenes.FakeUpstream('u2', scenes.answering())
         async with scenes.scene(full, free) as scene:
-            found = [await scene.ask('/read/1') for _ in range(4)]
+            found = [await scene.request('/read/1') for _ in range(4)]
             return [reply[0] for reply in found], len(full.heads)
 
     statuses, refused = run(main)
@@ -207,7 +207,7 @@
         first = scenes.FakeUpstream('u1', lose)
         second = scenes.FakeUpstream('u2', lose)
         async with scenes.scene(first, second) as scene:
-            found = await scene.ask('/book/1', 'POST', b'x')
+            found = await scene.request('/book/1', 'POST', b'x')
         return found[0], len(first.heads) + len(second.heads)
 
     assert run(main) == (502, 1)
@@ -223,13 +223,13 @@
     async def main():
         upstream = scenes.FakeUpstream('u1', scenes.answering())
         async with scenes.scene(upstream) as scene:
-            await scene.ask('/read/1')
+            await scene.request('/read/1')
             entry = scene.context.catalog.find('u1')
             pool = scene.context.pool(entry)
             before = pool.opened
-            await scene.ask('/read/2')
+            await scene.request('/read/2')
             kept = pool.opened - before
-            await scene.ask('/book/1', 'POST', b'x')
+            await scene.request('/book/1', 'POST', b'x')
             return kept, pool.opened - before
 
     assert run(main) == (0, 1)
@@ -246,7 +246,7 @@
     async def main():
         upstream = scenes.FakeUpstream('u1', scenes.answering(status, b''))
         async with scenes.scene(upstream) as scene:
-            return await scene.ask('/book/1', 'POST', b'x')
+            return await scene.request('/book/1', 'POST', b'x')
 
     status, head, _ = run(main)
     assert status == 502
@@ -267,7 +267,7 @@
     async def main():
         first = scenes.FakeUpstream('u1', lose)
         async with scenes.scene(first) as scene:
-            return await scene.ask('/read/1')
+            return await scene.request('/read/1')
 
     assert run(main)[0] == 502
 
@@ -286,7 +286,7 @@
         upstreams = [scenes.FakeUpstream(f'u{i}', lose) for i in range(2)]
         async with scenes.scene(*upstreams, retry_burst=1.0) as scene:
             for _ in range(10):
-                await scene.ask('/read/1')
+                await scene.request('/read/1')
         return sum(len(upstream.heads) for upstream in upstreams)
 
     assert run(main) <= 12
@@ -306,7 +306,7 @@
 
     async def main():
         async with scenes.scene(scenes.FakeUpstream('u1', answer)) as scene:
-            return await scene.ask('/read/1')
+            return await scene.request('/read/1')
 
     assert run(main)[2] == b'yours'
 
@@ -347,7 +347,7 @@
         async with scenes.scene(upstream) as scene:
             clock = asyncio.get_running_loop().time
             began = clock()
-            found = await scene.ask('/book/1', Left_Ms='300')
+            found = await scene.request('/book/1', Left_Ms='300')
             return found[0], clock() - began
 
     status, took_s = run(main)
@@ -358,7 +358,7 @@
 def test_a_request_nobody_can_take_is_refused_in_time():
     async def main():
         async with scenes.scene() as scene:
-            return await scene.ask('/book/1')
+            return await scene.request('/book/1')
 
     status, head, _ = run(main)
     assert status == 429
--- a/catkinshunt/gateway/tests/test_places.py
+++ b/catkinshunt/gateway/tests/test_places.py
@@ -23,44 +23,46 @@
     def __init__(self, *answers):
         self.answers = list(answers)
         self.asks = []
-        self.held = 0
+        self.in_use = 0
         self.granted = 0
         self.make_asking = FakeAsking
 
-    def may_ask(self, host):
+    def is_responsive(self, host):
         return True
 
-    def ask(self, host, make_ask):
-        ask = make_ask(len(self.asks))
+    def request(self, host, make_request):
+        ask = make_request(len(self.asks))
         self.asks.append(ask)
-        answer = self.answers.pop(0) if self.answers else places.Granted
+        answer = self.answers.pop(0) if self.answers else places.PermitGranted
         return self.make_asking(self, ask, answer)
 
 
 class FakeAsking:
     def __init__(self, door, ask, answer):
         self.door = door
-        self.ask = ask
+        self.request = ask
         self.answer = answer
         self.reply = None
 
     async def first_reply(self):
-        if self.answer is places.Granted:
-            self.door.held += 1
+        if self.answer is places.PermitGranted:
+            self.door.in_use += 1
             self.door.granted += 1
-            self.reply = places.Granted(self.ask.number, 1)
-        elif self.answer is places.Queued:
-            self.reply = places.Queued(self.ask.number)
+            self.reply = places.PermitGranted(self.request.number, 1)
+        elif self.answer is places.PermitQueued:
+            self.reply = places.PermitQueued(self.request.number)
         elif self.answer is not None:
-            self.reply = places.Refused(self.ask.number, self.answer, 1.7)
+            self.reply = places.PermitRejected(
+                self.request.number, self.answer, 1.7
+            )
         return self.reply
 
-    async def last_reply(self):
-        self.answer = places.Granted
+    async def final_reply(self):
+        self.answer = places.PermitGranted
         return await self.first_reply()
 
     def end(self):
-        self.door.held -= isinstance(self.reply, places.Granted)
+        self.door.in_use -= isinstance(self.reply, places.PermitGranted)
 
 
 def engine(name, answer, version=1):
@@ -73,7 +75,7 @@
     async def main():
         async with scenes.scene(*engines) as scene:
             scene.context.permit_client = door
-            return await scene.ask(
+            return await scene.request(
                 '/chat/1', 'POST', b'hello', **CHAT, **headers
             )
 
@@ -85,11 +87,11 @@
     held = []
 
     async def answer(head, writer, upstream):
-        held.append(door.held)
+        held.append(door.in_use)
         return await scenes.streaming(3)(head, writer, upstream)
 
     status, _, _ = play(door, engine('u1', answer))
-    assert (status, held, door.held) == (200, [1], 0)
+    assert (status, held, door.in_use) == (200, [1], 0)
 
 
 def test_a_place_is_given_back_when_the_engine_breaks():
@@ -100,7 +102,7 @@
 
     status, _, _ = play(door, engine('u1', answer))
     assert status == 502
-    assert door.held == 0
+    assert door.in_use == 0
 
 
 def test_a_silent_sidecar_ends_the_old_version_sooner():
@@ -122,7 +124,7 @@
                 scenes.MODEL, 2, context.wall() - 7.0
             )
             context.tracker.state(new.entry()).rest(context.clock(), 0.2)
-            return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            return await scene.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
     assert status == 200
@@ -132,7 +134,7 @@
 def test_nothing_is_sent_to_an_engine_whose_time_ran_out_meanwhile():
     """A request that waited for its place would begin on the old version."""
     old = engine('a', scenes.streaming(3), version=1)
-    door = FakeDoor(places.Queued)
+    door = FakeDoor(places.PermitQueued)
 
     async def main():
         async with scenes.scene(old) as scene:
@@ -141,20 +143,20 @@
             context.version_grace_s = 8.0
 
             class Waiting(FakeAsking):
-                async def last_reply(self):
+                async def final_reply(self):
                     now = context.wall()
                     context.catalog.add_named_version(
                         scenes.MODEL, 2, now - 9.0
                     )
-                    return await super().last_reply()
+                    return await super().final_reply()
 
             door.make_asking = Waiting
-            return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            return await scene.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
     assert status == 429
     assert not old.heads
-    assert door.held == 0
+    assert door.in_use == 0
 
 
 def test_where_no_engine_has_room_nothing_is_sent():
@@ -179,11 +181,11 @@
 
 def test_a_request_waits_where_no_other_engine_has_room():
     engines = [engine(name, scenes.streaming(3)) for name in 'abc']
-    door = FakeDoor(places.Queued, places.NO_ROOM, places.NO_ROOM)
+    door = FakeDoor(places.PermitQueued, places.NO_ROOM, places.NO_ROOM)
     status, _, _ = play(door, *engines)
     assert status == 200
-    assert [ask.probe for ask in door.asks] == [False, True, True]
-    assert door.held == 0
+    assert [ask.no_wait for ask in door.asks] == [False, True, True]
+    assert door.in_use == 0
 
 
 def test_a_request_does_not_wait_where_another_engine_has_room():
@@ -192,10 +194,10 @@
     It asked the one that looked best, which is full, and others stand idle.
     """
     engines = [engine(name, scenes.streaming(3)) for name in 'abc']
-    door = FakeDoor(places.Queued, places.NO_ROOM, places.Granted)
+    door = FakeDoor(places.PermitQueued, places.NO_ROOM, places.PermitGranted)
     status, _, _ = play(door, *engines)
     assert status == 200
-    assert door.held == 0
+    assert door.in_use == 0
 
 
 def test_an_engine_about_to_load_is_left_alone():
@@ -213,7 +215,7 @@
         async with scenes.scene(only) as scene:
             scene.context.permit_client = FakeDoor(places.RELOADING)
             asking = asyncio.ensure_future(
-                scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+                scene.request('/chat/1', 'POST', b'hello', **CHAT)
             )
             await asyncio.sleep(0.1)
             changed = only.entry(versions={scenes.MODEL: 2})
@@ -233,11 +235,11 @@
 def test_a_silent_engine_is_not_preferred_to_one_that_lets_wait():
     """Behind a narrow link a request comes after its caller has left."""
     first, second = (engine(name, scenes.streaming(3)) for name in 'ab')
-    door = FakeDoor(places.Queued, None)
+    door = FakeDoor(places.PermitQueued, None)
     status, _, _ = play(door, first, second)
     heads = sorted(len(each.heads) for each in (first, second))
     assert (status, heads) == (200, [0, 1])
-    assert door.held == 0
+    assert door.in_use == 0
     assert door.granted == 1
 
 
@@ -247,7 +249,7 @@
     door = FakeDoor(None)
     status, _, _ = play(door, *engines)
     assert status == 200
-    assert (door.granted, door.held) == (1, 0)
+    assert (door.granted, door.in_use) == (1, 0)
 
 
 @pytest.mark.parametrize('silent', ['a', 'b'])
@@ -256,7 +258,7 @@
     engines = [engine(name, scenes.streaming(3)) for name in 'ab']
     (first,) = [each for each in engines if each.name == silent]
     door = FakeDoor()
-    door.may_ask = lambda host: host != SILENT_HOST
+    door.is_responsive = lambda host: host != SILENT_HOST
 
     async def main():
         async with scenes.scene(*engines) as scene:
@@ -264,7 +266,9 @@
             context.permit_client = door
             changed = first.entry(address=(SILENT_HOST, first.port))
             context.catalog.put_upstream(changed)
-            status, _, _ = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            status, _, _ = await scene.request(
+                '/chat/1', 'POST', b'hello', **CHAT
+            )
             return status, context.tracker.state(changed).failures_in_row
 
     assert asyncio.run(main()) == (200, 0)
@@ -296,7 +300,7 @@
             context.permit_client = FakeDoor(None)
             hold_up(context, only, 0.4)
             began = context.clock()
-            reply = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            reply = await scene.request('/chat/1', 'POST', b'hello', **CHAT)
             return reply, context.clock() - began
 
     (status, head, _), took_s = asyncio.run(main())
@@ -309,12 +313,12 @@
 def test_a_request_waits_on_where_the_silent_engine_is_behind_a_full_link():
     """Given up for that engine, it would lose its turn at the other one."""
     engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(places.Queued, None)
+    door = FakeDoor(places.PermitQueued, None)
 
     class Waiting(FakeAsking):
-        async def last_reply(self):
+        async def final_reply(self):
             await asyncio.sleep(0.2)
-            return await super().last_reply()
+            return await super().final_reply()
 
     door.make_asking = Waiting
 
@@ -323,23 +327,25 @@
             scene.context.permit_client = door
             for each in engines:
                 hold_up(scene.context, each, 0.3)
-            return await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            return await scene.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
-    assert (status, door.granted, door.held) == (200, 1, 0)
+    assert (status, door.granted, door.in_use) == (200, 1, 0)
 
 
 def test_a_request_does_not_wait_in_vain_beside_a_dead_sidecar():
     """The engine beside that sidecar works, and all others are full."""
     engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(places.Queued, None)
+    door = FakeDoor(places.PermitQueued, None)
 
-    class Refused(FakeAsking):
-        async def last_reply(self):
+    class PermitRejected(FakeAsking):
+        async def final_reply(self):
             await asyncio.sleep(2.0)
-            return places.Refused(self.ask.number, places.NO_ROOM, 1.7)
+            return places.PermitRejected(
+                self.request.number, places.NO_ROOM, 1.7
+            )
 
-    door.make_asking = Refused
+    door.make_asking = PermitRejected
     began = time.monotonic()
     status, _, _ = play(door, *engines)
     assert status == 200
@@ -364,7 +370,7 @@
         async with scenes.scene(*engines) as scene:
             scene.context.permit_client = door
             began = scene.context.clock()
-            reply = await scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+            reply = await scene.request('/chat/1', 'POST', b'hello', **CHAT)
             return reply[0], scene.context.clock() - began
 
     status, took_s = asyncio.run(main())
@@ -376,16 +382,16 @@
 def test_a_place_at_a_silent_engine_is_given_back_before_the_request_waits():
     """Its grant comes late, and would keep others out for nothing."""
     engines = [engine(name, scenes.streaming(3)) for name in 'ab']
-    door = FakeDoor(None, places.Queued)
+    door = FakeDoor(None, places.PermitQueued)
     ended = []
 
     class Noting(FakeAsking):
-        async def last_reply(self):
+        async def final_reply(self):
             ended.append(len(ends))
-            return await super().last_reply()
+            return await super().final_reply()
 
         def end(self):
-            ends.append(self.ask.number)
+            ends.append(self.request.number)
             super().end()
 
     ends = []
@@ -409,7 +415,7 @@
             scene.context.permit_client = FakeDoor(*[None] * 20)
             asking = [
                 asyncio.ensure_future(
-                    scene.ask('/chat/1', 'POST', b'hello', **CHAT)
+                    scene.request('/chat/1', 'POST', b'hello', **CHAT)
                 )
                 for _ in range(5)
             ]
@@ -427,7 +433,7 @@
     """Its caller is reading; a refusal now would lose what it has."""
     first = engine('u1', scenes.streaming(6, breaks_after=3))
     second = engine('u2', scenes.streaming(6, breaks_after=3))
-    door = FakeDoor(places.Granted, *[places.NO_ROOM] * 3)
+    door = FakeDoor(places.PermitGranted, *[places.NO_ROOM] * 3)
 
     async def answer(head, writer, upstream):
         if scenes.field(head, 'Last-Event-Id'):
@@ -440,7 +446,7 @@
     status, _, body = play(door, first, second)
     assert status == 200
     assert body.endswith(scenes.event(6))
-    assert [ask.moving for ask in door.asks] == [False, True]
+    assert [ask.resumed for ask in door.asks] == [False, True]
 
 
 def test_an_ask_tells_how_long_the_request_may_wait():
@@ -460,7 +466,7 @@
         async with scenes.scene(engine('u1', scenes.streaming(3))) as scene:
             scene.context.permit_client = door
             for left_ms in ('5000', '5000', '3000'):
-                await scene.ask(
+                await scene.request(
                     '/chat/1', 'POST', b'hello', Left_Ms=left_ms, **CHAT
                 )
 
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -63,9 +63,9 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def ask(self, number, path='/read/1', body=BAD, **headers):
+    async def request(self, number, path='/read/1', body=BAD, **headers):
         scene = self.scenes[number % len(self.scenes)]
-        return await scene.ask(path, 'POST', body, **headers)
+        return await scene.request(path, 'POST', body, **headers)
 
 
 @contextlib.asynccontextmanager
@@ -103,7 +103,7 @@
     """Let the bad request come to each entry in turn; return its replies."""
     replies = []
     for number in range(24):
-        replies.append(await found.ask(number))
+        replies.append(await found.request(number))
         await asyncio.sleep(0.05)
     return replies
 
@@ -120,7 +120,7 @@
         third = found.crashed_at[2]
         late = [t for t in found.crashed_at if t > third + CONTACT_S]
         before = len(found.crashed_at)
-        last = [await found.ask(number) for number in range(3)]
+        last = [await found.request(number) for number in range(3)]
         return replies, late, len(found.crashed_at) - before, last
 
     replies, late, further, last = run(main)
@@ -142,7 +142,7 @@
         async def work(name):
             while not stop.is_set():
                 body = f'a sound prompt of {name}'.encode()
-                statuses.append((await found.ask(name, body=body))[0])
+                statuses.append((await found.request(name, body=body))[0])
 
         workers = [asyncio.ensure_future(work(n)) for n in range(12)]
         await ask_often(found)
@@ -151,7 +151,7 @@
         last = []
         for name in range(12):
             body = f'a sound prompt of {name}'.encode()
-            last.append((await found.ask(name, body=body))[0])
+            last.append((await found.request(name, body=body))[0])
         return statuses, last
 
     statuses, last = run(main)
@@ -162,7 +162,7 @@
 def test_other_requests_of_the_same_caller_and_path_are_served():
     async def main(found):
         await ask_often(found)
-        return await found.ask(0, body=b'sound'), await found.ask(0)
+        return await found.request(0, body=b'sound'), await found.request(0)
 
     sound, bad = run(main)
     assert sound[0] == 200
@@ -178,8 +178,8 @@
             scenes.HOST, 'POST', '/read/1', 'workshop', BAD
         )
         found.when_crashed = lambda: gossip.add(request, 60.0)
-        first = await found.ask(0)
-        return first, await found.ask(0), len(found.crashed_at)
+        first = await found.request(0)
+        return first, await found.request(0), len(found.crashed_at)
 
     first, second, crashes = run(main)
     assert first[0] == 502
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -22,7 +22,7 @@
 
 
 async def chat(scene, path='/chat/1', **headers):
-    return await scene.ask(path, 'POST', b'hello', **CHAT, **headers)
+    return await scene.request(path, 'POST', b'hello', **CHAT, **headers)
 
 
 def test_events_come_in_order_and_whole():
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -13,9 +13,9 @@
 #: Seconds after which an ask without any reply is sent again, and then taken
 #: as unanswered. On a link that is full of chunks a datagram takes up to
 #: 0.05 s each way.
-ANSWER_S = 0.08
+REPLY_TIMEOUT_S = 0.08
 #: Times that an ask is sent.
-SENDS = 2
+MAX_SENDS = 2
 #: Seconds beyond its own wait after which a queued ask is given up; its
 #: reply must have been lost.
 LOST_S = 0.15
@@ -27,7 +27,7 @@
 _log = logs.get_logger('places')
 
 
-class NoPlaceError(errors.OverloadedError):
+class NoPermitError(errors.OverloadedError):
     """Not run: no engine has a place for it in time."""
 
 
@@ -36,40 +36,40 @@
 
 
 @attrs.define(eq=False)
-class Asking:
+class PermitHandle:
     """One ask on its way, and the place that it may get.
 
     It is on its way from `first_reply` on, and must be ended by `end`, which
     gives back what it got.
 
     Attributes:
-        ask: the `Ask`.
+        ask: the `PermitRequest`.
         reply: the newest reply; None while there is none.
     """
 
     _client: object
     _host: str
-    ask: _messages.Ask
+    request: _messages.PermitRequest
     reply: object = None
     _replies: asyncio.Queue = attrs.field(factory=asyncio.Queue)
 
     async def first_reply(self):
         """Send the ask; return the first reply, or None where none comes."""
         self._client.begin(self)
-        for _ in range(SENDS):
-            self._client.send(self._host, self.ask)
-            if await self._next_reply(ANSWER_S) is not None:
+        for _ in range(MAX_SENDS):
+            self._client.send(self._host, self.request)
+            if await self._next_reply(REPLY_TIMEOUT_S) is not None:
                 break
         self._client.note_answer(self._host, self.reply is not None)
         return self.reply
 
-    async def last_reply(self):
-        """Return what a `Queued` ask got: `Granted` or `Refused`."""
-        longest_s = max(self.ask.wait_s, _ledger.LATE_WAIT_S) + LOST_S
-        while isinstance(self.reply, _messages.Queued):
+    async def final_reply(self):
+        """Return what a `PermitQueued` ask got: `PermitGranted` or `PermitRejected`."""
+        longest_s = max(self.request.wait_s, _ledger.LATE_MAX_WAIT_S) + LOST_S
+        while isinstance(self.reply, _messages.PermitQueued):
             if await self._next_reply(longest_s) is None:
-                return _messages.Refused(
-                    self.ask.number, _ledger.NO_ROOM, _ledger.LEAST_RETRY_S
+                return _messages.PermitRejected(
+                    self.request.number, _ledger.NO_ROOM, _ledger.LEAST_RETRY_S
                 )
         return self.reply
 
@@ -81,7 +81,7 @@
             return None
         return self.reply
 
-    def hear(self, reply):
+    def receive(self, reply):
         """Take a reply of the sidecar."""
         self._replies.put_nowait(reply)
 
@@ -89,8 +89,10 @@
         """Give the place back, or no longer want one."""
         self._client.end(self)
         # What was refused is not known there any more.
-        if not isinstance(self.reply, _messages.Refused):
-            self._client.send(self._host, _messages.Done(self.ask.number))
+        if not isinstance(self.reply, _messages.PermitRejected):
+            self._client.send(
+                self._host, _messages.PermitRelease(self.request.number)
+            )
 
 
 @attrs.define
@@ -101,7 +103,7 @@
     pause_s: float
 
 
-class PlaceClient(asyncio.DatagramProtocol):
+class PermitClient(asyncio.DatagramProtocol):
     """Asks the sidecars of engines for places.
 
     Args:
@@ -138,19 +140,19 @@
         """Whether there are sidecars to be asked."""
         return self._transport is not None
 
-    def may_ask(self, host):
+    def is_responsive(self, host):
         """Return whether the sidecar on `host` is likely to answer."""
         silence = self._silent.get(host)
         return silence is None or self.clock() >= silence.until
 
-    def ask(self, host, make_ask):
-        """Return a new `Asking`.
+    def request(self, host, make_request):
+        """Return a new `PermitHandle`.
 
         Args:
             host: address of the engine and its sidecar.
-            make_ask: function of the number that returns the `Ask`.
+            make_request: function of the number that returns the `PermitRequest`.
         """
-        return Asking(self, host, make_ask(next(self._numbers)))
+        return PermitHandle(self, host, make_request(next(self._numbers)))
 
     def send(self, host, message):
         """Send one message to the sidecar on `host`."""
@@ -167,18 +169,18 @@
             return
         asking = self._asking.get(message.number)
         if asking is not None:
-            asking.hear(message)
-        elif isinstance(message, _messages.Granted):
+            asking.receive(message)
+        elif isinstance(message, _messages.PermitGranted):
             # The request has ended or gone elsewhere.
-            self.send(addr[0], _messages.Done(message.number))
+            self.send(addr[0], _messages.PermitRelease(message.number))
 
     def begin(self, asking):
         """Hear replies to an ask from now on."""
-        self._asking[asking.ask.number] = asking
+        self._asking[asking.request.number] = asking
 
     def end(self, asking):
         """Hear no more replies to an ask."""
-        self._asking.pop(asking.ask.number, None)
+        self._asking.pop(asking.request.number, None)
 
     def note_answer(self, host, came):
         """Note whether the sidecar on `host` answered."""
--- a/catkinshunt/places/_ledger.py
+++ b/catkinshunt/places/_ledger.py
@@ -20,7 +20,7 @@
 MOST_RETRY_S = 5.0
 #: Seconds for which late requests may wait for a place that nobody else
 #: wants. As many may wait as got one in that time lately.
-LATE_WAIT_S = 0.5
+LATE_MAX_WAIT_S = 0.5
 #: Seconds in which the count of late requests that got a place falls to
 #: 1/e, and the least rate that is assumed, per second.
 LATE_MEMORY_S = 1.0
@@ -46,11 +46,11 @@
 class _Waiting:
     """An ask that waits for a place until `until`."""
 
-    ask: _messages.Ask
+    request: _messages.PermitRequest
     until: float
 
 
-class Ledger(base.ParamsMixin):
+class PermitAllocator(base.ParamsMixin):
     """Gives out the places at one engine, and knows who holds them.
 
     Entries each see a part of what an engine has to do. In a burst past what
@@ -64,13 +64,13 @@
         spare: places beyond the slots of the engine.
 
     Examples:
-        >>> ledger = Ledger(spare=0)
-        >>> ask = _messages.Ask(1, 0.2, lasts_s=1.0, read_s=0.05, slots=1)
-        >>> ledger.ask('a', ask, now=0.0)
+        >>> ledger = PermitAllocator(spare=0)
+        >>> request = _messages.PermitRequest(1, 0.2, occupancy_s=1.0, prefill_s=0.05, slots=1)
+        >>> ledger.request('a', request, now=0.0)
         [('a', Granted(number=1, held=1))]
-        >>> ledger.ask('b', ask, now=0.1)
+        >>> ledger.request('b', request, now=0.1)
         [('b', Queued(number=1))]
-        >>> ledger.done('a', 1, now=0.2)
+        >>> ledger.release('a', 1, now=0.2)
         [('b', Granted(number=1, held=1))]
     """
 
@@ -92,7 +92,7 @@
         self._expires_at = math.inf
 
     @property
-    def held(self):
+    def in_use(self):
         """Number of places that are taken."""
         return len(self._held) + self._foreign
 
@@ -101,30 +101,32 @@
         """Number of asks that wait."""
         return len(self._queue) + len(self._late)
 
-    def ask(self, peer, ask, now):
+    def request(self, peer, request, now):
         """Decide on an ask; return replies as pairs of peer and message.
 
         Args:
             peer: names the entry; any value that can be hashed.
-            ask: `Ask`. Asked again, it gets the same reply again.
+            ask: `PermitRequest`. Asked again, it gets the same reply again.
             now: seconds on the steady clock.
         """
         checks.check_count(self.spare, 'spare')
-        self._slots = ask.slots
-        if not ask.late and self._room() <= 0:
+        self._slots = request.slots
+        if not request.late and self._room() <= 0:
             self._short_until = now + SHORT_S
-        key = (peer, ask.number)
+        key = (peer, request.number)
         if key in self._held:
-            return [(peer, _messages.Granted(ask.number, self.held))]
+            return [
+                (peer, _messages.PermitGranted(request.number, self.in_use))
+            ]
         if key in self._queue or key in self._late:
-            return [(peer, _messages.Queued(ask.number))]
-        if self._is_too_long(ask, now):
+            return [(peer, _messages.PermitQueued(request.number))]
+        if self._is_too_long(request, now):
             return [self._refuse(key, RELOADING, now)]
-        if self._may_begin(ask, now) and not self._goes_behind(ask):
-            return [self._grant(key, ask, now)]
-        return [self._put(key, ask, now)]
+        if self._may_begin(request, now) and not self._goes_behind(request):
+            return [self._grant(key, request, now)]
+        return [self._put(key, request, now)]
 
-    def done(self, peer, number, now):
+    def release(self, peer, number, now):
         """Take a place back; return replies to those who get it."""
         key = (peer, number)
         self._held.pop(key, None)
@@ -142,8 +144,8 @@
                     replies.append(self._refuse(key, NO_ROOM, now))
         return replies
 
-    def next_step(self):
-        """Return when `step` has something to do next, or None."""
+    def next_due_at(self):
+        """Return when `run_due` has something to do next, or None."""
         lines = (*self._queue.values(), *self._late.values())
         times = [waiting.until for waiting in lines]
         key = self._next()
@@ -154,11 +156,11 @@
             times.append(opens_at)
         return min(times, default=None)
 
-    def step(self, now):
+    def run_due(self, now):
         """Do what is due by now; return replies."""
         return [*self._expire(now), *self._give(now)]
 
-    def correct(self, present, now):
+    def reconcile(self, present, now):
         """Put the count right by what the engine has; return replies.
 
         An entry that dies gives nothing back, one that cannot reach this
@@ -204,7 +206,7 @@
         self._opens_at = math.inf
         return self._give(now)
 
-    def expire(self, expires_at):
+    def set_expiry(self, expires_at):
         """Give no place to a request that would begin after `expires_at`.
 
         What the engine serves is too old from then on. Its sidecar hears of
@@ -219,89 +221,93 @@
     # Parts of a decision.
 
     def _room(self):
-        return self._slots + self.spare - self.held
+        return self._slots + self.spare - self.in_use
 
-    def _is_too_long(self, ask, now):
+    def _is_too_long(self, request, now):
         """Return whether an answer would last into the loading.
 
         Or begin after what the engine serves has expired.
         """
-        if now + ask.read_s >= self._expires_at:
+        if now + request.prefill_s >= self._expires_at:
             return True
         if now > self._opens_at + REOPEN_S:
             return False
-        return now + ask.lasts_s > self._closes_at
+        return now + request.occupancy_s > self._closes_at
 
     def _reads_soon_at(self):
         """Return when the engine has read most of what it was given."""
         return self._read_at - MOST_READING_S
 
-    def _may_begin(self, ask, now):
+    def _may_begin(self, request, now):
         """Return whether the engine has room, and time to read it."""
         if self._room() <= 0:
             return False
-        if ask.late and now < self._short_until:
+        if request.late and now < self._short_until:
             return False
-        return ask.moving or now >= self._reads_soon_at()
+        return request.resumed or now >= self._reads_soon_at()
 
-    def _goes_behind(self, ask):
+    def _goes_behind(self, request):
         """Return whether others that wait go before this ask."""
-        if ask.moving:
+        if request.resumed:
             return False
-        return bool(self._queue) or (ask.late and bool(self._late))
+        return bool(self._queue) or (request.late and bool(self._late))
 
-    def _put(self, key, ask, now):
+    def _put(self, key, request, now):
         """Let an ask wait where that makes sense; return the reply."""
-        if ask.probe:
-            refused = _messages.Refused(ask.number, NO_ROOM, LEAST_RETRY_S)
+        if request.no_wait:
+            refused = _messages.PermitRejected(
+                request.number, NO_ROOM, LEAST_RETRY_S
+            )
             return key[0], refused
-        if ask.late:
-            if len(self._late) + 1 > self._late_rate(now) * LATE_WAIT_S:
+        if request.late:
+            if len(self._late) + 1 > self._late_rate(now) * LATE_MAX_WAIT_S:
                 return self._refuse(key, NO_ROOM, now)
-            self._late[key] = _Waiting(ask, now + LATE_WAIT_S)
-        elif ask.wait_s > 0:
-            self._queue[key] = _Waiting(ask, now + ask.wait_s)
+            self._late[key] = _Waiting(request, now + LATE_MAX_WAIT_S)
+        elif request.wait_s > 0:
+            self._queue[key] = _Waiting(request, now + request.wait_s)
         else:
             return self._refuse(key, NO_ROOM, now)
-        return key[0], _messages.Queued(ask.number)
+        return key[0], _messages.PermitQueued(request.number)
 
     def _give(self, now):
         """Grant free places to those who wait; return the replies."""
         replies = []
         while (key := self._next()) is not None:
             line = self._queue if key in self._queue else self._late
-            ask = line[key].ask
-            if not self._may_begin(ask, now):
+            request = line[key].request
+            if not self._may_begin(request, now):
                 break
             del line[key]
-            if self._is_too_long(ask, now):
+            if self._is_too_long(request, now):
                 replies.append(self._refuse(key, RELOADING, now))
             else:
-                replies.append(self._grant(key, ask, now))
+                replies.append(self._grant(key, request, now))
         return replies
 
     def _next(self):
         """Return the key of the ask that goes next, or None."""
         for key, waiting in reversed(self._queue.items()):
-            if waiting.ask.moving:
+            if waiting.request.resumed:
                 return key
         if self._queue:
             return next(reversed(self._queue))
         return next(iter(self._late), None)
 
-    def _grant(self, key, ask, now):
+    def _grant(self, key, request, now):
         self._held[key] = now
-        self._read_at = max(self._read_at, now) + ask.read_s
-        if ask.late:
+        self._read_at = max(self._read_at, now) + request.prefill_s
+        if request.late:
             self._late_count = self._late_rate(now) * LATE_MEMORY_S + 1
             self._late_at = now
         peer, number = key
-        return peer, _messages.Granted(number, self.held)
+        return peer, _messages.PermitGranted(number, self.in_use)
 
     def _refuse(self, key, reason, now):
         peer, number = key
         retry_s = self._retry_s(reason, now)
-        return peer, _messages.Refused(number, reason, round(retry_s, 3))
+        return peer, _messages.PermitRejected(
+            number, reason, round(retry_s, 3)
+        )
 
     def _retry_s(self, reason, now):
         """Return after how long a caller that is refused may come back.
--- a/catkinshunt/places/_messages.py
+++ b/catkinshunt/places/_messages.py
@@ -15,15 +15,15 @@
 
 
 @attrs.frozen
-class Ask:
+class PermitRequest:
     """An entry asks for a place for one request.
 
     Attributes:
         number: names the ask among those of its entry.
         wait_s: seconds for which the request may wait for the place and
             still get its first token in time; 0 for one that is late.
-        lasts_s: seconds that it is likely to hold the place.
-        read_s: seconds that its prompt takes the engine to read.
+        occupancy_s: seconds that it is likely to hold the place.
+        prefill_s: seconds that its prompt takes the engine to read.
         slots: requests that the engine works on at once.
         probe: it wants a place now or an answer at once, and does not wait.
         late: it cannot be in time; it takes a place that nobody else wants.
@@ -35,16 +35,16 @@
 
     number: int
     wait_s: float
-    lasts_s: float
-    read_s: float
+    occupancy_s: float
+    prefill_s: float
     slots: int
-    probe: bool = False
+    no_wait: bool = False
     late: bool = False
-    moving: bool = False
+    resumed: bool = False
 
 
 @attrs.frozen
-class Done:
+class PermitRelease:
     """An entry gives a place back, or no longer wants one."""
 
     kind = 'done'
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Granted:
+class PermitGranted:
     """A sidecar gives a place.
 
     Attributes:
@@ -64,11 +64,11 @@
     kind = 'granted'
 
     number: int
-    held: int
+    in_use: int
 
 
 @attrs.frozen
-class Queued:
+class PermitQueued:
     """A sidecar keeps the ask until a place is free, or its time is over."""
 
     kind = 'queued'
@@ -77,24 +77,31 @@
 
 
 @attrs.frozen
-class Refused:
+class PermitRejected:
     """A sidecar has no place.
 
     Attributes:
         number: of the ask.
         reason: why, a word.
-        retry_s: seconds after which there is likely to be one.
+        retry_after_s: seconds after which there is likely to be one.
     """
 
     kind = 'refused'
 
     number: int
     reason: str
-    retry_s: float
+    retry_after_s: float
 
 
 _CODEC = datagrams.Codec(
-    (Ask, Done, Granted, Queued, Refused), max_bytes=MOST_BYTES
+    (
+        PermitRequest,
+        PermitRelease,
+        PermitGranted,
+        PermitQueued,
+        PermitRejected,
+    ),
+    max_bytes=MOST_BYTES,
 )
 dump = _CODEC.dump
 load = _CODEC.load
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -9,11 +9,11 @@
 _log = logs.get_logger('places')
 
 
-class PlaceServer(asyncio.DatagramProtocol, base.BaseDoor):
+class PermitServer(asyncio.DatagramProtocol, base.BaseAdmission):
     """Answers the asks of entries by what a ledger decides.
 
     Args:
-        ledger: `Ledger`.
+        ledger: `PermitAllocator`.
         clock: gives seconds on the steady clock.
     """
 
@@ -46,27 +46,27 @@
         except _messages.DecodeError as exc:
             _log.warning('Left aside a datagram of {}: {}.', addr, exc)
             return
-        if isinstance(message, _messages.Ask):
-            self._send(self.ledger.ask(addr, message, now))
-        elif isinstance(message, _messages.Done):
-            self._send(self.ledger.done(addr, message.number, now))
+        if isinstance(message, _messages.PermitRequest):
+            self._send(self.ledger.request(addr, message, now))
+        elif isinstance(message, _messages.PermitRelease):
+            self._send(self.ledger.release(addr, message.number, now))
 
-    def correct(self, present):
-        """See `base.BaseDoor.correct`."""
-        self._send(self.ledger.correct(present, self.clock()))
+    def reconcile(self, present):
+        """See `base.BaseAdmission.reconcile`."""
+        self._send(self.ledger.reconcile(present, self.clock()))
 
     def close(self, closes_in_s, opens_in_s):
-        """See `base.BaseDoor.close`."""
+        """See `base.BaseAdmission.close`."""
         now = self.clock()
         self.ledger.close(now + closes_in_s, now + opens_in_s)
 
     def open(self):
-        """See `base.BaseDoor.open`."""
+        """See `base.BaseAdmission.open`."""
         self._send(self.ledger.open(self.clock()))
 
-    def expire(self, expires_in_s):
-        """See `base.BaseDoor.expire`."""
-        self.ledger.expire(self.clock() + expires_in_s)
+    def set_expiry(self, expires_in_s):
+        """See `base.BaseAdmission.set_expiry`."""
+        self.ledger.set_expiry(self.clock() + expires_in_s)
 
     def _send(self, replies):
         for peer, message in replies:
@@ -74,7 +74,7 @@
         self._set_timer()
 
     def _set_timer(self):
-        at = self.ledger.next_step()
+        at = self.ledger.next_due_at()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -85,4 +85,4 @@
 
     def _step(self):
         self._timer = None
-        self._send(self.ledger.step(self.clock()))
+        self._send(self.ledger.run_due(self.clock()))
--- a/catkinshunt/places/base.py
+++ b/catkinshunt/places/base.py
@@ -3,11 +3,11 @@
 import abc
 
 
-class BaseDoor(abc.ABC):
+class BaseAdmission(abc.ABC):
     """What lets requests in to the engine."""
 
     @abc.abstractmethod
-    def correct(self, present):
+    def reconcile(self, present):
         """Learn how many requests the engine has."""
 
     @abc.abstractmethod
@@ -24,7 +24,7 @@
         """Let requests in again."""
 
     @abc.abstractmethod
-    def expire(self, expires_in_s):
+    def set_expiry(self, expires_in_s):
         """Let no request in that would begin after `expires_in_s`.
 
         Args:
--- a/catkinshunt/places/tests/test_datagrams.py
+++ b/catkinshunt/places/tests/test_datagrams.py
@@ -12,9 +12,9 @@
 
     def __init__(self, port):
         clock = asyncio.get_running_loop().time
-        self.ledger = places.Ledger(spare=0)
-        self.server = places.PlaceServer(self.ledger, clock)
-        self.client = places.PlaceClient(port, clock, random.Random(1))
+        self.ledger = places.PermitAllocator(spare=0)
+        self.server = places.PermitServer(self.ledger, clock)
+        self.client = places.PermitClient(port, clock, random.Random(1))
         self.port = port
 
     async def start(self, sidecar=True):
@@ -23,15 +23,15 @@
             await self.server.start(SIDECAR, self.port)
         return self
 
-    def ask(self, wait_s=1.0, **changes):
-        def make_ask(number):
-            return places.Ask(number, wait_s, 0.5, 0.0, 1, **changes)
+    def request(self, wait_s=1.0, **changes):
+        def make_request(number):
+            return places.PermitRequest(number, wait_s, 0.5, 0.0, 1, **changes)
 
-        return self.client.ask(SIDECAR, make_ask)
+        return self.client.request(SIDECAR, make_request)
 
     async def take(self):
-        """Take a place; return its `places.Asking`."""
-        asking = self.ask()
+        """Take a place; return its `places.PermitHandle`."""
+        asking = self.request()
         await asking.first_reply()
         return asking
 
@@ -44,11 +44,11 @@
     async def inside():
         # A port that was free a moment ago on one of the two addresses.
         loop = asyncio.get_running_loop()
-        probe, _ = await loop.create_datagram_endpoint(
+        no_wait, _ = await loop.create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=(ENTRY, 0)
         )
-        port = probe.get_extra_info('sockname')[1]
-        probe.close()
+        port = no_wait.get_extra_info('sockname')[1]
+        no_wait.close()
         await asyncio.sleep(0)
         pair = await Pair(port).start(sidecar)
         try:
@@ -68,10 +68,10 @@
 def test_a_place_is_taken_and_given_back():
     async def main(pair):
         asking = await pair.take()
-        held = pair.ledger.held
+        held = pair.ledger.in_use
         asking.end()
-        await until(lambda: pair.ledger.held == 0)
-        return asking.reply.held, held
+        await until(lambda: pair.ledger.in_use == 0)
+        return asking.reply.in_use, held
 
     assert run(main) == (1, 1)
 
@@ -82,7 +82,7 @@
         second = await pair.take()
         kind = second.reply.kind
         first.end()
-        return kind, await second.last_reply()
+        return kind, await second.final_reply()
 
     kind, reply = run(main)
     assert kind == 'queued'
@@ -92,13 +92,13 @@
 def test_a_request_that_cannot_be_in_time_is_refused():
     async def main(pair):
         await pair.take()
-        asking = pair.ask(wait_s=0.05)
+        asking = pair.request(wait_s=0.05)
         await asking.first_reply()
-        return await asking.last_reply()
+        return await asking.final_reply()
 
     refusal = run(main)
     assert refusal.reason == places.NO_ROOM
-    assert refusal.retry_s >= 1.0
+    assert refusal.retry_after_s >= 1.0
 
 
 def test_a_caller_that_leaves_gives_up_its_wait():
@@ -120,11 +120,11 @@
     """
 
     async def main(pair):
-        assert pair.client.may_ask(SIDECAR)
-        asking = pair.ask()
+        assert pair.client.is_responsive(SIDECAR)
+        asking = pair.request()
         assert await asking.first_reply() is None
         asking.end()
-        return pair.client.may_ask(SIDECAR)
+        return pair.client.is_responsive(SIDECAR)
 
     assert not run(main, sidecar=False)
 
@@ -134,10 +134,10 @@
 
     async def main(pair):
         await pair.take()
-        second = pair.ask(wait_s=0.05)
+        second = pair.request(wait_s=0.05)
         await second.first_reply()
         pair.server.stop()
-        return await second.last_reply()
+        return await second.final_reply()
 
     assert run(main).kind == 'refused'
 
@@ -150,11 +150,11 @@
     """
 
     async def main(pair):
-        granted = places.dump(places.Granted(7, held=1))
-        ask = places.Ask(7, 0.0, 0.5, 0.0, 1)
-        pair.ledger.ask((ENTRY, pair.port), ask, 0.0)
+        granted = places.dump(places.PermitGranted(7, in_use=1))
+        request = places.PermitRequest(7, 0.0, 0.5, 0.0, 1)
+        pair.ledger.request((ENTRY, pair.port), request, 0.0)
         pair.client.datagram_received(granted, (SIDECAR, pair.port))
-        await until(lambda: pair.ledger.held == 0)
+        await until(lambda: pair.ledger.in_use == 0)
 
     run(main)
 
@@ -162,7 +162,7 @@
 def test_a_grant_that_comes_twice_leaves_the_place_held():
     async def main(pair):
         asking = await pair.take()
-        granted = places.Granted(asking.ask.number, held=1)
+        granted = places.PermitGranted(asking.request.number, in_use=1)
         pair.client.datagram_received(
             places.dump(granted), (SIDECAR, pair.port)
         )
@@ -179,4 +179,4 @@
         pair.server.datagram_received(b'[1', (ENTRY, pair.port))
         return (await pair.take()).reply
 
-    assert run(main).held == 1
+    assert run(main).in_use == 1
--- a/catkinshunt/places/tests/test_messages.py
+++ b/catkinshunt/places/tests/test_messages.py
@@ -8,12 +8,12 @@
 @pytest.mark.parametrize(
     'message',
     [
-        places.Ask(3, 0.25, 1.5, 0.05, 16, late=True),
-        places.Ask(3, 0.25, 1.5, 0.05, 16, moving=True),
-        places.Done(3),
-        places.Granted(3, held=4),
-        places.Queued(3),
-        places.Refused(3, places.NO_ROOM, 1.5),
+        places.PermitRequest(3, 0.25, 1.5, 0.05, 16, late=True),
+        places.PermitRequest(3, 0.25, 1.5, 0.05, 16, resumed=True),
+        places.PermitRelease(3),
+        places.PermitGranted(3, in_use=4),
+        places.PermitQueued(3),
+        places.PermitRejected(3, places.NO_ROOM, 1.5),
     ],
 )
 def test_a_message_is_read_as_it_was_written(message):
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -180,7 +180,7 @@
         id=upstream_id,
         service=_get_str(document, 'service'),
         address=address,
-        # `zone` is the data centre; `born` is the start in Unix time.
+        # `zone` is the data centre; `started_at_ms` is the start in Unix time.
         data_centre=_get_str(document, 'zone', ''),
         started_at_ms=_get_int(document, 'born', 0),
         leaving=state == 'draining',
@@ -342,7 +342,7 @@
     models = item.get('models') or []
     default = catalog.EngineProfile()
     # `per_seq_ms` is the time that each running request adds to a step,
-    # `read_per_s` the prompt tokens processed in a second, `stride` the token
+    # `read_per_s` the prompt tokens processed in a second, `steps_per_pass` the token
     # steps in one pass, `usual` the mean tokens of a request, and `warm_s`
     # the time to load a version.
     return catalog.EngineProfile(
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -151,7 +151,7 @@
         retry_burst=make_burst_share(cfg).choose(_clocks.monotonic()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
-        permit_client=places.PlaceClient(
+        permit_client=places.PermitClient(
             _process.permit_port(cfg), _clocks.monotonic, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
@@ -168,7 +168,7 @@
     share = make_burst_share(cfg)
     while True:
         now = _clocks.monotonic()
-        share.see(len(live_entries.names()), now)
+        share.observe(len(live_entries.names()), now)
         context.set_retry_burst(share.choose(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RETRY_BURST_PERIOD_S):
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -46,7 +46,9 @@
         _clocks.boottime,
         cfg.bounds.version_s,
     )
-    permit_server = places.PlaceServer(places.Ledger(), _clocks.monotonic)
+    permit_server = places.PermitServer(
+        places.PermitAllocator(), _clocks.monotonic
+    )
     await permit_server.start(cfg.ip, _process.permit_port(cfg))
     chunk_port = _process.chunk_port(cfg)
     agent = spread.Agent(
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -8,10 +8,10 @@
 
 
 @attrs.frozen
-class Verdict:
+class RetryDecision:
     """Whether to try again, and the grounds for the log."""
 
-    again: bool
+    should_retry: bool
     grounds: str
 
 
@@ -34,7 +34,7 @@
         >>> policy.check(exc, False, tries=1, deadline=9.0, now=0.0)
         Verdict(again=True, grounds='not run')
         >>> exc = errors.OutcomeUnknownError('no reply')
-        >>> policy.check(exc, False, tries=1, deadline=9.0, now=0.0).again
+        >>> policy.check(exc, False, tries=1, deadline=9.0, now=0.0).should_retry
         False
     """
 
@@ -52,7 +52,7 @@
             self.budget.offer()
 
     def check(self, exc, idempotent, tries, deadline, now):
-        """Return the `Verdict` on a request whose last try failed.
+        """Return the `RetryDecision` on a request whose last try failed.
 
         Args:
             exc: the `errors.RequestError` of the last try; its `ran` says
@@ -64,16 +64,18 @@
         """
         checks.check_positive(self.max_tries, 'max_tries')
         if exc.status == 400:
-            return Verdict(False, 'wrong everywhere')
+            return RetryDecision(False, 'wrong everywhere')
         if exc.ran != 'no' and not idempotent:
-            return Verdict(False, 'may have run')
+            return RetryDecision(False, 'may have run')
         if tries >= self.max_tries:
-            return Verdict(False, f'{tries} tries made')
+            return RetryDecision(False, f'{tries} tries made')
         if deadline - now < self.least_left_s:
-            return Verdict(False, 'deadline too near')
+            return RetryDecision(False, 'deadline too near')
         if self.budget is not None and not self._choose(exc):
-            return Verdict(False, 'retry budget spent')
-        return Verdict(True, 'not run' if exc.ran == 'no' else 'idempotent')
+            return RetryDecision(False, 'retry budget spent')
+        return RetryDecision(
+            True, 'not run' if exc.ran == 'no' else 'idempotent'
+        )
 
     def _choose(self, exc):
         is_full = isinstance(exc, errors.OverloadedError)
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -28,7 +28,7 @@
 
     Examples:
         >>> share = BurstShare(burst=100.0)
-        >>> share.see(5, now=0.0)
+        >>> share.observe(5, now=0.0)
         >>> share.choose(now=1.0)
         20.0
     """
@@ -39,7 +39,7 @@
         self.hold_s = hold_s
         self._seen = collections.deque()
 
-    def see(self, count, now):
+    def observe(self, count, now):
         """Note that `count` processes are alive at `now` seconds."""
         while self._seen and self._seen[-1][1] <= count:
             self._seen.pop()
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -33,19 +33,21 @@
     """
     policy = retries.RetryPolicy(retries.Budget())
     verdict = policy.check(exc, idempotent, tries=1, deadline=9.0, now=0.0)
-    assert verdict.again is again
+    assert verdict.should_retry is again
     assert verdict.grounds
 
 
 @pytest.mark.parametrize('tries, left_s', [(3, 9.0), (1, 0.01), (1, -1.0)])
 def test_no_try_in_vain(tries, left_s):
     policy = retries.RetryPolicy(retries.Budget())
-    assert not policy.check(REFUSED, True, tries, 5.0 + left_s, 5.0).again
+    assert not policy.check(
+        REFUSED, True, tries, 5.0 + left_s, 5.0
+    ).should_retry
 
 
 def test_spent_budget_is_said():
     policy = retries.RetryPolicy(retries.Budget(ratio=0.1, burst=1.0))
-    assert policy.check(REFUSED, True, 1, 9.0, 0.0).again
+    assert policy.check(REFUSED, True, 1, 9.0, 0.0).should_retry
     verdict = policy.check(REFUSED, True, 1, 9.0, 0.0)
     assert verdict.grounds == 'retry budget spent'
 
@@ -82,7 +84,9 @@
     broken = errors.OutcomeUnknownError('reset')
 
     def check(exc):
-        return policy.check(exc, True, tries=1, deadline=9.0, now=0.0).again
+        return policy.check(
+            exc, True, tries=1, deadline=9.0, now=0.0
+        ).should_retry
 
     assert [check(full) for _ in range(4)] == [True, True, False, False]
     assert [check(broken) for _ in range(3)] == [True, True, False]
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -62,7 +62,7 @@
         clock: gives seconds on the steady clock.
         link_mbps: speed of the instance's link.
         counter: counts bytes by source.
-        door: `places.BaseDoor` that lets requests in to the engine.
+        door: `places.BaseAdmission` that lets requests in to the engine.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
     async def _look(self):
         report = await self.engine.report()
         self._outage.end()
-        self.door.correct(report.request_count)
+        self.door.reconcile(report.request_count)
         self._loader.note(report)
         self._expire(report)
         wanted = await self.outlook.target_version(report)
@@ -157,7 +157,7 @@
         expires_in_s = min(times, default=math.inf) - self.outlook.now()
         if self._is_fetching():
             expires_in_s -= BUSY_LINK_S
-        self.door.expire(expires_in_s)
+        self.door.set_expiry(expires_in_s)
 
     async def _move(self, report, wanted):
         """Bring the engine to the next version that it can have."""
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -92,7 +92,7 @@
     Args:
         engine: `base.BaseEngine`.
         outlook: `base.BaseClusterView`.
-        door: `places.BaseDoor` that lets requests in to the engine.
+        door: `places.BaseAdmission` that lets requests in to the engine.
         clock: gives seconds on the steady clock.
         stage_turn: lock of whoever puts chunks beside the engine.
     """
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -110,14 +110,14 @@
         raise errors.SourceBusyError('not there yet', peer=peer)
 
 
-class FakeDoor(places.BaseDoor):
+class FakeDoor(places.BaseAdmission):
     """Notes what it is told."""
 
     def __init__(self):
         self.told = []
         self.expires_in_s = None
 
-    def correct(self, present):
+    def reconcile(self, present):
         self.told.append(('correct', present))
 
     def close(self, closes_in_s, opens_in_s):
@@ -126,7 +126,7 @@
     def open(self):
         self.told.append(('open',))
 
-    def expire(self, expires_in_s):
+    def set_expiry(self, expires_in_s):
         self.expires_in_s = expires_in_s
 
 
--- a/standins/experiment/_doors.py
+++ b/standins/experiment/_doors.py
@@ -12,10 +12,10 @@
     Args:
         events: `Events`.
         engine: `Engine`.
-        ledger: `places.Ledger`.
+        ledger: `places.PermitAllocator`.
 
     Attributes:
-        is_silent: it gives no answers, as while it starts.
+        is_unresponsive: it gives no answers, as while it starts.
     """
 
     def __init__(self, events, engine, ledger):
@@ -24,16 +24,16 @@
         self.ledger = ledger
         self._requests = {}
         self._steps_at = None
-        self.is_silent = False
+        self.is_unresponsive = False
         events.after(LOOK_S, self._look)
 
-    def ask(self, request, ask):
+    def request(self, request, ask):
         """Take an ask of an entry."""
-        if self.is_silent:
+        if self.is_unresponsive:
             return
         key = (request.entry.name, ask.number)
         self._requests[key] = request
-        self._tell(self.ledger.ask(key[0], ask, self.events.now))
+        self._tell(self.ledger.request(key[0], ask, self.events.now))
 
     def give_back(self, entry, number):
         """Take a place back from an entry, after the way to here."""
@@ -43,32 +43,32 @@
         """Answer again, knowing nothing of before."""
         self.ledger = ledger
         self._requests = {}
-        self.is_silent = False
+        self.is_unresponsive = False
 
     def _done(self, peer, number):
         self._requests.pop((peer, number), None)
-        self._tell(self.ledger.done(peer, number, self.events.now))
+        self._tell(self.ledger.release(peer, number, self.events.now))
 
     def _step(self, when):
         if self._steps_at == when:
             self._steps_at = None
-            self._tell(self.ledger.step(self.events.now))
+            self._tell(self.ledger.run_due(self.events.now))
 
     def _look(self):
         present = self.engine.present
-        self._tell(self.ledger.correct(present, self.events.now))
+        self._tell(self.ledger.reconcile(present, self.events.now))
         self.events.after(LOOK_S, self._look)
 
     def _tell(self, replies):
-        if self.is_silent:
+        if self.is_unresponsive:
             return
         for peer, reply in replies:
             request = self._requests.get((peer, reply.number))
             if request is not None:
                 self.events.after(
-                    _entries.WAY_S, request.entry.hear, request, self, reply
+                    _entries.WAY_S, request.entry.receive, request, self, reply
                 )
-        when = self.ledger.next_step()
+        when = self.ledger.next_due_at()
         if when is not None and when != self._steps_at:
             self._steps_at = when
             self.events.at(when, self._step, when)
--- a/standins/experiment/_entries.py
+++ b/standins/experiment/_entries.py
@@ -54,9 +54,9 @@
         self.name = name
         self.events = play.events
         self.profile = play.profile
-        self.tracker = dispatch.Tracker()
+        self.tracker = dispatch.UpstreamTracker()
         self.chooser = dispatch.Chooser('a', {}, name)
-        self.returns = dispatch.ReturnDetector()
+        self.returns = dispatch.ReturningRequestDetector()
 
     def come(self, request):
         """Take a request of a caller."""
@@ -89,7 +89,7 @@
         engine = self.play.engines[candidate.upstream.id]
         request.rank = rank
         request.job.rank = rank
-        request.job.likely_s = candidate.delay_s
+        request.job.predicted_s = candidate.delay_s
         if not engine.take(request):
             return False
         request.engine = engine
@@ -99,7 +99,7 @@
 
     def refuse(self, request, retry_s):
         """Tell the caller when to come back."""
-        self.returns.note_refusal(self.events.now)
+        self.returns.record_rejection(self.events.now)
         request.held_s = max(
             request.held_s, self.events.now - request.asked_at
         )
@@ -115,7 +115,7 @@
     def hear_tokens(self, request):
         """Note that tokens of a request have come."""
         state = self.tracker.state(request.engine.upstream)
-        state.hear(self.events.now)
+        state.receive(self.events.now)
 
     @abc.abstractmethod
     def decide(self, request):
@@ -136,7 +136,7 @@
 
     def __init__(self, play, name):
         super().__init__(play, name)
-        self.forecast = dispatch.Forecast()
+        self.forecast = dispatch.DelayCorrector()
 
     def decide(self, request):
         """See `BaseEntry.decide`."""
@@ -164,9 +164,9 @@
             len(engine.running), len(engine.waiting), self.profile.slots
         )
         self.tracker.state(engine.upstream).report(load, now)
-        if request.rank == dispatch.Rank.EARLY:
-            self.forecast.learn(
-                request.job.likely_s, now - request.sent_at, now
+        if request.rank == dispatch.Rank.ON_TIME:
+            self.forecast.observe(
+                request.job.predicted_s, now - request.sent_at, now
             )
 
 
@@ -203,20 +203,20 @@
         wait_s = request.goal_s - request.waited_s - held_s
         wait_s -= dispatch.first_token_s(self.profile, request.job)
         late = wait_s <= 0
-        request.rank = dispatch.Rank.LATE if late else dispatch.Rank.EARLY
-        ask = places.Ask(
+        request.rank = dispatch.Rank.LATE if late else dispatch.Rank.ON_TIME
+        ask = places.PermitRequest(
             number=self.play.next_number(),
             wait_s=max(0.0, wait_s),
-            lasts_s=dispatch.lasts_s(self.profile, request.job),
-            read_s=dispatch.read_s(self.profile, request.job),
+            occupancy_s=dispatch.occupancy_s(self.profile, request.job),
+            prefill_s=dispatch.prefill_s(self.profile, request.job),
             slots=self.profile.slots,
-            probe=bool(request.bids),
+            no_wait=bool(request.bids),
             late=late,
         )
         request.bids[ask.number] = Bid(candidate)
         candidate.state.asking += 1
         door = self.play.doors[candidate.upstream.id]
-        self.events.after(WAY_S, door.ask, request, ask)
+        self.events.after(WAY_S, door.request, request, ask)
         patience_s = SECOND_S if request.silent else ANSWER_S
         self.events.after(
             patience_s, self._hear_nothing, request, ask.number, patience_s
@@ -260,19 +260,19 @@
         if request.bids and request.asked_at == asked_at:
             self._send_unheard(request)
 
-    def hear(self, request, door, reply):
+    def receive(self, request, door, reply):
         """Take the reply of a sidecar."""
         bid = request.bids.get(reply.number)
         if bid is None:
             # The request has ended or gone elsewhere.
-            if isinstance(reply, places.Granted):
+            if isinstance(reply, places.PermitGranted):
                 door.give_back(self, reply.number)
             return
         is_first = bid.reply is None
         self._silences.pop(bid.candidate.upstream.id, None)
         bid.reply = reply
-        if isinstance(reply, places.Granted):
-            self._note(bid.candidate, reply.held, 0)
+        if isinstance(reply, places.PermitGranted):
+            self._note(bid.candidate, reply.in_use, 0)
             self._settle(request, reply.number)
             request.place = (door, reply.number)
             self.send(request, bid.candidate, request.rank)
@@ -286,7 +286,7 @@
     def _conclude(self, request):
         """Refuse a request that waits nowhere."""
         replies = [bid.reply for bid in request.bids.values()]
-        if any(isinstance(reply, places.Queued) for reply in replies):
+        if any(isinstance(reply, places.PermitQueued) for reply in replies):
             self.events.after(
                 QUEUED_S, self._send_after_wait, request, request.asked_at
             )
@@ -294,13 +294,15 @@
         if self._send_unheard(request):
             return
         self._settle(request)
-        self.refuse(request, replies[0].retry_s if replies else RETRY_S)
+        self.refuse(request, replies[0].retry_after_s if replies else RETRY_S)
 
     def _settle(self, request, kept=None):
         """Give up all bids but one."""
         for number, bid in request.bids.items():
             bid.candidate.state.asking -= 1
-            if number != kept and not isinstance(bid.reply, places.Refused):
+            if number != kept and not isinstance(
+                bid.reply, places.PermitRejected
+            ):
                 door = self.play.doors[bid.candidate.upstream.id]
                 door.give_back(self, number)
         request.bids = {}
--- a/standins/experiment/_play.py
+++ b/standins/experiment/_play.py
@@ -37,7 +37,7 @@
     entries: int = 5
     engines: int = 6
     make_entry: object = _entries.AskingEntry
-    make_ledger: object = places.Ledger
+    make_ledger: object = places.PermitAllocator
     weights: tuple | None = None
     faults: tuple = ()
     seed: int = 1
@@ -127,12 +127,12 @@
     def silence(self, names):
         """Let the sidecars of the engines `names` give no answers."""
         for name in names:
-            self.doors[name].is_silent = True
+            self.doors[name].is_unresponsive = True
 
     def end_silence(self):
         """Let silent sidecars answer again; they know nothing of before."""
         for door in self.doors.values():
-            if door.is_silent:
+            if door.is_unresponsive:
                 door.start_again(self.scenario.make_ledger())
 
     def _come(self, request):
