--- a/catkinshunt/platform/tests/fakes.py
+++ b/catkinshunt/platform/tests/fakes.py
@@ -15,10 +15,10 @@
         self.items = {}
         self.events = []
         self.revision = 1
-        self.down = False
-        self.history_from = 0
+        self.is_down = False
+        self.first_kept_revision = 0
         self.calls = []
-        self.sent = []
+        self.sent_keys = []
         self.leases = {}
         self.granted_s = []
         self._changes = notifier.Notifier()
@@ -34,7 +34,7 @@
 
     def forget_history(self):
         """Drop what a watch would need to go on."""
-        self.history_from = self.revision + 1
+        self.first_kept_revision = self.revision + 1
         self.revision += 1
         self._changes.notify_all()
 
@@ -57,13 +57,13 @@
         try:
             async with asyncio.timeout(wait_s):
                 while not self._since(prefix, after):
-                    if after < self.history_from:
+                    if after < self.first_kept_revision:
                         raise platform.HistoryGoneError('gone')
                     await self._changes.wait()
         except TimeoutError:
             pass
         found = self._since(prefix, after)
-        self.sent += [item.key for item in found]
+        self.sent_keys += [item.key for item in found]
         return platform.Page(tuple(found), self.revision)
 
     async def grant_lease(self, ttl_s):
@@ -108,11 +108,11 @@
     async def _begin(self, kind):
         self.calls.append(kind)
         await asyncio.sleep(0)
-        if self.down:
+        if self.is_down:
             raise errors.StoreUnavailableError('down', step=kind)
 
 
-async def until(condition, timeout_s=3.0):
+async def wait_until(condition, timeout_s=3.0):
     """Wait until `condition` holds."""
     async with asyncio.timeout(timeout_s):
         while not condition():
--- a/catkinshunt/platform/tests/regions.py
+++ b/catkinshunt/platform/tests/regions.py
@@ -16,9 +16,9 @@
 
 REGION = 'attiki'
 #: Seconds within which a proof is to pass two entries of one machine.
-WAY_S = 0.2
+RELAY_S = 0.2
 #: Seconds without proof after which an entry trusts no key.
-FRESH_S = 3.0
+KEY_TRUST_S = 3.0
 TWO_REGIONS = ('attiki', 'thessalia')
 
 
@@ -29,9 +29,9 @@
         self.name = f'edge-{number}'
         self.host = f'127.0.0.{number}'
         self.region = region
-        self.home = catalogs.EntryLocation(self.host, home_region)
-        self.store = Door(region.store)
-        self.catalog = catalogs.Catalog(key_trust_s=FRESH_S)
+        self.location = catalogs.EntryLocation(self.host, home_region)
+        self.store = StoreConnection(region.store)
+        self.catalog = catalogs.Catalog(key_trust_s=KEY_TRUST_S)
         self.live_entries = catalogs.LiveEntries()
         self.offset_s = 0.0
         self.feed = feed.RegionalWatchSource(
@@ -46,14 +46,14 @@
         self.server = feed.WatchRelayServer(
             self.feed, self.boottime, self.boottime
         )
-        self.barred = quarantine.Quarantine()
-        self.mirror = platform.CacheUpdater(
+        self.quarantined = quarantine.Quarantine()
+        self.updater = platform.CacheUpdater(
             self.feed,
             self.catalog,
             self.live_entries,
             self.boottime,
             random.Random(1),
-            self.barred,
+            self.quarantined,
         )
         self.task = None
 
@@ -61,14 +61,14 @@
         return asyncio.get_running_loop().time() + self.offset_s
 
     def _make_peer(self, host, must_be_direct):
-        return Neighbour(
+        return PeerSource(
             host, self.region.ports, self.boottime, must_be_direct
         )
 
     async def start(self):
         await self.server.start(self.host, 0)
         self.region.ports[self.host] = self.server.port
-        self.task = asyncio.ensure_future(self.mirror.run())
+        self.task = asyncio.ensure_future(self.updater.run())
 
     async def kill(self):
         self.task.cancel()
@@ -77,7 +77,7 @@
             task.cancel()
 
     @property
-    def reads(self):
+    def is_watcher(self):
         """Whether this entry reads from the store itself."""
         return self.feed.watchers.choose(self.boottime()) is None
 
@@ -87,7 +87,7 @@
         return declaration.revision if declaration else None
 
 
-class Neighbour(feed.BaseWatchSource):
+class PeerSource(feed.BaseWatchSource):
     """Another entry, which refuses connections until it has started."""
 
     def __init__(self, host, ports, boottime, must_be_direct):
@@ -111,14 +111,14 @@
         )
 
 
-class Door(feed.BaseWatchSource):
+class StoreConnection(feed.BaseWatchSource):
     """The way of one entry to the store, which can fall silent."""
 
     def __init__(self, store):
         self.store = store
         self.is_cut = False
-        self.is_refused = False
-        self.has_lost_history = False
+        self.is_rejecting = False
+        self.loses_history = False
         self.delay_s = 0.0
         self.calls = []
 
@@ -132,14 +132,14 @@
         await self._pass('watch')
         page = await self.store.watch(prefix, after, wait_s)
         await self._pass('answer')
-        if self.has_lost_history:
-            self.has_lost_history = False
+        if self.loses_history:
+            self.loses_history = False
             raise feed.HistoryGoneError('history is gone', step='watch')
         return page
 
     async def _pass(self, call):
         self.calls.append(call)
-        if self.is_refused:
+        if self.is_rejecting:
             raise errors.StoreUnavailableError('answered 503', step=call)
         if self.is_cut:
             await asyncio.sleep(60)
@@ -158,20 +158,20 @@
             Entry(self, number, home) for number, home in enumerate(homes, 1)
         ]
         for entry in self.entries:
-            self.list(entry)
+            self.register(entry)
 
-    def list(self, entry):
+    def register(self, entry):
         key = _documents.ENTRY_PREFIX + entry.name
-        self.store.put(key, _documents.dump_location(entry.home))
+        self.store.put(key, _documents.dump_location(entry.location))
 
     @contextlib.asynccontextmanager
     async def running(self):
         for entry in self.entries:
             await entry.start()
         try:
-            await self.until(lambda entry: entry.revision == 7)
-            await fakes.until(lambda: self.reader() is not None)
-            await fakes.until(
+            await self.wait_until(lambda entry: entry.revision == 7)
+            await fakes.wait_until(lambda: self.watcher() is not None)
+            await fakes.wait_until(
                 lambda: len(self.followers()) == len(self.entries) - 1
             )
             yield self
@@ -179,18 +179,18 @@
             for entry in self.entries:
                 await entry.kill()
 
-    async def until(self, condition, entries=None):
+    async def wait_until(self, condition, entries=None):
         entries = self.entries if entries is None else entries
-        await fakes.until(lambda: all(map(condition, entries)))
+        await fakes.wait_until(lambda: all(map(condition, entries)))
 
-    def reader(self):
+    def watcher(self):
         """Return the entry that reads from the store for the others."""
-        found = [e for e in self.entries if e.reads]
+        found = [e for e in self.entries if e.is_watcher]
         return found[0] if len(found) == 1 else None
 
     def followers(self):
-        reader = self.reader()
-        return [e for e in self.entries if e is not reader]
+        watcher = self.watcher()
+        return [e for e in self.entries if e is not watcher]
 
 
 def run(main, regions=(REGION,)):
--- a/catkinshunt/platform/tests/test_cache_updater.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -10,7 +10,7 @@
 from catkinshunt import quarantine
 
 
-class Followed:
+class Harness:
     """A mirror of a fake store."""
 
     def __init__(self):
@@ -20,7 +20,7 @@
         self.now_s = 100.0
         loop = asyncio.get_running_loop()
         self.boottime = lambda: loop.time() + self.now_s
-        self.mirror = platform.CacheUpdater(
+        self.updater = platform.CacheUpdater(
             self.store,
             self.catalog,
             self.live_entries,
@@ -31,7 +31,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        task = asyncio.ensure_future(self.mirror.run())
+        task = asyncio.ensure_future(self.updater.run())
         try:
             yield self
         finally:
@@ -42,84 +42,86 @@
         return {u.id for u in self.catalog.upstreams('engines', now)}
 
 
-def run(main, prepare=lambda followed: None):
+def run(main, prepare=lambda harness: None):
     async def inside():
-        followed = Followed()
-        followed.store.put('op/config', documents.configuration())
-        followed.store.put('servers/i-1', documents.UPSTREAM)
-        prepare(followed)
-        async with followed.running():
-            await fakes.until(lambda: followed.catalog.declaration)
-            return await main(followed)
+        harness = Harness()
+        harness.store.put('op/config', documents.configuration())
+        harness.store.put('servers/i-1', documents.UPSTREAM)
+        prepare(harness)
+        async with harness.running():
+            await fakes.wait_until(lambda: harness.catalog.declaration)
+            return await main(harness)
 
     return asyncio.run(inside())
 
 
-def test_changes_are_followed():
-    async def main(followed):
-        followed.store.put('servers/i-2', documents.UPSTREAM)
-        followed.store.put('op/config', documents.configuration(version=9))
-        await fakes.until(lambda: followed.ids() == {'i-1', 'i-2'})
-        await fakes.until(lambda: followed.catalog.declaration.revision == 9)
+def test_changes_are_applied():
+    async def main(harness):
+        harness.store.put('servers/i-2', documents.UPSTREAM)
+        harness.store.put('op/config', documents.configuration(version=9))
+        await fakes.wait_until(lambda: harness.ids() == {'i-1', 'i-2'})
+        await fakes.wait_until(
+            lambda: harness.catalog.declaration.revision == 9
+        )
 
     run(main)
 
 
-def test_an_older_revision_never_replaces_a_newer_one():
-    async def main(followed):
-        followed.store.put('op/config', documents.configuration(version=9))
-        followed.store.put('op/config', documents.configuration(version=8))
-        followed.store.put('servers/i-2', documents.UPSTREAM)
-        await fakes.until(lambda: 'i-2' in followed.ids())
-        return followed.catalog.declaration.revision
+def test_older_revision_never_replaces_a_newer_one():
+    async def main(harness):
+        harness.store.put('op/config', documents.configuration(version=9))
+        harness.store.put('op/config', documents.configuration(version=8))
+        harness.store.put('servers/i-2', documents.UPSTREAM)
+        await fakes.wait_until(lambda: 'i-2' in harness.ids())
+        return harness.catalog.declaration.revision
 
     assert run(main) == 9
 
 
-def test_entries_that_cannot_be_read_leave_the_others():
-    async def main(followed):
-        followed.store.put('servers/i-9', b'\xff')
-        followed.store.put('servers/i-2', documents.UPSTREAM)
-        await fakes.until(lambda: followed.ids() == {'i-1', 'i-2'})
+def test_invalid_upstreams_do_not_affect_others():
+    async def main(harness):
+        harness.store.put('servers/i-9', b'\xff')
+        harness.store.put('servers/i-2', documents.UPSTREAM)
+        await fakes.wait_until(lambda: harness.ids() == {'i-1', 'i-2'})
 
     run(main)
 
 
-def test_a_lost_history_is_read_again():
+def test_all_items_are_read_again_after_history_loss():
     """The store drops its history while an upstream leaves.
 
     The watch cannot tell what happened; without reading all again, requests
     would go to the upstream that has left.
     """
 
-    async def main(followed):
-        followed.store.put('servers/i-2', documents.UPSTREAM)
-        await fakes.until(lambda: 'i-2' in followed.ids())
-        followed.store.items.pop('servers/i-1')
-        followed.store.forget_history()
-        await fakes.until(lambda: followed.ids() == {'i-2'})
+    async def main(harness):
+        harness.store.put('servers/i-2', documents.UPSTREAM)
+        await fakes.wait_until(lambda: 'i-2' in harness.ids())
+        harness.store.items.pop('servers/i-1')
+        harness.store.forget_history()
+        await fakes.wait_until(lambda: harness.ids() == {'i-2'})
 
     run(main)
 
 
-def test_the_last_upstream_is_used_for_a_moment_after_it_vanished():
+def test_last_upstream_stays_usable_briefly_after_it_vanished():
     """In an outage of the store all entries lapse though all upstreams live.
 
     They are back within two seconds of its return. Without a moment's
     patience nobody would be served meanwhile.
     """
 
-    async def main(followed):
-        followed.store.delete('servers/i-1')
-        await fakes.until(lambda: not followed.catalog.find('i-1'))
-        soon = followed.ids()
-        followed.now_s += 1.6
-        return soon, followed.ids()
+    async def main(harness):
+        harness.store.delete('servers/i-1')
+        await fakes.wait_until(lambda: not harness.catalog.find('i-1'))
+        soon = harness.ids()
+        harness.now_s += 1.6
+        return soon, harness.ids()
 
     assert run(main) == ({'i-1'}, set())
 
 
-def test_without_word_from_the_store_the_state_grows_old(monkeypatch):
+def test_state_ages_while_the_store_is_unreachable(monkeypatch):
     """The store is out of reach, and keys may be taken away meanwhile.
 
     The age of what is known must grow, also over a suspend, and be small
@@ -129,21 +131,21 @@
     monkeypatch.setattr(_cache_updater, 'MIN_WATCH_TIMEOUT_S', 0.05)
     monkeypatch.setattr(_cache_updater, 'MAX_BACKOFF_S', 0.05)
 
-    async def main(followed):
-        followed.store.down = True
+    async def main(harness):
+        harness.store.is_down = True
         await asyncio.sleep(0.2)
-        followed.now_s += 5.0
-        stale = followed.catalog.can_trust_keys(followed.boottime())
-        followed.store.down = False
-        await fakes.until(
-            lambda: followed.catalog.can_trust_keys(followed.boottime())
+        harness.now_s += 5.0
+        stale = harness.catalog.can_trust_keys(harness.boottime())
+        harness.store.is_down = False
+        await fakes.wait_until(
+            lambda: harness.catalog.can_trust_keys(harness.boottime())
         )
         return stale
 
     assert run(main) is False
 
 
-def test_an_answer_read_after_a_suspend_proves_nothing(monkeypatch):
+def test_answer_read_after_a_suspend_confirms_nothing(monkeypatch):
     """The process is suspended while an answer of the store lies unread.
 
     Read on waking, it would make a state of some seconds ago look new, and
@@ -151,15 +153,15 @@
     """
     monkeypatch.setattr(_cache_updater, 'WATCH_TIMEOUT_S', 0.2)
 
-    async def main(followed):
-        age_s = followed.catalog.age_s
-        await fakes.until(lambda: age_s(followed.boottime()) < 0.1)
-        followed.now_s += 30.0
-        watches = followed.store.calls.count('watch')
-        followed.store.put('servers/i-2', documents.UPSTREAM)
-        await fakes.until(lambda: 'i-2' in followed.ids())
-        assert followed.store.calls.count('watch') <= watches + 1
-        return followed.catalog.age_s(followed.boottime())
+    async def main(harness):
+        age_s = harness.catalog.age_s
+        await fakes.wait_until(lambda: age_s(harness.boottime()) < 0.1)
+        harness.now_s += 30.0
+        watches = harness.store.calls.count('watch')
+        harness.store.put('servers/i-2', documents.UPSTREAM)
+        await fakes.wait_until(lambda: 'i-2' in harness.ids())
+        assert harness.store.calls.count('watch') <= watches + 1
+        return harness.catalog.age_s(harness.boottime())
 
     assert run(main) > 25
 
@@ -171,59 +173,65 @@
     whole time again, each restart would put the bound off.
     """
 
-    def prepare(followed):
-        followed.store.put(
+    def prepare(harness):
+        harness.store.put(
             'op/version/drafts', {'model': 'drafts', 'version': 3}
         )
 
-    async def main(followed):
-        catalog = followed.catalog
-        await fakes.until(lambda: catalog.newest_version('drafts'))
-        followed.store.put(
+    async def main(harness):
+        catalog = harness.catalog
+        await fakes.wait_until(lambda: catalog.newest_version('drafts'))
+        harness.store.put(
             'op/version/drafts', {'model': 'drafts', 'version': 4}
         )
-        await fakes.until(
+        await fakes.wait_until(
             lambda: catalog.newest_version('drafts').version == 4
         )
-        return catalog.due_version('drafts', 8.0, followed.boottime())
+        return catalog.due_version('drafts', 8.0, harness.boottime())
 
     assert run(main, prepare) == 3
 
 
-def test_entries_that_come_and_go_are_counted():
-    async def main(followed):
-        followed.store.put('catkinshunt/entries/edge-2', {})
-        await fakes.until(lambda: followed.live_entries.names() == ['edge-2'])
-        followed.store.delete('catkinshunt/entries/edge-2')
-        await fakes.until(lambda: not followed.live_entries.names())
+def test_live_entries_follow_the_store():
+    async def main(harness):
+        harness.store.put('catkinshunt/entries/edge-2', {})
+        await fakes.wait_until(
+            lambda: harness.live_entries.names() == ['edge-2']
+        )
+        harness.store.delete('catkinshunt/entries/edge-2')
+        await fakes.wait_until(lambda: not harness.live_entries.names())
 
     run(main)
 
 
-def test_entries_are_read_anew_where_the_history_is_gone():
-    async def main(followed):
-        await fakes.until(lambda: followed.live_entries.names() == ['edge-1'])
-        followed.store.down = True
-        followed.store.delete('catkinshunt/entries/edge-1')
-        followed.store.put('catkinshunt/entries/edge-3', {})
-        followed.store.forget_history()
-        followed.store.down = False
-        await fakes.until(lambda: followed.live_entries.names() == ['edge-3'])
+def test_live_entries_are_read_again_after_history_loss():
+    async def main(harness):
+        await fakes.wait_until(
+            lambda: harness.live_entries.names() == ['edge-1']
+        )
+        harness.store.is_down = True
+        harness.store.delete('catkinshunt/entries/edge-1')
+        harness.store.put('catkinshunt/entries/edge-3', {})
+        harness.store.forget_history()
+        harness.store.is_down = False
+        await fakes.wait_until(
+            lambda: harness.live_entries.names() == ['edge-3']
+        )
 
     run(main, lambda f: f.store.put('catkinshunt/entries/edge-1', {}))
 
 
-def test_a_second_read_that_is_older_brings_back_no_upstream():
+def test_older_second_read_does_not_restore_upstreams():
     """The history is gone, and a neighbour that is asked knows less.
 
     Requests would go to an upstream that this entry knew to have left.
     """
 
-    async def main(followed):
-        store = followed.store
+    async def main(harness):
+        store = harness.store
         old = await store.read_prefix('servers/')
         store.delete('servers/i-1')
-        await fakes.until(lambda: followed.ids() == set())
+        await fakes.wait_until(lambda: harness.ids() == set())
         reads = []
 
         async def read_older(prefix):
@@ -236,7 +244,7 @@
         store.forget_history()
         seen = []
         for _ in range(60):
-            seen.append(followed.catalog.find('i-1'))
+            seen.append(harness.catalog.find('i-1'))
             await asyncio.sleep(0.005)
         return len(reads), [found for found in seen if found is not None]
 
--- a/catkinshunt/platform/tests/test_deploy.py
+++ b/catkinshunt/platform/tests/test_deploy.py
@@ -8,12 +8,12 @@
 ROOT = pathlib.Path(__file__).parents[3]
 
 
-def test_the_deploy_file_of_this_project_is_good():
+def test_deploy_file_of_this_project_is_valid():
     path = str(ROOT / 'deploy' / 'system.toml')
     assert platform.check_file(path) == 'platform deployment'
 
 
-def test_a_wrong_deploy_file_names_every_field(tmp_path):
+def test_invalid_deploy_file_reports_every_field(tmp_path):
     path = tmp_path / 'system.toml'
     path.write_text('[roles.a]\nrun = 4\non = "roof"\nshare = 2\n')
     with pytest.raises(errors.SettingsError) as caught:
@@ -23,7 +23,7 @@
         assert f'{field}: got' in text
 
 
-def test_settings_of_an_instance_are_checked(tmp_path):
+def test_instance_settings_are_checked(tmp_path):
     path = tmp_path / 'node.toml'
     path.write_text('node_name = "edge-1"\n')
     with pytest.raises(errors.SettingsError, match='platform.address'):
--- a/catkinshunt/platform/tests/test_dialect.py
+++ b/catkinshunt/platform/tests/test_dialect.py
@@ -13,7 +13,7 @@
     return http1.Request('GET', '/a/b?c=1', http1.Headers(items))
 
 
-def test_a_request_is_decoded():
+def test_decode_request():
     ask = DIALECT.decode_request(
         request(
             ('Attempt-Id', 'a1'),
@@ -45,19 +45,19 @@
         ('Last-Event-Id', 'x'),
     ],
 )
-def test_a_header_that_cannot_be_read_counts_as_missing(name, value):
+def test_invalid_header_counts_as_missing(name, value):
     assert DIALECT.decode_request(
         request((name, value))
     ) == DIALECT.decode_request(request())
 
 
-def test_two_hosts_are_refused():
+def test_two_host_headers_are_rejected():
     """With two hosts, this process and an upstream could each read another."""
     with pytest.raises(errors.InvalidRequestError):
         DIALECT.decode_request(request(('Host', 'other.example')))
 
 
-def test_headers_of_one_connection_are_not_passed_on():
+def test_hop_by_hop_headers_are_not_forwarded():
     req = request(
         ('Connection', 'close, X-Hop'),
         ('X-Hop', '1'),
@@ -78,7 +78,7 @@
     }
 
 
-def test_a_reply_is_decoded():
+def test_decode_reply():
     head = http1.ReplyHead(
         503,
         http1.Headers(
--- a/catkinshunt/platform/tests/test_documents.py
+++ b/catkinshunt/platform/tests/test_documents.py
@@ -44,7 +44,7 @@
     }
 
 
-def test_an_entry_becomes_an_upstream():
+def test_parse_upstream():
     upstream = platform.parse_upstream('i-1', dump(UPSTREAM))
     assert upstream.address == ('10.1.0.9', 8080)
     assert upstream.versions == {'drafts': 2}
@@ -52,7 +52,7 @@
     assert upstream.key == ('i-1', 1760000000000, ('10.1.0.9', 8080))
 
 
-def test_an_upstream_that_starts_again_is_another_one():
+def test_restarted_upstream_has_another_key():
     """An upstream can start again under the name that it had.
 
     It knows nothing of before; its connections, failures and weights must
@@ -83,7 +83,7 @@
         dump({**UPSTREAM, 'models': ['drafts']}),
     ],
 )
-def test_an_entry_of_another_writer_is_left_aside(value):
+def test_invalid_upstream_is_rejected(value):
     """Other writers may put entries below the same prefix.
 
     One that cannot be read must not stop the reading of the others, and
@@ -93,7 +93,7 @@
         platform.parse_upstream('i-1', value)
 
 
-def test_the_longest_path_decides():
+def test_longest_path_matches_first():
     declaration = platform.parse_declaration(dump(configuration()))
     ask = rules.Request(host='shop.example', path='/a/b/c')
     assert declaration.rule_set.match(ask).name == 'long'
@@ -103,7 +103,7 @@
     assert declaration.rule_set.match(ask) is None
 
 
-def test_what_a_route_says_becomes_a_rule():
+def test_route_becomes_a_rule():
     document = configuration(
         routes=[
             route(
@@ -127,7 +127,7 @@
     assert [share.weight for share in rule.then.shares] == [90, 10]
 
 
-def test_keys_and_limits_are_read():
+def test_accounts_and_limits_are_parsed():
     document = configuration(
         tenants=[{'name': 't1', 'api_keys': ['k1', 'k2'], 'priority': 0}]
     )
@@ -141,6 +141,6 @@
 @pytest.mark.parametrize(
     'value', [b'no', dump({}), dump({'version': 1, 'routes': [{}]})]
 )
-def test_a_configuration_that_cannot_be_read_is_refused(value):
+def test_invalid_configuration_is_rejected(value):
     with pytest.raises(platform.InvalidDocumentError):
         platform.parse_declaration(value)
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -35,7 +35,7 @@
     return registry
 
 
-def test_the_page_names_just_the_metrics_that_are_served():
+def test_operations_page_lists_exactly_the_metrics_served():
     """An engineer looks for a metric of the page and it is not there.
 
     Or a metric is there and nobody knows what to do about it.
@@ -63,7 +63,7 @@
     assert other.status == 404
 
 
-def test_a_scrape_of_a_sidecar_works():
+def test_scrape_of_a_sidecar_works():
     asyncio.run(
         _process.metrics_handler(sidecar_registry())(
             type('Request', (), {'path': '/metrics'})
--- a/catkinshunt/platform/tests/test_origin_publisher.py
+++ b/catkinshunt/platform/tests/test_origin_publisher.py
@@ -37,13 +37,13 @@
             task.cancel()
 
 
-def shown(store):
+def published(store):
     """Return the address that the key shows, or None."""
     item = store.items.get(_documents.ORIGIN_KEY)
     return item and _documents.parse_published_origin(item.value).address[0]
 
 
-def test_few_entries_show_where_the_origin_is(monkeypatch):
+def test_few_entries_publish_the_origin(monkeypatch):
     """Each call of the store is priced, and its rate is bounded."""
     monkeypatch.setattr(_origin_publisher, 'CHECK_PERIOD_S', 0.01)
 
@@ -53,28 +53,28 @@
         async with running(store, names) as found:
             for catalog in found:
                 declare(catalog, '10.9.9.9:80')
-            await fakes.until(lambda: shown(store) == '10.9.9.9')
+            await fakes.wait_until(lambda: published(store) == '10.9.9.9')
             for _ in range(10):
                 await asyncio.sleep(0.01)
             calls = len(store.calls)
             for catalog in found:
                 declare(catalog, '10.9.9.8:80', version=2)
-            await fakes.until(lambda: shown(store) == '10.9.9.8')
+            await fakes.wait_until(lambda: published(store) == '10.9.9.8')
         return calls
 
     assert asyncio.run(main()) <= 2 * _origin_publisher.WRITER_COUNT
 
 
-def test_the_key_is_written_once_the_store_is_back(monkeypatch):
+def test_origin_is_published_after_an_outage(monkeypatch):
     monkeypatch.setattr(_origin_publisher, 'CHECK_PERIOD_S', 0.01)
 
     async def main():
         store = fakes.FakeStore()
-        store.down = True
+        store.is_down = True
         async with running(store, ['entry-1']) as (catalog,):
             declare(catalog, '10.9.9.9:80')
-            await fakes.until(lambda: store.calls)
-            store.down = False
-            await fakes.until(lambda: shown(store) == '10.9.9.9')
+            await fakes.wait_until(lambda: store.calls)
+            store.is_down = False
+            await fakes.wait_until(lambda: published(store) == '10.9.9.9')
 
     asyncio.run(main())
--- a/catkinshunt/platform/tests/test_pending_publisher.py
+++ b/catkinshunt/platform/tests/test_pending_publisher.py
@@ -41,19 +41,19 @@
             task.cancel()
 
 
-def test_a_version_that_was_just_named_is_shown_as_pending():
+def test_new_version_is_published_as_pending():
     async def main():
         store = fakes.FakeStore()
         async with Writer(store).running() as writer:
             writer.catalog.add_named_version('drafts', 2, writer.now)
-            await fakes.until(lambda: KEY in store.items)
+            await fakes.wait_until(lambda: KEY in store.items)
         return store.granted_s
 
     (lease_s,) = asyncio.run(main())
     assert lease_s < GRACE_S
 
 
-def test_the_key_ends_before_the_version_is_due_also_if_the_store_is_slow():
+def test_pending_key_ends_before_the_version_is_due_with_a_slow_store():
     """The grant of the lease takes two seconds.
 
     Its time counts from its arrival, so the key would outlast the moment at
@@ -72,13 +72,13 @@
 
             store.grant_lease = slow
             writer.catalog.add_named_version('drafts', 2, writer.now)
-            await fakes.until(lambda: 'end' in store.calls)
+            await fakes.wait_until(lambda: 'end' in store.calls)
         return store.items
 
     assert KEY not in asyncio.run(main())
 
 
-def test_two_of_many_entries_write():
+def test_two_of_many_entries_publish_a_version():
     """Each call is priced, and hundreds of entries learn of a version."""
 
     async def main():
@@ -93,7 +93,7 @@
             ]
             for writer in writers:
                 writer.catalog.add_named_version('drafts', 2, writer.now)
-            await fakes.until(lambda: store.calls.count('write') == 2)
+            await fakes.wait_until(lambda: store.calls.count('write') == 2)
             for _ in range(20):
                 await asyncio.sleep(0)
         return store.calls
@@ -103,7 +103,7 @@
     )
 
 
-def test_a_version_that_was_there_at_the_start_is_not_shown():
+def test_version_found_at_start_is_not_published():
     async def main():
         store = fakes.FakeStore()
         async with Writer(store).running() as writer:
@@ -115,101 +115,103 @@
     assert asyncio.run(main()) == []
 
 
-@pytest.mark.parametrize('shown', [True, False])
-def test_an_entry_that_starts_knows_whether_a_version_is_due(shown):
+@pytest.mark.parametrize('published', [True, False])
+def test_starting_entry_detects_whether_a_version_is_due(published):
     """It finds a version in the store, named a moment or an hour ago.
 
     Taken as due, all requests are refused while engines still load it, up to
     eight seconds; taken as new, requests begin on weights that are too old.
     """
 
-    def prepare(followed):
-        followed.store.put('op/version/drafts', named(2))
-        if shown:
-            followed.store.put(KEY, b'{}')
+    def prepare(harness):
+        harness.store.put('op/version/drafts', named(2))
+        if published:
+            harness.store.put(KEY, b'{}')
 
-    async def main(followed):
-        now = followed.boottime()
-        return followed.catalog.due_version('drafts', GRACE_S, now)
+    async def main(harness):
+        now = harness.boottime()
+        return harness.catalog.due_version('drafts', GRACE_S, now)
 
     due = test_cache_updater.run(main, prepare)
-    assert due == (None if shown else 2)
+    assert due == (None if published else 2)
 
 
-def test_a_version_is_due_when_its_key_ends():
-    def prepare(followed):
-        followed.store.put('op/version/drafts', named(2))
-        followed.store.put(KEY, b'{}')
+def test_version_is_due_when_its_pending_key_ends():
+    def prepare(harness):
+        harness.store.put('op/version/drafts', named(2))
+        harness.store.put(KEY, b'{}')
 
-    async def main(followed):
-        followed.store.delete(KEY)
+    async def main(harness):
+        harness.store.delete(KEY)
 
         def is_due():
-            now = followed.boottime()
-            return followed.catalog.due_version('drafts', GRACE_S, now) == 2
+            now = harness.boottime()
+            return harness.catalog.due_version('drafts', GRACE_S, now) == 2
 
-        await fakes.until(is_due)
+        await fakes.wait_until(is_due)
 
     test_cache_updater.run(main, prepare)
 
 
-def test_a_version_whose_key_comes_late_is_not_due():
+def test_version_with_a_late_pending_key_is_not_due():
     """The entry started before those that saw it named wrote the key."""
 
-    def prepare(followed):
-        followed.store.put('op/version/drafts', named(2))
+    def prepare(harness):
+        harness.store.put('op/version/drafts', named(2))
 
-    async def main(followed):
-        followed.store.put(KEY, b'{}')
+    async def main(harness):
+        harness.store.put(KEY, b'{}')
 
         def is_due():
-            now = followed.boottime()
-            return followed.catalog.due_version('drafts', GRACE_S, now) == 2
+            now = harness.boottime()
+            return harness.catalog.due_version('drafts', GRACE_S, now) == 2
 
-        await fakes.until(lambda: not is_due())
+        await fakes.wait_until(lambda: not is_due())
 
     test_cache_updater.run(main, prepare)
 
 
-def test_a_key_that_ended_while_the_history_was_lost_counts_as_ended():
-    def prepare(followed):
-        followed.store.put('op/version/drafts', named(2))
-        followed.store.put(KEY, b'{}')
+def test_pending_key_that_ended_during_history_loss_counts_as_ended():
+    def prepare(harness):
+        harness.store.put('op/version/drafts', named(2))
+        harness.store.put(KEY, b'{}')
 
-    async def main(followed):
-        followed.store.delete(KEY)
-        followed.store.forget_history()
+    async def main(harness):
+        harness.store.delete(KEY)
+        harness.store.forget_history()
 
         def is_due():
-            now = followed.boottime()
-            return followed.catalog.due_version('drafts', GRACE_S, now) == 2
+            now = harness.boottime()
+            return harness.catalog.due_version('drafts', GRACE_S, now) == 2
 
-        await fakes.until(is_due)
+        await fakes.wait_until(is_due)
 
     test_cache_updater.run(main, prepare)
 
 
-def test_the_end_of_a_key_changes_nothing_for_who_saw_it_named():
+def test_end_of_a_pending_key_is_ignored_by_who_saw_the_naming():
     """It knows the time itself, and the lease ends a little earlier."""
 
-    async def main(followed):
-        followed.store.put('op/version/drafts', named(2))
-        followed.store.put(KEY, b'{}')
-        await fakes.until(lambda: followed.catalog.newest_version('drafts'))
-        followed.store.delete(KEY)
-        followed.store.put('servers/i-9', b'{}')
-        await fakes.until(lambda: followed.mirror._revision >= 6)
-        now = followed.boottime()
-        return followed.catalog.due_version('drafts', GRACE_S, now)
+    async def main(harness):
+        harness.store.put('op/version/drafts', named(2))
+        harness.store.put(KEY, b'{}')
+        await fakes.wait_until(
+            lambda: harness.catalog.newest_version('drafts')
+        )
+        harness.store.delete(KEY)
+        harness.store.put('servers/i-9', b'{}')
+        await fakes.wait_until(lambda: harness.updater._revision >= 6)
+        now = harness.boottime()
+        return harness.catalog.due_version('drafts', GRACE_S, now)
 
     assert test_cache_updater.run(main) is None
 
 
-def test_an_unknown_key_is_left_aside():
-    def prepare(followed):
-        followed.store.put(f'{_documents.PENDING_PREFIX}x', b'{}')
+def test_invalid_pending_key_is_ignored():
+    def prepare(harness):
+        harness.store.put(f'{_documents.PENDING_PREFIX}x', b'{}')
 
-    async def main(followed):
-        return followed.catalog.declaration.revision
+    async def main(harness):
+        return harness.catalog.declaration.revision
 
     assert test_cache_updater.run(main, prepare)
--- a/catkinshunt/platform/tests/test_quarantine_publisher.py
+++ b/catkinshunt/platform/tests/test_quarantine_publisher.py
@@ -21,12 +21,12 @@
     for name in NAMES:
         live_entries = catalogs.LiveEntries()
         live_entries.replace(NAMES)
-        barred = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         keys = _quarantine_publisher.QuarantinePublisher(
-            store, barred, live_entries, name, boottime
+            store, quarantined, live_entries, name, boottime
         )
         tasks.append(asyncio.ensure_future(keys.run()))
-        found.append(barred)
+        found.append(quarantined)
     try:
         yield found
     finally:
@@ -36,11 +36,11 @@
 
 def add(found, for_s=quarantine.QUARANTINE_S):
     now = asyncio.get_running_loop().time()
-    for barred in found:
-        barred.add(REQUEST, for_s, now)
+    for quarantined in found:
+        quarantined.add(REQUEST, for_s, now)
 
 
-def test_few_entries_write_a_barred_request_once(monkeypatch):
+def test_few_entries_publish_a_quarantined_request_once(monkeypatch):
     """Each call of the store is priced, and its rate is bounded."""
 
     async def main():
@@ -48,7 +48,7 @@
         async with writing(store, monkeypatch) as found:
             add(found)
             key = _documents.quarantine_key(REQUEST)
-            await fakes.until(lambda: key in store.items)
+            await fakes.wait_until(lambda: key in store.items)
             await asyncio.sleep(0.1)
             return store.calls, store.granted_s
 
@@ -57,21 +57,21 @@
     assert max(granted_s) <= quarantine.QUARANTINE_S
 
 
-def test_it_is_written_when_the_store_is_back(monkeypatch):
+def test_quarantine_is_published_after_an_outage(monkeypatch):
     async def main():
         store = fakes.FakeStore()
-        store.down = True
+        store.is_down = True
         async with writing(store, monkeypatch) as found:
             add(found)
-            await fakes.until(lambda: store.calls)
-            store.down = False
+            await fakes.wait_until(lambda: store.calls)
+            store.is_down = False
             key = _documents.quarantine_key(REQUEST)
-            await fakes.until(lambda: key in store.items)
+            await fakes.wait_until(lambda: key in store.items)
 
     asyncio.run(main())
 
 
-def test_entries_that_all_start_anew_know_what_is_barred():
+def test_quarantine_survives_a_restart_of_all_entries():
     """What they told each other is lost; the request would crash more."""
 
     async def main():
@@ -82,23 +82,23 @@
         async with region.running():
             return [
                 (
-                    entry.barred.remaining_s(REQUEST, entry.boottime()),
-                    entry.barred.remaining_s('odd', entry.boottime()),
+                    entry.quarantined.remaining_s(REQUEST, entry.boottime()),
+                    entry.quarantined.remaining_s('odd', entry.boottime()),
                 )
                 for entry in region.entries
             ]
 
-    for left_s, odd_s in asyncio.run(main()):
+    for left_s, invalid_s in asyncio.run(main()):
         assert 50.0 < left_s <= 60.0
-        assert odd_s == 0.0
+        assert invalid_s == 0.0
 
 
-def test_what_is_barred_reaches_entries_through_the_store():
+def test_quarantine_reaches_entries_through_the_store():
     async def main(region):
         key = _documents.quarantine_key(REQUEST)
         region.store.put(key, _documents.dump_quarantine(60.0))
-        await region.until(
-            lambda e: e.barred.remaining_s(REQUEST, e.boottime()) > 0.0
+        await region.wait_until(
+            lambda e: e.quarantined.remaining_s(REQUEST, e.boottime()) > 0.0
         )
 
     regions.run(main)
--- a/catkinshunt/platform/tests/test_registration.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -20,23 +20,23 @@
     member = platform.Registration(store, live_entries, 'edge-1')
     task = asyncio.ensure_future(member.run())
     try:
-        await fakes.until(lambda: KEY in store.items)
+        await fakes.wait_until(lambda: KEY in store.items)
         live_entries.put('edge-1')
         yield store, live_entries, member
     finally:
         task.cancel()
 
 
-def test_the_lease_is_renewed_without_further_writes(monkeypatch):
+def test_lease_is_renewed_without_further_writes(monkeypatch):
     async def main():
         async with listed(monkeypatch) as (store, _, _):
-            await fakes.until(lambda: store.calls.count('renew') > 3)
+            await fakes.wait_until(lambda: store.calls.count('renew') > 3)
             return store.calls.count('write')
 
     assert asyncio.run(main()) == 1
 
 
-def test_an_entry_whose_lease_ended_is_listed_again(monkeypatch):
+def test_entry_registers_again_after_its_lease_ended(monkeypatch):
     """The store lost the lease in an outage that was longer than it.
 
     The others would share the retries among too few for as long as the
@@ -45,15 +45,15 @@
 
     async def main():
         async with listed(monkeypatch) as (store, _, _):
-            store.down = True
+            store.is_down = True
             store.expire(*store.leases)
-            store.down = False
-            await fakes.until(lambda: KEY in store.items)
+            store.is_down = False
+            await fakes.wait_until(lambda: KEY in store.items)
 
     asyncio.run(main())
 
 
-def test_an_entry_whose_key_vanished_is_listed_again(monkeypatch):
+def test_entry_registers_again_after_its_key_vanished(monkeypatch):
     """A write arrives late and binds the key to a lease that nobody renews.
 
     The key vanishes with that lease, while the newer one is renewed in
@@ -64,12 +64,12 @@
         async with listed(monkeypatch) as (store, live_entries, _):
             store.delete(KEY)
             live_entries.drop('edge-1')
-            await fakes.until(lambda: KEY in store.items)
+            await fakes.wait_until(lambda: KEY in store.items)
 
     asyncio.run(main())
 
 
-def test_an_entry_that_stops_is_listed_no_longer(monkeypatch):
+def test_stopped_entry_is_not_listed(monkeypatch):
     async def main():
         async with listed(monkeypatch) as (store, _, member):
             await member.deregister()
@@ -78,16 +78,16 @@
     assert not asyncio.run(main())
 
 
-def test_stopping_goes_on_without_the_store(monkeypatch):
+def test_stopping_works_without_the_store(monkeypatch):
     async def main():
         async with listed(monkeypatch) as (store, _, member):
-            store.down = True
+            store.is_down = True
             await member.deregister()
 
     asyncio.run(main())
 
 
-def test_a_silent_store_does_not_hold_up_the_stop(monkeypatch):
+def test_unresponsive_store_does_not_delay_the_stop(monkeypatch):
     """The store gives no answer while a process stops.
 
     Waited for when all requests had ended, the call lasted beyond the time
@@ -109,7 +109,7 @@
     asyncio.run(main())
 
 
-def test_the_lease_ends_while_the_last_requests_are_answered(monkeypatch):
+def test_lease_is_revoked_while_the_last_requests_are_answered(monkeypatch):
     class Server:
         async def stop(self, grace_s):
             await asyncio.sleep(grace_s)
--- a/catkinshunt/platform/tests/test_settings.py
+++ b/catkinshunt/platform/tests/test_settings.py
@@ -17,7 +17,7 @@
 }
 
 
-def test_the_platforms_words_become_ours():
+def test_settings_are_parsed():
     cfg = platform.parse_instance_settings(DOCUMENT)
     assert cfg.frontend_address == ('10.1.0.4', 8005)
     assert cfg.store_address == ('10.200.1.7', 8007)
@@ -27,7 +27,7 @@
     assert cfg.engine_address is None
 
 
-def test_every_wrong_field_is_named_at_once():
+def test_all_invalid_fields_are_reported_at_once():
     """A settings file has several mistakes.
 
     Told one by one, each restart of the process would show only the next.
@@ -46,13 +46,13 @@
     assert "bounds.grace_s: got 'long', allowed: a number" in text
 
 
-def test_a_missing_field_is_named():
+def test_missing_field_is_reported():
     document = {k: v for k, v in DOCUMENT.items() if k != 'platform'}
     with pytest.raises(errors.SettingsError, match='platform.address'):
         platform.parse_instance_settings(document)
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path):
+def test_unreadable_file_is_reported(tmp_path):
     with pytest.raises(errors.SettingsError, match='No such file'):
         platform.load_instance_settings(tmp_path / 'none.toml')
     bad = tmp_path / 'bad.toml'
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -34,7 +34,7 @@
         view = make_view(store)
         task = asyncio.ensure_future(view.run())
         try:
-            await fakes.until(lambda: 'read' in store.calls)
+            await fakes.wait_until(lambda: 'read' in store.calls)
             return await main(view, store)
         finally:
             task.cancel()
@@ -50,17 +50,17 @@
     store.put('op/version/drafts', {'model': 'drafts', 'version': version})
 
 
-def test_the_newest_named_version_is_wanted():
+def test_newest_named_version_is_the_target():
     async def main(view, store):
         name(store, 2)
-        await fakes.until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         return await view.target_version(report(1))
 
     wanted = run(main)
     assert (wanted.model, wanted.version) == ('drafts', 2)
 
 
-def test_an_added_engine_gets_what_the_others_serve():
+def test_added_engine_gets_the_version_that_others_serve():
     """An engine is added before any version was named.
 
     Nothing in the store says which version it should hold; the entries of
@@ -78,7 +78,7 @@
     assert serving is None
 
 
-def test_the_configuration_is_read_only_for_the_origin():
+def test_configuration_is_read_only_for_the_origin():
     """After a loss of power all processes start at the same moment.
 
     A large configuration read by each of them fills the links between
@@ -97,7 +97,7 @@
     assert origin.address == ('10.9.9.9', 80)
 
 
-def test_nothing_is_wanted_before_the_store_tells_what_is_named():
+def test_no_target_before_the_named_versions_are_read():
     """All machines lose their power after a new version was named.
 
     Their sidecars start before the store has told them its name. The engines
@@ -112,7 +112,7 @@
         early = await view.target_version(report())
         name(store, 3)
         task = asyncio.ensure_future(view.run())
-        await fakes.until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         task.cancel()
         return early, await view.target_version(report())
 
@@ -121,7 +121,7 @@
     assert late.version == 3
 
 
-def test_a_shown_origin_spares_the_configuration():
+def test_published_origin_avoids_reading_the_configuration():
     """After a loss of power all sidecars and entries start together.
 
     The large configuration, read by each sidecar that fetches from the
@@ -130,15 +130,15 @@
     """
 
     async def main(view, store):
-        shown = catalogs.Origin(('10.9.9.7', 80), 'a', 4.38, 48)
-        store.put(_documents.ORIGIN_KEY, _documents.dump_origin(shown))
+        published = catalogs.Origin(('10.9.9.7', 80), 'a', 4.38, 48)
+        store.put(_documents.ORIGIN_KEY, _documents.dump_origin(published))
         found = await view.origin()
-        return found == shown, view.catalog.declaration
+        return found == published, view.catalog.declaration
 
     assert run(main) == (True, None)
 
 
-def test_an_origin_that_moves_is_found_again(monkeypatch):
+def test_new_address_of_the_origin_is_read(monkeypatch):
     """The origin gets another address while sidecars run.
 
     One that kept the first address for ever would fetch no version again.
@@ -148,17 +148,17 @@
     async def main(view, store):
         found = []
         for host in ('10.9.9.7', '10.9.9.8'):
-            shown = catalogs.Origin((host, 80))
-            store.put(_documents.ORIGIN_KEY, _documents.dump_origin(shown))
+            published = catalogs.Origin((host, 80))
+            store.put(_documents.ORIGIN_KEY, _documents.dump_origin(published))
             found.append((await view.origin()).address[0])
-        store.down = True
+        store.is_down = True
         found.append((await view.origin()).address[0])
         return found
 
     assert run(main) == ['10.9.9.7', '10.9.9.8', '10.9.9.8']
 
 
-def test_a_damaged_key_of_the_origin_is_left_aside():
+def test_invalid_origin_key_is_ignored():
     async def main(view, store):
         store.put(_documents.ORIGIN_KEY, b'{"address": 7}')
         return await view.origin()
@@ -166,34 +166,34 @@
     assert run(main).address == ('10.9.9.9', 80)
 
 
-def test_a_version_named_while_it_runs_has_its_whole_time():
+def test_version_named_at_run_time_gets_the_full_time():
     async def main(view, store):
         name(store, 2)
-        await fakes.until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         since = view.superseded_at('drafts', 1) - view.now()
         return since
 
     assert run(main) > DUE_S - 1
 
 
-def test_a_version_expires_before_a_newer_one_is_due():
+def test_version_expires_before_a_newer_one_is_due():
     async def main(view, store):
-        calm = view.expires_at('drafts', 1)
+        before = view.expires_at('drafts', 1)
         name(store, 2)
-        await fakes.until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         named_at = view.now()
         name(store, 3)
-        await fakes.until(
+        await fakes.wait_until(
             lambda: view.catalog.newest_version('drafts').version == 3
         )
-        return calm, named_at, view.expires_at('drafts', 1)
+        return before, named_at, view.expires_at('drafts', 1)
 
-    calm, named_at, expires_at = run(main)
-    assert calm == float('inf')
+    before, named_at, expires_at = run(main)
+    assert before == float('inf')
     assert expires_at <= named_at + DUE_S - _store_view.EXPIRY_MARGIN_S
 
 
-def test_a_version_found_at_the_start_expires_nothing():
+def test_version_found_at_start_expires_nothing():
     """A sidecar is killed as a version is named, and is back at once.
 
     It cannot know how long ago that was. Taking the old version as expired
@@ -205,14 +205,14 @@
         name(store, 2)
         view = make_view(store)
         task = asyncio.ensure_future(view.run())
-        await fakes.until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         task.cancel()
         return view.expires_at('drafts', 1)
 
     assert asyncio.run(main()) == float('inf')
 
 
-def test_leaving_engines_are_no_members():
+def test_leaving_engines_are_not_members():
     async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
         leaving = {**documents.UPSTREAM, 'state': 'draining'}
@@ -222,7 +222,7 @@
     assert [member.name for member in run(main)] == ['10.1.0.9']
 
 
-def test_members_stay_known_while_the_store_is_away(monkeypatch):
+def test_members_stay_cached_while_the_store_is_unreachable(monkeypatch):
     """The store goes away while a version is to be fetched.
 
     Its list of members cannot be read anew then. Without the one from before
@@ -234,9 +234,9 @@
     async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
         before = await view.members()
-        store.down = True
+        store.is_down = True
         during = await view.members()
-        store.down = False
+        store.is_down = False
         store.delete('servers/i-1')
         return before, during, await view.members()
 
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -23,10 +23,10 @@
     """
 
     async def main(region):
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
-        return region.store.sent.count('op/config')
+        await region.wait_until(lambda entry: entry.revision == 9)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main) == 1
 
@@ -47,7 +47,7 @@
         for entry in region.entries:
             await entry.start()
             await asyncio.sleep(0.1)
-        await region.until(lambda entry: entry.revision == 7)
+        await region.wait_until(lambda entry: entry.revision == 7)
         for entry in region.entries:
             await entry.kill()
         return [e.store.calls.count('read op/') for e in region.entries]
@@ -55,7 +55,7 @@
     assert asyncio.run(main()) == [0, 0, 1]
 
 
-def test_a_storm_of_configurations_is_not_read_piece_by_piece():
+def test_burst_of_configurations_is_not_read_one_by_one():
     """The operator changes the configuration a dozen times in a row.
 
     The watch gives each of them whole, though only the newest is needed.
@@ -65,18 +65,18 @@
     """
 
     async def main(region):
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         for version in range(8, 20):
             document = documents.configuration(version=version)
             region.store.put('op/config', document)
             await asyncio.sleep(0.02)
-        await region.until(lambda entry: entry.revision == 19)
-        return region.store.sent.count('op/config')
+        await region.wait_until(lambda entry: entry.revision == 19)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main) <= 3
 
 
-def test_a_reader_lost_in_a_storm_does_not_bring_every_configuration():
+def test_watcher_lost_in_a_burst_does_not_transfer_every_configuration():
     """The entry that reads for the others dies as configurations follow.
 
     A watch gives each of those that the others have missed, whole, over one
@@ -84,23 +84,23 @@
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         region.store.put('op/config', documents.configuration(version=8))
-        await region.until(lambda entry: entry.revision == 8)
-        reader.task.cancel()
-        reader.store.is_cut = True
-        region.store.sent.clear()
+        await region.wait_until(lambda entry: entry.revision == 8)
+        watcher.task.cancel()
+        watcher.store.is_cut = True
+        region.store.sent_keys.clear()
         for version in range(9, 29):
             document = documents.configuration(version=version)
             region.store.put('op/config', document)
             await asyncio.sleep(0.1)
-        await region.until(lambda entry: entry.revision == 28, others)
-        return region.store.sent.count('op/config') / len(others)
+        await region.wait_until(lambda entry: entry.revision == 28, others)
+        return region.store.sent_keys.count('op/config') / len(others)
 
     assert regions.run(main) <= 3
 
 
-def test_an_outage_in_a_storm_does_not_bring_every_configuration(monkeypatch):
+def test_outage_in_a_burst_does_not_transfer_every_configuration(monkeypatch):
     """The store is away for longer than a storm is remembered.
 
     What was written meanwhile would be sent whole, one after the other.
@@ -108,25 +108,25 @@
     monkeypatch.setattr(_regional, 'BUSY_S', 0.1)
 
     async def main(region):
-        reader = region.reader()
+        watcher = region.watcher()
         for entry in region.followers():
             await entry.kill()
         region.store.put('op/config', documents.configuration(version=8))
-        await fakes.until(lambda: reader.revision == 8)
-        reader.store.is_refused = True
+        await fakes.wait_until(lambda: watcher.revision == 8)
+        watcher.store.is_rejecting = True
         await asyncio.sleep(0.3)
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         for version in range(9, 29):
             document = documents.configuration(version=version)
             region.store.put('op/config', document)
-        reader.store.is_refused = False
-        await fakes.until(lambda: reader.revision == 28)
-        return region.store.sent.count('op/config')
+        watcher.store.is_rejecting = False
+        await fakes.wait_until(lambda: watcher.revision == 28)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main) <= 3
 
 
-def test_what_is_deleted_in_a_storm_is_handed_on():
+def test_deletions_in_a_burst_are_relayed():
     """A read of all shows no deletions; a dead upstream would stay listed."""
 
     async def main(region):
@@ -136,31 +136,31 @@
             await asyncio.sleep(0.05)
         region.store.delete('servers/i-1')
         region.store.put('servers/i-2', documents.UPSTREAM)
-        await region.until(lambda e: e.catalog.find('i-1') is None)
-        await region.until(lambda e: e.catalog.find('i-2') is not None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is None)
+        await region.wait_until(lambda e: e.catalog.find('i-2') is not None)
         region.store.put('servers/i-1', documents.UPSTREAM)
-        await region.until(lambda e: e.catalog.find('i-1') is not None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is not None)
 
     regions.run(main)
 
 
-def test_all_go_on_when_the_entry_that_reads_dies():
+def test_followers_continue_after_the_watcher_is_killed():
     """The entry that reads for the others is killed.
 
     They ask the store themselves at once; a caller notices nothing.
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
-        await reader.kill()
+        watcher, others = region.watcher(), region.followers()
+        await watcher.kill()
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9, others)
+        await region.wait_until(lambda entry: entry.revision == 9, others)
 
     regions.run(main)
 
 
 @pytest.mark.parametrize('several', [(regions.REGION,), regions.TWO_REGIONS])
-def test_all_go_on_when_the_entry_that_reads_is_cut_off(monkeypatch, several):
+def test_followers_continue_after_the_watcher_is_cut_off(monkeypatch, several):
     """The entry that reads for the others loses its way to the store.
 
     It goes on answering with what it knew. The others notice that it has no
@@ -171,16 +171,16 @@
     monkeypatch.setattr(_regional, 'STALE_S', 0.4)
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
-        reader.store.is_cut = True
+        watcher, others = region.watcher(), region.followers()
+        watcher.store.is_cut = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9, others)
+        await region.wait_until(lambda entry: entry.revision == 9, others)
         return [e.catalog.age_s(e.boottime()) for e in others]
 
     assert max(regions.run(main, several)) < 2.0
 
 
-def test_a_lost_history_does_not_send_all_to_the_store():
+def test_history_loss_does_not_send_all_to_the_store():
     """The store forgets its history as a large configuration is written.
 
     The entry that reads for the others reads all anew. Did the others take
@@ -189,63 +189,63 @@
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.store.calls.clear()
-        reader.store.has_lost_history = True
+        watcher.store.loses_history = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
+        await region.wait_until(lambda entry: entry.revision == 9)
         return [call for entry in others for call in entry.store.calls]
 
     assert regions.run(main) == []
 
 
-def test_a_lost_history_of_a_slow_store_does_not_send_all_to_it():
+def test_history_loss_of_a_slow_store_does_not_send_all_to_it():
     """Three reads in a row take longer than the others go without proof."""
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in region.entries:
             entry.store.delay_s = SLOW_S
         for entry in others:
             entry.store.calls.clear()
-        reader.store.has_lost_history = True
+        watcher.store.loses_history = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
+        await region.wait_until(lambda entry: entry.revision == 9)
         await asyncio.sleep(3 * SLOW_S)
         return [call for entry in others for call in entry.store.calls]
 
     assert regions.run(main) == []
 
 
-def test_one_that_the_store_turns_away_asks_the_others():
+def test_entry_rejected_by_the_store_follows_others():
     """The others of its region know all; its callers would be refused."""
 
     async def main(region):
-        reader = region.reader()
-        reader.store.is_refused = True
+        watcher = region.watcher()
+        watcher.store.is_rejecting = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
+        await region.wait_until(lambda entry: entry.revision == 9)
         ages = []
         for _ in range(40):
             await asyncio.sleep(0.1)
-            ages.append(reader.catalog.age_s(reader.boottime()))
+            ages.append(watcher.catalog.age_s(watcher.boottime()))
         return max(ages)
 
-    assert regions.run(main) < regions.FRESH_S
+    assert regions.run(main) < regions.KEY_TRUST_S
 
 
-def test_what_is_deleted_is_handed_on():
+def test_deletions_are_relayed():
     async def main(region):
         region.store.delete('servers/i-1')
-        await region.until(lambda e: e.catalog.find('i-1') is None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is None)
         region.store.put('servers/i-1', documents.UPSTREAM)
-        await region.until(lambda e: e.catalog.find('i-1') is not None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is not None)
 
     regions.run(main)
 
 
-def test_one_that_has_just_started_is_passed_over():
+def test_watcher_that_has_just_started_is_not_followed():
     """The entry that reads starts again, and does not know what was before.
 
     Those that ask for changes from before its start go on by the store; a
@@ -253,24 +253,26 @@
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.task.cancel()
-        await reader.kill()
+        await watcher.kill()
         region.store.delete('servers/i-1')
-        number = region.entries.index(reader)
-        again = regions.Entry(region, int(reader.name[-1]))
+        number = region.entries.index(watcher)
+        again = regions.Entry(region, int(watcher.name[-1]))
         region.entries[number] = again
         await again.start()
-        await fakes.until(lambda: again.revision == 7)
+        await fakes.wait_until(lambda: again.revision == 7)
         for entry in others:
-            entry.task = asyncio.ensure_future(entry.mirror.run())
-        await region.until(lambda e: e.catalog.find('i-1') is None, others)
+            entry.task = asyncio.ensure_future(entry.updater.run())
+        await region.wait_until(
+            lambda e: e.catalog.find('i-1') is None, others
+        )
 
     regions.run(main)
 
 
-def test_an_answer_of_a_neighbour_that_lies_unread_proves_nothing():
+def test_buffered_answer_of_a_peer_confirms_nothing():
     """The process is suspended while an answer lies unread.
 
     Counted from the moment at which it was read, it would make a state of
@@ -282,9 +284,9 @@
         calls = follower.store.calls
         follower.offset_s += 30.0
         before = len(calls)
-        await fakes.until(lambda: len(calls) > before)
+        await fakes.wait_until(lambda: len(calls) > before)
         ages = []
-        await fakes.until(
+        await fakes.wait_until(
             lambda: (
                 ages.append(follower.catalog.age_s(follower.boottime()))
                 or ages[-1] < 3.0
@@ -295,7 +297,7 @@
     assert regions.run(main) > 25
 
 
-def test_a_version_is_as_old_as_the_reader_knows_it(monkeypatch):
+def test_relayed_version_keeps_the_age_known_to_the_watcher(monkeypatch):
     """A neighbour hears of a named version later than the one that reads.
 
     Counted from then, it would serve the older version for longer than is
@@ -303,49 +305,51 @@
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         slow = others[0]
         slow.task.cancel()
         region.store.put(
             'op/version/drafts', {'model': 'drafts', 'version': 3}
         )
-        await fakes.until(lambda: reader.catalog.newest_version('drafts'))
+        await fakes.wait_until(
+            lambda: watcher.catalog.newest_version('drafts')
+        )
         await asyncio.sleep(0.5)
-        slow.task = asyncio.ensure_future(slow.mirror.run())
-        await fakes.until(lambda: slow.catalog.newest_version('drafts'))
+        slow.task = asyncio.ensure_future(slow.updater.run())
+        await fakes.wait_until(lambda: slow.catalog.newest_version('drafts'))
         return [
             entry.catalog.newest_version('drafts').learned_at
-            for entry in (reader, slow)
+            for entry in (watcher, slow)
         ]
 
     known, heard = regions.run(main)
     assert heard <= known + 0.1
 
 
-def test_a_configuration_crosses_no_link_as_the_store_sends_it():
+def test_one_entry_reads_a_configuration_for_all_regions():
     """Read by each region, a storm of them fills the links between regions.
 
     Entries that wait behind such a link refuse their callers.
     """
 
     async def main(region):
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
-        return region.store.sent.count('op/config')
+        await region.wait_until(lambda entry: entry.revision == 9)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main, regions.TWO_REGIONS) == 1
 
 
-def test_one_entry_of_a_region_asks_another_region():
+def test_one_entry_of_a_region_follows_another_region():
     """Asked by each entry, a link would carry every value several times."""
 
     async def main(region):
-        reader = region.reader()
+        watcher = region.watcher()
         asking = [
             entry
             for entry in region.followers()
-            if entry.home.region != reader.home.region
+            if entry.location.region != watcher.location.region
             and entry.feed.watchers.regional_watcher(entry.boottime()) is None
         ]
         return len(asking)
@@ -353,43 +357,43 @@
     assert regions.run(main, regions.TWO_REGIONS) == 1
 
 
-def test_proofs_reach_all_regions_before_they_are_too_old():
+def test_confirmations_reach_all_regions_before_they_are_stale():
     """Behind two entries a proof would be too old, and all ask the store."""
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.store.calls.clear()
         read_s, followed_s = [], []
         for _ in range(50):
             await asyncio.sleep(0.05)
-            now = reader.boottime()
-            read_s.append(reader.catalog.age_s(now))
+            now = watcher.boottime()
+            read_s.append(watcher.catalog.age_s(now))
             followed_s += [entry.catalog.age_s(now) for entry in others]
         calls = [call for entry in others for call in entry.store.calls]
         return max(read_s), max(followed_s), calls
 
     read_s, followed_s, calls = regions.run(main, regions.TWO_REGIONS)
-    assert followed_s < min(read_s + regions.WAY_S, _regional.STALE_S)
+    assert followed_s < min(read_s + regions.RELAY_S, _regional.STALE_S)
     assert calls == []
 
 
-def test_a_region_goes_on_when_the_one_that_reads_for_all_dies():
+def test_other_regions_continue_after_the_watcher_is_killed():
     """The others would otherwise answer by rules that are too old."""
 
     async def main(region):
-        home = region.reader().home.region
-        lost = [e for e in region.entries if e.home.region == home]
+        home = region.watcher().location.region
+        lost = [e for e in region.entries if e.location.region == home]
         for entry in lost:
             await entry.kill()
         region.store.put('op/config', documents.configuration(version=9))
         others = [e for e in region.entries if e not in lost]
-        await region.until(lambda entry: entry.revision == 9, others)
+        await region.wait_until(lambda entry: entry.revision == 9, others)
 
     regions.run(main, regions.TWO_REGIONS)
 
 
-def test_a_neighbour_that_talks_nonsense_is_not_followed():
+def test_peer_with_invalid_answers_is_rejected():
     async def main():
         peer = feed.PeerWatchSource('127.0.0.1', 0, lambda: 0.0, lambda: 0.0)
         with pytest.raises(errors.StoreError):
