--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -95,7 +95,7 @@
                 _apply.apply_quarantine(
                     item, self.quarantined, self.boottime()
                 )
-        # The store does not tell when a version was named. On the first read
+        # The store does not record when a version was named. On the first read
         # it may have been named long ago; later, not before the last time at
         # which the cached state was current.
         named_at = self.catalog.confirmed_at
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -180,7 +180,7 @@
         id=upstream_id,
         service=_get_str(document, 'service'),
         address=address,
-        # `zone` is the data centre; `started_at_ms` is the start in Unix time.
+        # 'zone' is the data centre, 'born' the start in Unix time.
         data_centre=_get_str(document, 'zone', ''),
         started_at_ms=_get_int(document, 'born', 0),
         leaving=state == 'draining',
@@ -229,7 +229,7 @@
     Raises:
         InvalidDocumentError: the answer has no list of them.
     """
-    # `held` lists the indices of the staged chunks.
+    # 'held' lists the indices of the staged chunks.
     indices = parse_object(value).get('held')
     if not isinstance(indices, list):
         raise InvalidDocumentError('held is not a list')
@@ -255,7 +255,7 @@
     document = parse_object(value)
     try:
         return catalog.Declaration(
-            # `version` is the revision of the configuration.
+            # 'version' is the revision of the configuration.
             revision=_get_int(document, 'version'),
             rule_set=rules.RuleSet(_parse_rules(document)),
             services={
@@ -341,9 +341,9 @@
     usual = item.get('usual') or {}
     models = item.get('models') or []
     default = catalog.EngineProfile()
-    # `per_seq_ms` is the time that each running request adds to a step,
-    # `read_per_s` the prompt tokens processed in a second, `steps_per_pass` the token
-    # steps in one pass, `usual` the mean tokens of a request, and `warm_s`
+    # 'per_seq_ms' is the time that each running request adds to a step,
+    # 'read_per_s' the prompt tokens processed in a second, 'stride' the token
+    # steps in one pass, 'usual' the mean tokens of a request, and 'warm_s'
     # the time to load a version.
     return catalog.EngineProfile(
         slots=item.get('slots', default.slots),
--- a/catkinshunt/platform/_settings.py
+++ b/catkinshunt/platform/_settings.py
@@ -172,7 +172,7 @@
     cfg = InstanceSettings(
         name=reader.get('node_name', str, required=True),
         ip=reader.get('ip', str, required=True),
-        # `zone` is the data centre; `zones` gives the region of each.
+        # 'zone' is the data centre; 'zones' gives the region of each.
         data_centre=reader.get('zone', str, required=True),
         regions=dict(reader.get('zones', dict, {})),
         frontend_address=reader.address('listen.frontend'),
@@ -180,7 +180,7 @@
         port_range=tuple(reader.get('port_range', list, [0, 0])),
         store_address=reader.address('platform.address', required=True),
         link_mbps=reader.get('limits.link_mbps', _NUMBER, 1000.0),
-        # `app` is the address of the engine on this instance.
+        # 'app' is the address of the engine on this instance.
         engine_address=reader.address('app'),
         service=reader.get('service', str, ''),
         bounds=_parse_bounds(reader),
--- a/catkinshunt/platform/_store.py
+++ b/catkinshunt/platform/_store.py
@@ -44,7 +44,7 @@
         revision = None
         after = None
         while True:
-            # `path_prefix` is a prefix of keys here, `after` the last key
+            # 'path_prefix' is a prefix of keys here, 'after' the last key
             # read.
             query = {'path_prefix': prefix}
             if after is not None:
--- a/catkinshunt/platform/tests/fakes.py
+++ b/catkinshunt/platform/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A store in memory that answers as it is told."""
+"""An in-memory store that can simulate faults."""
 
 import asyncio
 import json
@@ -9,7 +9,14 @@
 
 
 class FakeStore:
-    """Keys with revisions; reads, watches and faults."""
+    """Keys with revisions, watches and leases.
+
+    Attributes:
+        is_down: all calls fail.
+        calls: kinds of the calls made, in order.
+        sent_keys: keys of the changes that watches returned, in order.
+        granted_s: lifetimes of the leases granted, in order.
+    """
 
     def __init__(self):
         self.items = {}
@@ -33,7 +40,7 @@
         self._change(key, None)
 
     def forget_history(self):
-        """Drop what a watch would need to go on."""
+        """Drop all changes, so that running watches fail."""
         self.first_kept_revision = self.revision + 1
         self.revision += 1
         self._changes.notify_all()
--- a/catkinshunt/platform/tests/regions.py
+++ b/catkinshunt/platform/tests/regions.py
@@ -1,4 +1,4 @@
-"""Entries of one or several regions that follow one store, on loopback."""
+"""Entries of one or several regions that watch one store, on loopback."""
 
 import asyncio
 import contextlib
@@ -15,21 +15,21 @@
 
 
 REGION = 'attiki'
-#: Seconds within which a proof is to pass two entries of one machine.
+#: Longest time for a confirmation to be relayed through two entries.
 RELAY_S = 0.2
-#: Seconds without proof after which an entry trusts no key.
+#: Seconds without confirmation after which an entry trusts no API key.
 KEY_TRUST_S = 3.0
 TWO_REGIONS = ('attiki', 'thessalia')
 
 
 class Entry:
-    """One entry of a region on an address of its own."""
+    """One entry of a region, on its own loopback address."""
 
-    def __init__(self, region, number, home_region=REGION):
+    def __init__(self, region, number, region_name=REGION):
         self.name = f'edge-{number}'
         self.host = f'127.0.0.{number}'
         self.region = region
-        self.location = catalogs.EntryLocation(self.host, home_region)
+        self.location = catalogs.EntryLocation(self.host, region_name)
         self.store = StoreConnection(region.store)
         self.catalog = catalogs.Catalog(key_trust_s=KEY_TRUST_S)
         self.live_entries = catalogs.LiveEntries()
@@ -38,7 +38,7 @@
             self.store,
             self.live_entries,
             self.name,
-            home_region,
+            region_name,
             self._make_peer,
             self.boottime,
             _documents.WATCHED_PREFIXES,
@@ -78,7 +78,7 @@
 
     @property
     def is_watcher(self):
-        """Whether this entry reads from the store itself."""
+        """Whether this entry watches the store itself."""
         return self.feed.watchers.choose(self.boottime()) is None
 
     @property
@@ -88,7 +88,7 @@
 
 
 class PeerSource(feed.BaseWatchSource):
-    """Another entry, which refuses connections until it has started."""
+    """Watches another entry; connections fail until that has started."""
 
     def __init__(self, host, ports, boottime, must_be_direct):
         self.host = host
@@ -112,7 +112,15 @@
 
 
 class StoreConnection(feed.BaseWatchSource):
-    """The way of one entry to the store, which can fall silent."""
+    """Connection of one entry to the store, with faults.
+
+    Attributes:
+        is_cut: calls hang.
+        is_rejecting: calls fail at once.
+        loses_history: the next watch fails, since its changes are gone.
+        delay_s: seconds before each call.
+        calls: the calls made, in order.
+    """
 
     def __init__(self, store):
         self.store = store
@@ -134,7 +142,7 @@
         await self._pass('answer')
         if self.loses_history:
             self.loses_history = False
-            raise feed.HistoryGoneError('history is gone', step='watch')
+            raise feed.HistoryGoneError('changes are gone', step='watch')
         return page
 
     async def _pass(self, call):
@@ -146,16 +154,17 @@
 
 
 class Region:
-    """Entries of one region, or of several, that follow one store."""
+    """Entries of one or several regions that watch one store."""
 
     def __init__(self, count=3, regions=(REGION,)):
         self.store = fakes.FakeStore()
         self.ports = {}
         self.store.put('op/config', documents.configuration())
         self.store.put('servers/i-1', documents.UPSTREAM)
-        homes = [region for region in regions for _ in range(count)]
+        region_names = [region for region in regions for _ in range(count)]
         self.entries = [
-            Entry(self, number, home) for number, home in enumerate(homes, 1)
+            Entry(self, number, name)
+            for number, name in enumerate(region_names, 1)
         ]
         for entry in self.entries:
             self.register(entry)
@@ -184,7 +193,7 @@
         await fakes.wait_until(lambda: all(map(condition, entries)))
 
     def watcher(self):
-        """Return the entry that reads from the store for the others."""
+        """Return the entry that watches the store for the others."""
         found = [e for e in self.entries if e.is_watcher]
         return found[0] if len(found) == 1 else None
 
--- a/catkinshunt/platform/tests/test_cache_updater.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -11,7 +11,7 @@
 
 
 class Harness:
-    """A mirror of a fake store."""
+    """A cache updater with a fake store."""
 
     def __init__(self):
         self.store = fakes.FakeStore()
@@ -90,8 +90,8 @@
 def test_all_items_are_read_again_after_history_loss():
     """The store drops its history while an upstream leaves.
 
-    The watch cannot tell what happened; without reading all again, requests
-    would go to the upstream that has left.
+    The watch does not return the deletion. Unless all items are read again,
+    requests are sent to the upstream that has left.
     """
 
     async def main(harness):
@@ -105,10 +105,10 @@
 
 
 def test_last_upstream_stays_usable_briefly_after_it_vanished():
-    """In an outage of the store all entries lapse though all upstreams live.
+    """All upstream keys expire in a store outage while the upstreams live.
 
-    They are back within two seconds of its return. Without a moment's
-    patience nobody would be served meanwhile.
+    The keys are back within two seconds of its end. Without a grace period
+    all requests would be rejected meanwhile.
     """
 
     async def main(harness):
@@ -122,9 +122,9 @@
 
 
 def test_state_ages_while_the_store_is_unreachable(monkeypatch):
-    """The store is out of reach, and keys may be taken away meanwhile.
+    """The store is unreachable, and API keys may be revoked meanwhile.
 
-    The age of what is known must grow, also over a suspend, and be small
+    The age of the cached state must grow, also during a suspend, and be small
     again as soon as the store has answered.
     """
     monkeypatch.setattr(_cache_updater, 'WATCH_TIMEOUT_S', 0.1)
@@ -146,10 +146,10 @@
 
 
 def test_answer_read_after_a_suspend_confirms_nothing(monkeypatch):
-    """The process is suspended while an answer of the store lies unread.
+    """The process is suspended while an answer of the store is buffered.
 
-    Read on waking, it would make a state of some seconds ago look new, and
-    a key that was taken away meanwhile would still be served.
+    If the time of reading it counted, an old state would seem current, and an
+    API key that was revoked meanwhile would still be served.
     """
     monkeypatch.setattr(_cache_updater, 'WATCH_TIMEOUT_S', 0.2)
 
@@ -167,10 +167,10 @@
 
 
 def test_versions_named_before_the_start_are_due_at_once():
-    """A process starts after a version was named.
+    """A process starts some unknown time after a version was named.
 
-    It cannot know how long ago; were it to allow the older version for the
-    whole time again, each restart would put the bound off.
+    If it allowed the older version for the full time again, each restart
+    would extend the bound.
     """
 
     def prepare(harness):
@@ -222,9 +222,9 @@
 
 
 def test_older_second_read_does_not_restore_upstreams():
-    """The history is gone, and a neighbour that is asked knows less.
+    """After a history loss, a peer relays an older state than the cached one.
 
-    Requests would go to an upstream that this entry knew to have left.
+    Requests would be sent to an upstream that had left by then.
     """
 
     async def main(harness):
--- a/catkinshunt/platform/tests/test_dialect.py
+++ b/catkinshunt/platform/tests/test_dialect.py
@@ -14,7 +14,7 @@
 
 
 def test_decode_request():
-    ask = DIALECT.decode_request(
+    info = DIALECT.decode_request(
         request(
             ('Attempt-Id', 'a1'),
             ('Deadline-Ms', '1500'),
@@ -23,7 +23,7 @@
             ('Last-Event-Id', '12'),
         )
     )
-    assert ask == gateway.RequestInfo(
+    assert info == gateway.RequestInfo(
         id='a1',
         host='shop.example',
         path='/a/b',
@@ -52,7 +52,7 @@
 
 
 def test_two_host_headers_are_rejected():
-    """With two hosts, this process and an upstream could each read another."""
+    """The gateway and an upstream could each use a different one of them."""
     with pytest.raises(errors.InvalidRequestError):
         DIALECT.decode_request(request(('Host', 'other.example')))
 
@@ -66,9 +66,9 @@
         ('Request-Priority', '0'),
         ('X-Kept', 'yes'),
     )
-    ask = DIALECT.decode_request(req)
+    info = DIALECT.decode_request(req)
     items = DIALECT.upstream_headers(
-        req, ask, gateway.AttemptInfo('i-1', 0.0004)
+        req, info, gateway.AttemptInfo('i-1', 0.0004)
     )
     assert dict(items) == {
         'Host': 'Shop.example:80',
--- a/catkinshunt/platform/tests/test_documents.py
+++ b/catkinshunt/platform/tests/test_documents.py
@@ -53,10 +53,10 @@
 
 
 def test_restarted_upstream_has_another_key():
-    """An upstream can start again under the name that it had.
+    """An upstream restarts under the same id.
 
-    It knows nothing of before; its connections, failures and weights must
-    not be taken for those of the first start.
+    The state kept for its earlier run, such as connections, failures and
+    versions of weights, must not be applied to the new one.
     """
     first = platform.parse_upstream('i-1', dump(UPSTREAM))
     again = platform.parse_upstream('i-1', dump({**UPSTREAM, 'born': 5}))
@@ -84,10 +84,10 @@
     ],
 )
 def test_invalid_upstream_is_rejected(value):
-    """Other writers may put entries below the same prefix.
+    """Other programs may write keys below the same prefix.
 
-    One that cannot be read must not stop the reading of the others, and
-    must not become an upstream that requests are sent to.
+    An invalid value must not break the reading of the others, and must not
+    become an upstream that receives requests.
     """
     with pytest.raises(platform.InvalidDocumentError):
         platform.parse_upstream('i-1', value)
@@ -95,12 +95,12 @@
 
 def test_longest_path_matches_first():
     declaration = platform.parse_declaration(dump(configuration()))
-    ask = rules.Request(host='shop.example', path='/a/b/c')
-    assert declaration.rule_set.match(ask).name == 'long'
-    ask = rules.Request(host='shop.example', path='/a/c')
-    assert declaration.rule_set.match(ask).name == 'short'
-    ask = rules.Request(host='other.example', path='/a/c')
-    assert declaration.rule_set.match(ask) is None
+    req = rules.Request(host='shop.example', path='/a/b/c')
+    assert declaration.rule_set.match(req).name == 'long'
+    req = rules.Request(host='shop.example', path='/a/c')
+    assert declaration.rule_set.match(req).name == 'short'
+    req = rules.Request(host='other.example', path='/a/c')
+    assert declaration.rule_set.match(req) is None
 
 
 def test_route_becomes_a_rule():
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -36,10 +36,7 @@
 
 
 def test_operations_page_lists_exactly_the_metrics_served():
-    """An engineer looks for a metric of the page and it is not there.
-
-    Or a metric is there and nobody knows what to do about it.
-    """
+    """An engineer finds no metric of the page, or no page for a metric."""
     named = set(re.findall(r'^\| `catkinshunt_(\w+)`', PAGE.read_text(), re.M))
     served = {
         family.name
@@ -56,10 +53,10 @@
         other = type('Request', (), {'path': '/'})
         return await handle(request), await handle(other)
 
-    shown, other = asyncio.run(main())
-    assert shown.status == 200
-    assert b'catkinshunt_catalog_age_seconds -1.0' in shown.body
-    assert b'catkinshunt_retry_budget_tokens{service="desk"}' in shown.body
+    reply, other = asyncio.run(main())
+    assert reply.status == 200
+    assert b'catkinshunt_catalog_age_seconds -1.0' in reply.body
+    assert b'catkinshunt_retry_budget_tokens{service="desk"}' in reply.body
     assert other.status == 404
 
 
--- a/catkinshunt/platform/tests/test_origin_publisher.py
+++ b/catkinshunt/platform/tests/test_origin_publisher.py
@@ -11,7 +11,7 @@
 
 
 def declare(catalog, address, version=1):
-    """Put a configuration into force that names an origin."""
+    """Apply a configuration that names an origin."""
     services = [{'name': 'origin', 'origin': address, 'zone': 'a'}]
     document = documents.configuration(services=services, version=version)
     catalog.declare(platform.parse_declaration(json.dumps(document).encode()))
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def running(store, names):
-    """Run the writer of each entry; gives their catalogs."""
+    """Run the publisher of each entry; yields their catalogs."""
     found, tasks = [], []
     for name in names:
         live_entries = catalogs.LiveEntries()
@@ -38,13 +38,13 @@
 
 
 def published(store):
-    """Return the address that the key shows, or None."""
+    """Return the published IP address of the origin, or None."""
     item = store.items.get(_documents.ORIGIN_KEY)
     return item and _documents.parse_published_origin(item.value).address[0]
 
 
 def test_few_entries_publish_the_origin(monkeypatch):
-    """Each call of the store is priced, and its rate is bounded."""
+    """Calls of the store cost money, and their rate is limited."""
     monkeypatch.setattr(_origin_publisher, 'CHECK_PERIOD_S', 0.01)
 
     async def main():
--- a/catkinshunt/platform/tests/test_pending_publisher.py
+++ b/catkinshunt/platform/tests/test_pending_publisher.py
@@ -18,8 +18,8 @@
     return json.dumps({'model': 'drafts', 'version': version}).encode()
 
 
-class Writer:
-    """One entry that shows pending versions in a fake store."""
+class Publisher:
+    """The publisher of one entry, with a fake store and clock."""
 
     def __init__(self, store, name='entry-1', others=()):
         self.store = store
@@ -44,8 +44,8 @@
 def test_new_version_is_published_as_pending():
     async def main():
         store = fakes.FakeStore()
-        async with Writer(store).running() as writer:
-            writer.catalog.add_named_version('drafts', 2, writer.now)
+        async with Publisher(store).running() as publisher:
+            publisher.catalog.add_named_version('drafts', 2, publisher.now)
             await fakes.wait_until(lambda: KEY in store.items)
         return store.granted_s
 
@@ -56,22 +56,22 @@
 def test_pending_key_ends_before_the_version_is_due_with_a_slow_store():
     """The grant of the lease takes two seconds.
 
-    Its time counts from its arrival, so the key would outlast the moment at
-    which the version is due, and an entry that starts then would send
-    requests to engines with the old one.
+    The lease starts when the grant arrives, so its key would outlast the time
+    at which the version is due. An entry that starts then would send requests
+    to engines with the old version.
     """
 
     async def main():
         store = fakes.FakeStore()
-        async with Writer(store).running() as writer:
+        async with Publisher(store).running() as publisher:
             grant = store.grant_lease
 
             async def slow(ttl_s):
-                writer.now += 2.0
+                publisher.now += 2.0
                 return await grant(ttl_s)
 
             store.grant_lease = slow
-            writer.catalog.add_named_version('drafts', 2, writer.now)
+            publisher.catalog.add_named_version('drafts', 2, publisher.now)
             await fakes.wait_until(lambda: 'end' in store.calls)
         return store.items
 
@@ -79,20 +79,20 @@
 
 
 def test_two_of_many_entries_publish_a_version():
-    """Each call is priced, and hundreds of entries learn of a version."""
+    """Calls cost money, and hundreds of entries learn of each version."""
 
     async def main():
         store = fakes.FakeStore()
         names = [f'entry-{n}' for n in range(10)]
         async with contextlib.AsyncExitStack() as stack:
-            writers = [
+            publishers = [
                 await stack.enter_async_context(
-                    Writer(store, name, names).running()
+                    Publisher(store, name, names).running()
                 )
                 for name in names
             ]
-            for writer in writers:
-                writer.catalog.add_named_version('drafts', 2, writer.now)
+            for publisher in publishers:
+                publisher.catalog.add_named_version('drafts', 2, publisher.now)
             await fakes.wait_until(lambda: store.calls.count('write') == 2)
             for _ in range(20):
                 await asyncio.sleep(0)
@@ -106,8 +106,8 @@
 def test_version_found_at_start_is_not_published():
     async def main():
         store = fakes.FakeStore()
-        async with Writer(store).running() as writer:
-            writer.catalog.add_named_version('drafts', 2, -float('inf'))
+        async with Publisher(store).running() as publisher:
+            publisher.catalog.add_named_version('drafts', 2, -float('inf'))
             for _ in range(20):
                 await asyncio.sleep(0)
         return store.calls
@@ -117,10 +117,11 @@
 
 @pytest.mark.parametrize('published', [True, False])
 def test_starting_entry_detects_whether_a_version_is_due(published):
-    """It finds a version in the store, named a moment or an hour ago.
+    """An entry starts and finds a version of unknown age in the store.
 
-    Taken as due, all requests are refused while engines still load it, up to
-    eight seconds; taken as new, requests begin on weights that are too old.
+    If it takes a new version as due, it rejects all requests for up to eight
+    seconds while engines load it. If it takes an old version as new, requests
+    begin on weights that are too old.
     """
 
     def prepare(harness):
@@ -154,7 +155,7 @@
 
 
 def test_version_with_a_late_pending_key_is_not_due():
-    """The entry started before those that saw it named wrote the key."""
+    """The entry reads the version before its pending key is written."""
 
     def prepare(harness):
         harness.store.put('op/version/drafts', named(2))
@@ -190,7 +191,7 @@
 
 
 def test_end_of_a_pending_key_is_ignored_by_who_saw_the_naming():
-    """It knows the time itself, and the lease ends a little earlier."""
+    """Such an entry has the exact time; the lease ends a little earlier."""
 
     async def main(harness):
         harness.store.put('op/version/drafts', named(2))
--- a/catkinshunt/platform/tests/test_quarantine_publisher.py
+++ b/catkinshunt/platform/tests/test_quarantine_publisher.py
@@ -13,8 +13,8 @@
 
 
 @contextlib.asynccontextmanager
-async def writing(store, monkeypatch):
-    """Run the writer of each entry; gives their quarantines."""
+async def publishing(store, monkeypatch):
+    """Run the publisher of each entry; yields their quarantines."""
     monkeypatch.setattr(_quarantine_publisher, 'CHECK_PERIOD_S', 0.01)
     boottime = asyncio.get_running_loop().time
     found, tasks = [], []
@@ -34,19 +34,19 @@
             task.cancel()
 
 
-def add(found, for_s=quarantine.QUARANTINE_S):
+def quarantine_request(found, for_s=quarantine.QUARANTINE_S):
     now = asyncio.get_running_loop().time()
     for quarantined in found:
         quarantined.add(REQUEST, for_s, now)
 
 
 def test_few_entries_publish_a_quarantined_request_once(monkeypatch):
-    """Each call of the store is priced, and its rate is bounded."""
+    """Calls of the store cost money, and their rate is limited."""
 
     async def main():
         store = fakes.FakeStore()
-        async with writing(store, monkeypatch) as found:
-            add(found)
+        async with publishing(store, monkeypatch) as found:
+            quarantine_request(found)
             key = _documents.quarantine_key(REQUEST)
             await fakes.wait_until(lambda: key in store.items)
             await asyncio.sleep(0.1)
@@ -61,8 +61,8 @@
     async def main():
         store = fakes.FakeStore()
         store.is_down = True
-        async with writing(store, monkeypatch) as found:
-            add(found)
+        async with publishing(store, monkeypatch) as found:
+            quarantine_request(found)
             await fakes.wait_until(lambda: store.calls)
             store.is_down = False
             key = _documents.quarantine_key(REQUEST)
@@ -72,7 +72,7 @@
 
 
 def test_quarantine_survives_a_restart_of_all_entries():
-    """What they told each other is lost; the request would crash more."""
+    """The gossip is lost, so the request would crash further upstreams."""
 
     async def main():
         region = regions.Region()
--- a/catkinshunt/platform/tests/test_registration.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -11,25 +11,25 @@
 
 
 @contextlib.asynccontextmanager
-async def listed(monkeypatch):
-    """An entry that keeps itself listed, and looks often."""
+async def registered(monkeypatch):
+    """Run the registration of an entry with short periods."""
     monkeypatch.setattr(_registration, 'RENEW_PERIOD_S', 0.02)
     monkeypatch.setattr(_registration, 'RETRY_PAUSE_S', 0.02)
     store = fakes.FakeStore()
     live_entries = catalogs.LiveEntries()
-    member = platform.Registration(store, live_entries, 'edge-1')
-    task = asyncio.ensure_future(member.run())
+    registration = platform.Registration(store, live_entries, 'edge-1')
+    task = asyncio.ensure_future(registration.run())
     try:
         await fakes.wait_until(lambda: KEY in store.items)
         live_entries.put('edge-1')
-        yield store, live_entries, member
+        yield store, live_entries, registration
     finally:
         task.cancel()
 
 
 def test_lease_is_renewed_without_further_writes(monkeypatch):
     async def main():
-        async with listed(monkeypatch) as (store, _, _):
+        async with registered(monkeypatch) as (store, _, _):
             await fakes.wait_until(lambda: store.calls.count('renew') > 3)
             return store.calls.count('write')
 
@@ -37,14 +37,14 @@
 
 
 def test_entry_registers_again_after_its_lease_ended(monkeypatch):
-    """The store lost the lease in an outage that was longer than it.
+    """The lease expires during a long outage of the store.
 
-    The others would share the retries among too few for as long as the
-    entry lives.
+    If the entry stayed unlisted, the others would divide the retry budget
+    among too few entries while it runs.
     """
 
     async def main():
-        async with listed(monkeypatch) as (store, _, _):
+        async with registered(monkeypatch) as (store, _, _):
             store.is_down = True
             store.expire(*store.leases)
             store.is_down = False
@@ -54,14 +54,13 @@
 
 
 def test_entry_registers_again_after_its_key_vanished(monkeypatch):
-    """A write arrives late and binds the key to a lease that nobody renews.
+    """A delayed write binds the key to an older lease that is not renewed.
 
-    The key vanishes with that lease, while the newer one is renewed in
-    vain.
+    The key is deleted with that lease, although the newer one is renewed.
     """
 
     async def main():
-        async with listed(monkeypatch) as (store, live_entries, _):
+        async with registered(monkeypatch) as (store, live_entries, _):
             store.delete(KEY)
             live_entries.drop('edge-1')
             await fakes.wait_until(lambda: KEY in store.items)
@@ -71,8 +70,8 @@
 
 def test_stopped_entry_is_not_listed(monkeypatch):
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
-            await member.deregister()
+        async with registered(monkeypatch) as (store, _, registration):
+            await registration.deregister()
             return KEY in store.items
 
     assert not asyncio.run(main())
@@ -80,18 +79,19 @@
 
 def test_stopping_works_without_the_store(monkeypatch):
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
+        async with registered(monkeypatch) as (store, _, registration):
             store.is_down = True
-            await member.deregister()
+            await registration.deregister()
 
     asyncio.run(main())
 
 
 def test_unresponsive_store_does_not_delay_the_stop(monkeypatch):
-    """The store gives no answer while a process stops.
+    """The store does not answer while a process stops.
 
-    Waited for when all requests had ended, the call lasted beyond the time
-    to stop, and the process was killed with its last log lines unwritten.
+    When the lease was revoked after the last request, the call outlasted the
+    grace period, and the process was killed before its last log lines were
+    written.
     """
 
     class Server:
@@ -99,12 +99,12 @@
             await asyncio.sleep(grace_s)
 
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
+        async with registered(monkeypatch) as (store, _, registration):
             monkeypatch.setattr(
                 store, 'revoke_lease', lambda lease: asyncio.sleep(60)
             )
             async with asyncio.timeout(0.5):
-                await _entry.stop_serving(Server(), member, 0.05)
+                await _entry.stop_serving(Server(), registration, 0.05)
 
     asyncio.run(main())
 
@@ -115,8 +115,8 @@
             await asyncio.sleep(grace_s)
 
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
-            await _entry.stop_serving(Server(), member, 0.05)
+        async with registered(monkeypatch) as (store, _, registration):
+            await _entry.stop_serving(Server(), registration, 0.05)
             return KEY in store.items
 
     assert not asyncio.run(main())
--- a/catkinshunt/platform/tests/test_settings.py
+++ b/catkinshunt/platform/tests/test_settings.py
@@ -28,9 +28,9 @@
 
 
 def test_all_invalid_fields_are_reported_at_once():
-    """A settings file has several mistakes.
+    """A settings file has several invalid fields.
 
-    Told one by one, each restart of the process would show only the next.
+    If only the first were reported, each restart would show the next one.
     """
     document = {
         **DOCUMENT,
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -61,10 +61,9 @@
 
 
 def test_added_engine_gets_the_version_that_others_serve():
-    """An engine is added before any version was named.
+    """An engine is added while no version is named in the store.
 
-    Nothing in the store says which version it should hold; the entries of
-    those that were there from the begin do.
+    It loads the version that the other engines of the service list.
     """
 
     async def main(view, store):
@@ -79,10 +78,10 @@
 
 
 def test_configuration_is_read_only_for_the_origin():
-    """After a loss of power all processes start at the same moment.
+    """After a power loss all processes start at the same time.
 
-    A large configuration read by each of them fills the links between
-    regions for seconds, while entries wait for it.
+    A large configuration read by each sidecar would saturate the links
+    between regions for seconds, while entries wait for it.
     """
 
     async def main(view, store):
@@ -98,11 +97,11 @@
 
 
 def test_no_target_before_the_named_versions_are_read():
-    """All machines lose their power after a new version was named.
+    """All instances restart after a power loss; a new version is named.
 
-    Their sidecars start before the store has told them its name. The engines
-    are still listed with the version before, and a sidecar that went by that
-    would fetch it first; callers wait for the new one meanwhile.
+    Engines are still listed with the previous version. A sidecar that used
+    the list before it has read the named versions would fetch the previous
+    version first and delay the new one.
     """
 
     async def main():
@@ -122,11 +121,11 @@
 
 
 def test_published_origin_avoids_reading_the_configuration():
-    """After a loss of power all sidecars and entries start together.
+    """After a power loss all sidecars and entries start at the same time.
 
-    The large configuration, read by each sidecar that fetches from the
-    origin, fills the links between regions, and for nine seconds entries
-    there have no configuration: callers are refused.
+    When each sidecar that fetched from the origin read the large
+    configuration, the links between regions were saturated for nine seconds,
+    and entries without a configuration rejected all requests.
     """
 
     async def main(view, store):
@@ -141,7 +140,8 @@
 def test_new_address_of_the_origin_is_read(monkeypatch):
     """The origin gets another address while sidecars run.
 
-    One that kept the first address for ever would fetch no version again.
+    A sidecar that cached the first address forever could fetch no further
+    version.
     """
     monkeypatch.setattr(_store_view, 'ORIGIN_MAX_AGE_S', 0.0)
 
@@ -194,10 +194,10 @@
 
 
 def test_version_found_at_start_expires_nothing():
-    """A sidecar is killed as a version is named, and is back at once.
+    """A sidecar restarts just after a version was named.
 
-    It cannot know how long ago that was. Taking the old version as expired
-    it would keep all requests from its engine, eight seconds too early.
+    It cannot determine when that was. If it took the old version as expired,
+    its engine would get no requests eight seconds too early.
     """
 
     async def main():
@@ -223,11 +223,11 @@
 
 
 def test_members_stay_cached_while_the_store_is_unreachable(monkeypatch):
-    """The store goes away while a version is to be fetched.
+    """The store becomes unreachable while a version has to be fetched.
 
-    Its list of members cannot be read anew then. Without the one from before
-    no transfer begins until the store is back, though all members and the
-    origin are there; callers get no answer once the version is due.
+    Without the cached members no transfer could begin until the outage ends,
+    although all members and the origin are up. Requests would fail once the
+    version is due.
     """
     monkeypatch.setattr(_store_view, 'MEMBERS_MAX_AGE_S', 0.0)
 
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-#: Seconds in which a slow store answers a call.
+#: Latency of a slow store.
 SLOW_S = 0.5
 
 
 def test_entries_of_one_region_read_a_configuration_once():
-    """A configuration of 1,600 routes is read by every entry.
+    """Every entry of a region reads a configuration of 1,600 routes.
 
-    Five changes within four seconds then take eleven seconds over a link
-    between two regions, and an entry at its far end answers by rules that
-    are over three seconds old: a caller of an added path gets a 404.
+    Five changes within four seconds then need eleven seconds on a link
+    between two regions. An entry behind it applies rules that are over three
+    seconds old: a request for an added path gets a 404.
     """
 
     async def main(region):
@@ -32,11 +32,11 @@
 
 
 def test_entries_that_start_together_read_a_configuration_once():
-    """All machines lose their power, and all entries start at once.
+    """All entries start at the same time after a power loss.
 
-    Five of a region that each read 1,700 rules over one link had them nine
-    seconds later, and refused all callers until then. The one that is to
-    read them may be the last to start.
+    When five entries of a region each read 1,700 rules over one link, it took
+    nine seconds, and they rejected all requests until then. The watcher may
+    be the last one to start.
     """
 
     async def main():
@@ -58,10 +58,10 @@
 def test_burst_of_configurations_is_not_read_one_by_one():
     """The operator changes the configuration a dozen times in a row.
 
-    The watch gives each of them whole, though only the newest is needed.
-    Eighteen large ones fill the link of a region for six seconds; requests
-    and events of streams that cross it wait as long, and a caller's stream
-    breaks off. One at the begin, one on the way and the last are enough.
+    The watch returns each revision in full, though only the newest is needed.
+    Eighteen large ones saturate the link of a region for six seconds; requests
+    and stream events that cross it wait as long, and streams break off. The
+    first, one in between and the last are enough.
     """
 
     async def main(region):
@@ -77,10 +77,11 @@
 
 
 def test_watcher_lost_in_a_burst_does_not_transfer_every_configuration():
-    """The entry that reads for the others dies as configurations follow.
+    """The watcher is lost during a burst of configurations.
 
-    A watch gives each of those that the others have missed, whole, over one
-    link. A few that came before the loss was noticed do no harm.
+    A watch would return each revision that the followers have missed in full
+    over one link. A few revisions from before the loss was noticed are
+    acceptable.
     """
 
     async def main(region):
@@ -101,9 +102,9 @@
 
 
 def test_outage_in_a_burst_does_not_transfer_every_configuration(monkeypatch):
-    """The store is away for longer than a storm is remembered.
+    """The store is unreachable for longer than `_regional.BUSY_S`.
 
-    What was written meanwhile would be sent whole, one after the other.
+    The revisions written meanwhile would each be sent in full.
     """
     monkeypatch.setattr(_regional, 'BUSY_S', 0.1)
 
@@ -127,7 +128,7 @@
 
 
 def test_deletions_in_a_burst_are_relayed():
-    """A read of all shows no deletions; a dead upstream would stay listed."""
+    """A full read returns no deletions; a dead upstream would stay listed."""
 
     async def main(region):
         for version in (8, 9, 10):
@@ -145,10 +146,7 @@
 
 
 def test_followers_continue_after_the_watcher_is_killed():
-    """The entry that reads for the others is killed.
-
-    They ask the store themselves at once; a caller notices nothing.
-    """
+    """The followers watch the store themselves at once."""
 
     async def main(region):
         watcher, others = region.watcher(), region.followers()
@@ -161,11 +159,11 @@
 
 @pytest.mark.parametrize('several', [(regions.REGION,), regions.TWO_REGIONS])
 def test_followers_continue_after_the_watcher_is_cut_off(monkeypatch, several):
-    """The entry that reads for the others loses its way to the store.
+    """The watcher loses its connection to the store.
 
-    It goes on answering with what it knew. The others notice that it has no
-    proof any more, and ask the store before a key that was taken away could
-    still be served.
+    It continues to answer from its cache. The followers detect that its
+    confirmation is stale, and read from the store before a revoked API key
+    could be served.
     """
     monkeypatch.setattr(_regional, 'PEER_WAIT_S', 0.1)
     monkeypatch.setattr(_regional, 'STALE_S', 0.4)
@@ -181,11 +179,11 @@
 
 
 def test_history_loss_does_not_send_all_to_the_store():
-    """The store forgets its history as a large configuration is written.
+    """The store loses its history as a large configuration is written.
 
-    The entry that reads for the others reads all anew. Did the others take
-    that for an outage, each would read the configuration over one link, and
-    deny its paths for as long.
+    The watcher reads all items again. If the followers took that for an
+    outage, each would read the configuration over one link, and reject
+    requests for its paths meanwhile.
     """
 
     async def main(region):
@@ -201,7 +199,7 @@
 
 
 def test_history_loss_of_a_slow_store_does_not_send_all_to_it():
-    """Three reads in a row take longer than the others go without proof."""
+    """Three reads in a row take longer than a confirmation stays valid."""
 
     async def main(region):
         watcher, others = region.watcher(), region.followers()
@@ -219,7 +217,7 @@
 
 
 def test_entry_rejected_by_the_store_follows_others():
-    """The others of its region know all; its callers would be refused."""
+    """Otherwise it would reject requests, although its peers are current."""
 
     async def main(region):
         watcher = region.watcher()
@@ -246,10 +244,10 @@
 
 
 def test_watcher_that_has_just_started_is_not_followed():
-    """The entry that reads starts again, and does not know what was before.
+    """The watcher restarts and lacks the changes from before its start.
 
-    Those that ask for changes from before its start go on by the store; a
-    change that it cannot know of would be missing for ever.
+    Followers that need those changes must read from the store. Otherwise they
+    would never get them.
     """
 
     async def main(region):
@@ -259,10 +257,10 @@
         await watcher.kill()
         region.store.delete('servers/i-1')
         number = region.entries.index(watcher)
-        again = regions.Entry(region, int(watcher.name[-1]))
-        region.entries[number] = again
-        await again.start()
-        await fakes.wait_until(lambda: again.revision == 7)
+        restarted = regions.Entry(region, int(watcher.name[-1]))
+        region.entries[number] = restarted
+        await restarted.start()
+        await fakes.wait_until(lambda: restarted.revision == 7)
         for entry in others:
             entry.task = asyncio.ensure_future(entry.updater.run())
         await region.wait_until(
@@ -273,10 +271,10 @@
 
 
 def test_buffered_answer_of_a_peer_confirms_nothing():
-    """The process is suspended while an answer lies unread.
+    """The process is suspended while an answer of a peer is buffered.
 
-    Counted from the moment at which it was read, it would make a state of
-    half a minute ago look new.
+    If the time of reading it counted, a state of half a minute ago would seem
+    current.
     """
 
     async def main(region):
@@ -297,11 +295,11 @@
     assert regions.run(main) > 25
 
 
-def test_relayed_version_keeps_the_age_known_to_the_watcher(monkeypatch):
-    """A neighbour hears of a named version later than the one that reads.
+def test_relayed_version_keeps_the_age_at_the_watcher(monkeypatch):
+    """A follower receives a named version later than the watcher.
 
-    Counted from then, it would serve the older version for longer than is
-    allowed.
+    If the time of receipt counted, it would serve the older version for too
+    long.
     """
 
     async def main(region):
@@ -322,14 +320,14 @@
             for entry in (watcher, slow)
         ]
 
-    known, heard = regions.run(main)
-    assert heard <= known + 0.1
+    watcher_at, follower_at = regions.run(main)
+    assert follower_at <= watcher_at + 0.1
 
 
 def test_one_entry_reads_a_configuration_for_all_regions():
-    """Read by each region, a storm of them fills the links between regions.
+    """If each region read it, a burst would saturate links between regions.
 
-    Entries that wait behind such a link refuse their callers.
+    Entries that wait for such a link reject requests.
     """
 
     async def main(region):
@@ -342,48 +340,48 @@
 
 
 def test_one_entry_of_a_region_follows_another_region():
-    """Asked by each entry, a link would carry every value several times."""
+    """Otherwise a link between regions carries each value several times."""
 
     async def main(region):
         watcher = region.watcher()
-        asking = [
+        following = [
             entry
             for entry in region.followers()
             if entry.location.region != watcher.location.region
             and entry.feed.watchers.regional_watcher(entry.boottime()) is None
         ]
-        return len(asking)
+        return len(following)
 
     assert regions.run(main, regions.TWO_REGIONS) == 1
 
 
 def test_confirmations_reach_all_regions_before_they_are_stale():
-    """Behind two entries a proof would be too old, and all ask the store."""
+    """If a confirmation relayed twice were stale, all would call the store."""
 
     async def main(region):
         watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.store.calls.clear()
-        read_s, followed_s = [], []
+        watcher_s, follower_s = [], []
         for _ in range(50):
             await asyncio.sleep(0.05)
             now = watcher.boottime()
-            read_s.append(watcher.catalog.age_s(now))
-            followed_s += [entry.catalog.age_s(now) for entry in others]
+            watcher_s.append(watcher.catalog.age_s(now))
+            follower_s += [entry.catalog.age_s(now) for entry in others]
         calls = [call for entry in others for call in entry.store.calls]
-        return max(read_s), max(followed_s), calls
+        return max(watcher_s), max(follower_s), calls
 
-    read_s, followed_s, calls = regions.run(main, regions.TWO_REGIONS)
-    assert followed_s < min(read_s + regions.RELAY_S, _regional.STALE_S)
+    watcher_s, follower_s, calls = regions.run(main, regions.TWO_REGIONS)
+    assert follower_s < min(watcher_s + regions.RELAY_S, _regional.STALE_S)
     assert calls == []
 
 
 def test_other_regions_continue_after_the_watcher_is_killed():
-    """The others would otherwise answer by rules that are too old."""
+    """Otherwise they would apply rules that are too old."""
 
     async def main(region):
-        home = region.watcher().location.region
-        lost = [e for e in region.entries if e.location.region == home]
+        home_region = region.watcher().location.region
+        lost = [e for e in region.entries if e.location.region == home_region]
         for entry in lost:
             await entry.kill()
         region.store.put('op/config', documents.configuration(version=9))
