--- a/catkinshunt/platform/_dialect.py
+++ b/catkinshunt/platform/_dialect.py
@@ -50,7 +50,7 @@
         hosts = headers.get_all('Host')
         if len(hosts) != 1:
             raise errors.InvalidRequestError(
-                'exactly one Host header is required', step='read-request'
+                'one Host header is needed', step='read-request'
             )
         tokens_in, max_out = _parse_token_counts(headers.get(TOKEN_COUNTS))
         return base.RequestInfo(
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -180,7 +180,7 @@
         id=upstream_id,
         service=_get_str(document, 'service'),
         address=address,
-        # 'zone' is the data centre, 'born' the start in Unix time.
+        # 'zone' is the data centre, 'born' the start in ms of Unix time.
         data_centre=_get_str(document, 'zone', ''),
         started_at_ms=_get_int(document, 'born', 0),
         leaving=state == 'draining',
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -55,7 +55,7 @@
             'The origin can be read again.',
         )
         self._members_read_at = None
-        self._list_outage = logs.Outage(
+        self._members_outage = logs.Outage(
             _log,
             'Reading the members failed, using the cached ones: {}.',
             'The members can be read again.',
@@ -165,7 +165,7 @@
 
     def origin_copy_s(self, size):
         """See `spread.BaseClusterView.origin_copy_s`."""
-        # Until the origin is read, assume the bandwidth of the own link.
+        # Until the origin is read, assume the bandwidth of this instance.
         link = self.cfg if self._origin is None else self._origin
         mbps = link.link_mbps
         return size / (mbps * spread.BYTES_PER_MBIT)
@@ -254,9 +254,9 @@
         except errors.StoreError as exc:
             if self._members_read_at is None:
                 raise
-            self._list_outage.begin(exc)
+            self._members_outage.begin(exc)
             return
-        self._list_outage.end()
+        self._members_outage.end()
         self.catalog.replace_upstreams(
             _apply.parse_valid_upstreams(page.items), now
         )
