--- a/catkinshunt/platform/__init__.py
+++ b/catkinshunt/platform/__init__.py
@@ -1,33 +1,37 @@
-"""Adapter to the users' platform; translates and decides nothing."""
+"""Adapter to the users' platform.
+
+Decodes the names of the platform's wire format, store and settings into the
+package's own types. It makes no routing decisions.
+"""
 
 from catkinshunt.feed import HistoryGoneError
 from catkinshunt.feed import Item
 from catkinshunt.feed import Page
+from catkinshunt.platform._cache_updater import CacheUpdater
 from catkinshunt.platform._deploy import check_file
 from catkinshunt.platform._dialect import PlatformDialect
+from catkinshunt.platform._documents import InvalidDocumentError
 from catkinshunt.platform._documents import parse_declaration
 from catkinshunt.platform._documents import parse_upstream
 from catkinshunt.platform._documents import parse_version
-from catkinshunt.platform._documents import InvalidDocumentError
 from catkinshunt.platform._registration import Registration
-from catkinshunt.platform._cache_updater import CacheUpdater
-from catkinshunt.platform._settings import load_instance_settings
 from catkinshunt.platform._settings import InstanceSettings
+from catkinshunt.platform._settings import load_instance_settings
 from catkinshunt.platform._settings import parse_instance_settings
 from catkinshunt.platform._store import LeaseNotFoundError
 from catkinshunt.platform._store import StoreClient
 
 __all__ = [
+    'CacheUpdater',
     'HistoryGoneError',
+    'InstanceSettings',
+    'InvalidDocumentError',
     'Item',
     'LeaseNotFoundError',
-    'Registration',
-    'CacheUpdater',
-    'InstanceSettings',
     'Page',
     'PlatformDialect',
+    'Registration',
     'StoreClient',
-    'InvalidDocumentError',
     'check_file',
     'load_instance_settings',
     'parse_declaration',
--- a/catkinshunt/platform/_engine.py
+++ b/catkinshunt/platform/_engine.py
@@ -1,4 +1,4 @@
-"""The engine of a sidecar's instance, and the origin of weights."""
+"""HTTP clients of a sidecar: its engine, and the origin of weights."""
 
 import hashlib
 import json
@@ -10,21 +10,23 @@
 from catkinshunt.spread import base
 from catkinshunt import weights
 
-#: Seconds after which a call to the engine is given up.
-ENGINE_S = 1.5
-#: Seconds after which a chunk of the origin is given up; ten members share
-#: its link at the begin of a transfer.
-ORIGIN_S = 4.0
-#: Seconds within which a connection to the origin must be made; the reply
-#: to its first packet waits behind the chunks on the origin's link.
-ORIGIN_CONNECT_S = 2.0
+#: Time-out of a call to the engine.
+ENGINE_TIMEOUT_S = 1.5
+#: Time-out of a call to the origin. Up to ten members share its link at the
+#: start of a transfer.
+ORIGIN_TIMEOUT_S = 4.0
+#: Time-out of connecting to the origin. The reply to the first packet is
+#: queued behind chunks on the origin's link.
+ORIGIN_CONNECT_TIMEOUT_S = 2.0
 
 
-async def _call(pool, method, path, query=None, body=b'', timeout_s=ENGINE_S):
+async def _call(
+    pool, method, path, query=None, body=b'', timeout_s=ENGINE_TIMEOUT_S
+):
     """Return (status, body) of one call.
 
     Raises:
-        errors.TransferError: there was no answer.
+        errors.TransferError: no answer arrived.
     """
     target = path
     if query:
@@ -42,11 +44,11 @@
 
 
 class PlatformEngine(base.BaseEngine):
-    """The engine beside a sidecar.
+    """Client of the engine on the sidecar's instance.
 
     Args:
         address: (ip, port) of the engine.
-        clock: gives seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
     """
 
     def __init__(self, address, clock):
@@ -57,10 +59,10 @@
         status, body = await _call(self._pool, 'GET', '/-/report')
         if status != 200:
             raise errors.TransferError(
-                f'the engine reported {status}', step='report'
+                f'the engine answered {status}', step='report'
             )
         try:
-            return _documents.read_report(body)
+            return _documents.parse_engine_report(body)
         except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='report') from exc
 
@@ -91,7 +93,7 @@
         if status == 404:
             return []
         try:
-            return _documents.read_staged(body)
+            return _documents.parse_staged_chunks(body)
         except _documents.InvalidDocumentError as exc:
             raise errors.TransferError(str(exc), step='list stage') from exc
 
@@ -120,16 +122,16 @@
 
 
 class PlatformOrigin(base.BaseOrigin):
-    """The origin of weights.
+    """Client of the origin of weights.
 
     Args:
-        locate: coroutine function that returns the `catalog.Origin` in
+        get_origin: coroutine function that returns the `catalog.Origin` in
             force, or None.
-        clock: gives seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
     """
 
-    def __init__(self, locate, clock):
-        self.locate = locate
+    def __init__(self, get_origin, clock):
+        self.get_origin = get_origin
         self.clock = clock
         self._pool = None
 
@@ -137,7 +139,7 @@
         """See `base.BaseOrigin.manifest`."""
         body = await self._get(f'/-/manifest/{model}', {'version': version})
         try:
-            return _read_manifest(body, model, version)
+            return _parse_manifest(body, model, version)
         except _documents.InvalidDocumentError as exc:
             raise errors.ManifestError(str(exc), step='manifest') from exc
 
@@ -154,7 +156,11 @@
 
     async def _get(self, path, query):
         status, body = await _call(
-            await self._take_pool(), 'GET', path, query, timeout_s=ORIGIN_S
+            await self._get_pool(),
+            'GET',
+            path,
+            query,
+            timeout_s=ORIGIN_TIMEOUT_S,
         )
         if status != 200:
             raise errors.TransferError(
@@ -162,9 +168,9 @@
             )
         return body
 
-    async def _take_pool(self):
+    async def _get_pool(self):
         try:
-            origin = await self.locate()
+            origin = await self.get_origin()
         except errors.StoreError as exc:
             raise errors.TransferError(exc.message, step='origin') from exc
         if origin is None:
@@ -172,21 +178,25 @@
         host, port = origin.address
         if self._pool is None or self._pool.peer != f'{host}:{port}':
             self._pool = http1.Pool(
-                host, port, self.clock, connect_s=ORIGIN_CONNECT_S
+                host, port, self.clock, connect_s=ORIGIN_CONNECT_TIMEOUT_S
             )
         return self._pool
 
 
-def _read_manifest(body, model, version):
-    document = _documents.load(body)
+def _parse_manifest(body, model, version):
+    document = _documents.parse_object(body)
     digests = document.get('digests')
     size = document.get('chunk_bytes')
     if document.get('version') != version or not isinstance(digests, list):
-        raise _documents.InvalidDocumentError('another manifest')
+        raise _documents.InvalidDocumentError(
+            'the manifest is of another version or has no digests'
+        )
     if not isinstance(size, int) or size <= 0:
-        raise _documents.InvalidDocumentError(f'chunk_bytes is {size!r}')
+        raise _documents.InvalidDocumentError(
+            f'chunk_bytes is {size!r}, not a positive integer'
+        )
     if not all(isinstance(digest, str) for digest in digests):
-        raise _documents.InvalidDocumentError('a digest is no text')
+        raise _documents.InvalidDocumentError('a digest is not a string')
     return weights.Manifest(
         model=model,
         version=str(version),
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -1,4 +1,4 @@
-"""The entry as a process of the platform."""
+"""Runs an entry as a process of the platform."""
 
 import asyncio
 import contextlib
@@ -12,53 +12,53 @@
 from catkinshunt import logs
 from catkinshunt import metrics
 from catkinshunt import places
+from catkinshunt.platform import _cache_updater
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _dialect
 from catkinshunt.platform import _documents
-from catkinshunt.platform import _registration
-from catkinshunt.platform import _cache_updater
 from catkinshunt.platform import _origin_publisher
 from catkinshunt.platform import _pending_publisher
 from catkinshunt.platform import _process
 from catkinshunt.platform import _quarantine_publisher
+from catkinshunt.platform import _registration
 from catkinshunt.platform import _signals
 from catkinshunt import quarantine
 from catkinshunt import retries
 
-#: Share of the time in which a key that was taken away may still be served
-#: for which word from the store counts as fresh. The rest covers the way of
-#: a request and the time between two watches.
-FRESH_SHARE = 0.7
-#: Share of the allowed retries that entries use, for windows that fall
-#: between two bursts.
-RETRY_SHARE = 0.7
-#: Share of the retries beyond the ratio that entries use, for one that has
-#: just started again with a full budget.
-BURST_SHARE = 0.8
-#: Seconds between two looks at the share of the retries, which grows when a
-#: larger number of entries is long past.
-SHARE_S = 10.0
-#: Seconds kept back from the time between the signal to stop and the kill, for
-#: ending what is left and the last log lines.
+#: Share of `Bounds.revoke_s` for which API keys are trusted after the cached
+#: state was last confirmed. The rest covers the transit of a request and the
+#: time between two watches.
+KEY_TRUST_SHARE = 0.7
+#: Share of `Bounds.retry_ratio` that entries use. The rest covers windows of
+#: measurement that fall between two bursts.
+RETRY_RATIO_SHARE = 0.7
+#: Share of `Bounds.retry_slack` that entries use. The rest covers an entry
+#: that restarts with a full budget.
+RETRY_SLACK_SHARE = 0.8
+#: Longest time between two updates of the retry burst, which grows some time
+#: after the number of entries has fallen.
+RETRY_BURST_PERIOD_S = 10.0
+#: Part of the time between SIGTERM and SIGKILL that is kept for cancelling the
+#: remaining requests and writing the last log lines.
 STOP_MARGIN_S = 1.0
-#: Seconds before the bound at which a version is due. It covers the time
-#: until its name is learnt, the way of a request over a busy link and its
-#: time in a queue. One that has not begun by then is taken back, but that too
-#: takes its time on the way.
+#: Entries treat a version as due this long before the bound. The margin
+#: covers the delay until its name is known, the transit of a request over a
+#: busy link and its time in a queue. A request that has not begun by then is
+#: cancelled, but the cancellation needs time in transit too.
 VERSION_MARGIN_S = 0.75
-#: Seconds between two removals of what upstreams that are gone left behind.
-TIDY_S = 10.0
+#: Seconds between two evictions of the state of upstreams that are gone.
+EVICTION_PERIOD_S = 10.0
 
 _log = logs.get_logger('entry')
 
 
 async def run(cfg):
-    """Serve as an entry until the signal to stop has been obeyed.
+    """Serve as an entry until SIGTERM has been handled.
 
     Args:
         cfg: `InstanceSettings`.
     """
-    stop = _signals.watch_signals()
+    stop = _signals.install_signal_handlers()
     registry = metrics.Registry()
     context = make_context(cfg, registry)
     await context.permit_client.start(cfg.ip)
@@ -66,120 +66,124 @@
     gossip = make_gossip(cfg, live_entries, context.random)
     await gossip.start(cfg.ip)
     context.guard = quarantine.Guard(gossip)
-    server = await gateway.Gateway(context).start(*cfg.frontend)
-    show_gauges(registry, server, context)
-    ready = http1.Listener(
-        http1.answer_with(_ready_handler(server)), _clocks.steady
+    server = await gateway.Gateway(context).start(*cfg.frontend_address)
+    register_gauges(registry, server, context)
+    readiness = http1.Listener(
+        http1.answer_with(_readiness_handler(server)), _clocks.monotonic
     )
-    await ready.start(*cfg.ready)
+    await readiness.start(*cfg.ready_address)
     await _process.serve_metrics(cfg, registry)
     client = _process.make_store_client(cfg, registry)
-    followed = make_feed(cfg, client, live_entries)
-    await feed.WatchRelayServer(followed, _clocks.wall, _clocks.steady).start(
-        cfg.ip, _process.feed_port(cfg)
+    source = make_watch_source(cfg, client, live_entries)
+    await feed.WatchRelayServer(
+        source, _clocks.boottime, _clocks.monotonic
+    ).start(cfg.ip, _process.watch_relay_port(cfg))
+    updater = make_cache_updater(source, context, live_entries)
+    location = catalogs.EntryLocation(cfg.ip, _region_of(cfg))
+    registration = _registration.Registration(
+        client, live_entries, cfg.name, location
     )
-    mirror = make_mirror(followed, context, live_entries)
-    home = catalogs.EntryLocation(cfg.ip, _region(cfg))
-    member = _registration.Registration(client, live_entries, cfg.name, home)
     pending = _pending_publisher.PendingPublisher(
         client,
         context.catalog,
         live_entries,
         cfg.name,
         context.version_grace_s,
-        _clocks.wall,
+        _clocks.boottime,
     )
     origin = _origin_publisher.OriginPublisher(
         client, context.catalog, live_entries, cfg.name
     )
-    barred = _quarantine_publisher.QuarantinePublisher(
-        client, gossip.quarantine, live_entries, cfg.name, _clocks.wall
+    quarantined = _quarantine_publisher.QuarantinePublisher(
+        client, gossip.quarantine, live_entries, cfg.name, _clocks.boottime
     )
     tasks = [
         asyncio.ensure_future(work)
         for work in (
-            mirror.run(),
-            member.run(),
+            updater.run(),
+            registration.run(),
             pending.run(),
             origin.run(),
             gossip.run(),
-            barred.run(),
-            _share_retries(cfg, context, live_entries),
-            _tidy(context),
+            quarantined.run(),
+            _update_retry_burst(cfg, context, live_entries),
+            _evict_gone_upstreams(context),
         )
     ]
     _log.info('Started entry {}.', cfg.name, data_centre=cfg.data_centre)
     await stop.wait()
-    await stop_serving(server, member, cfg.bounds.grace_s - STOP_MARGIN_S)
+    await stop_serving(
+        server, registration, cfg.bounds.grace_s - STOP_MARGIN_S
+    )
     for task in tasks:
         task.cancel()
     _log.info('Ended entry {}.', cfg.name)
 
 
-async def stop_serving(server, member, grace_s):
-    """Answer what is in progress, and end the lease meanwhile.
+async def stop_serving(server, registration, grace_s):
+    """Drain the server, and deregister the entry at the same time.
 
-    Waited for at the end, a store out of reach would hold the process for
-    two seconds more, beyond the one that is kept back, and it would be
-    killed with its last log lines unwritten.
+    Deregistering afterwards could take two seconds while the store is
+    unreachable. That is more than `STOP_MARGIN_S`, so the process would be
+    killed before its last log lines are written.
     """
-    leaving = asyncio.ensure_future(member.leave())
+    deregistration = asyncio.ensure_future(registration.deregister())
     try:
         await server.stop(grace_s)
     finally:
-        leaving.cancel()
+        deregistration.cancel()
 
 
 def make_context(cfg, registry):
-    """Return the `gateway.Context` of an entry with these settings."""
+    """Return the `gateway.Context` of an entry."""
     bounds = cfg.bounds
     rng = random.Random()
     return gateway.Context(
         catalog=catalogs.Catalog(
-            key_trust_s=bounds.revoke_s * FRESH_SHARE,
+            key_trust_s=bounds.revoke_s * KEY_TRUST_SHARE,
             absence_trust_s=bounds.config_s,
         ),
         dialect=_dialect.PlatformDialect(),
         chooser=dispatch.Chooser(cfg.data_centre, cfg.regions, cfg.name),
-        clock=_clocks.steady,
-        wall=_clocks.wall,
-        retry_ratio=bounds.retry_ratio * RETRY_SHARE,
-        retry_burst=make_burst_share(cfg).choose(_clocks.steady()),
+        clock=_clocks.monotonic,
+        wall=_clocks.boottime,
+        retry_ratio=bounds.retry_ratio * RETRY_RATIO_SHARE,
+        retry_burst=make_burst_share(cfg).choose(_clocks.monotonic()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
         permit_client=places.PermitClient(
-            _process.place_port(cfg), _clocks.steady, rng
+            _process.permit_port(cfg), _clocks.monotonic, rng
         ),
         version_grace_s=bounds.version_s - VERSION_MARGIN_S,
     )
 
 
 def make_burst_share(cfg):
-    """Return the `retries.BurstShare` of an entry with these settings."""
-    return retries.BurstShare(cfg.bounds.retry_slack * BURST_SHARE)
+    """Return the `retries.BurstShare` of an entry."""
+    return retries.BurstShare(cfg.bounds.retry_slack * RETRY_SLACK_SHARE)
 
 
-async def _share_retries(cfg, context, live_entries):
-    """Bound the retries to what is left for one of the entries alive."""
+async def _update_retry_burst(cfg, context, live_entries):
+    """Keep the retry burst at this entry's share among the live entries."""
     share = make_burst_share(cfg)
     while True:
-        now = _clocks.steady()
+        now = _clocks.monotonic()
         share.observe(len(live_entries.names()), now)
         context.set_retry_burst(share.choose(now))
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SHARE_S):
+            async with asyncio.timeout(RETRY_BURST_PERIOD_S):
                 await live_entries.wait_for_change()
 
 
-async def _tidy(context):
-    """Drop what is kept of upstreams that are gone, now and then."""
+async def _evict_gone_upstreams(context):
+    """Evict the state of upstreams that are gone, periodically."""
     while True:
-        await asyncio.sleep(TIDY_S)
+        await asyncio.sleep(EVICTION_PERIOD_S)
         context.forget(context.catalog.all_upstreams())
 
 
-def show_gauges(registry, server, context):
-    """Show what the entry knows and holds at each scrape."""
+def register_gauges(registry, server, context):
+    """Register the gauges of an entry; they are read at each scrape."""
     catalog = context.catalog
 
     def revision():
@@ -199,7 +203,7 @@
     registry.gauge(
         'catalog_age_seconds',
         'Time since the state was known to be the newest; -1 for never.',
-        lambda: _or_never(catalog.age_s(_clocks.wall())),
+        lambda: _age_or_minus_one(catalog.age_s(_clocks.boottime())),
     )
     registry.gauge(
         'upstreams',
@@ -220,23 +224,23 @@
     )
 
 
-def _or_never(age_s):
+def _age_or_minus_one(age_s):
     return -1.0 if age_s is None else age_s
 
 
-def _region(cfg):
+def _region_of(cfg):
     return cfg.regions.get(cfg.data_centre, cfg.data_centre)
 
 
-def make_feed(cfg, client, live_entries):
-    """Return the `feed.RegionalWatchSource` of an entry with `cfg`."""
+def make_watch_source(cfg, client, live_entries):
+    """Return the `feed.RegionalWatchSource` of an entry."""
 
     def make_peer(host, must_be_direct):
         return feed.PeerWatchSource(
             host,
-            _process.feed_port(cfg),
-            _clocks.steady,
-            _clocks.wall,
+            _process.watch_relay_port(cfg),
+            _clocks.monotonic,
+            _clocks.boottime,
             must_be_direct,
         )
 
@@ -244,38 +248,38 @@
         client,
         live_entries,
         cfg.name,
-        _region(cfg),
+        _region_of(cfg),
         make_peer,
-        _clocks.wall,
-        _documents.FOLLOWED_PREFIXES,
+        _clocks.boottime,
+        _documents.WATCHED_PREFIXES,
     )
 
 
 def make_gossip(cfg, live_entries, random):
-    """Return the `quarantine.Gossip` of an entry with these settings."""
+    """Return the `quarantine.Gossip` of an entry."""
     return quarantine.Gossip(
         quarantine.Quarantine(),
         live_entries,
         cfg.name,
         _process.gossip_port(cfg),
-        _clocks.wall,
+        _clocks.boottime,
         random,
     )
 
 
-def make_mirror(client, context, live_entries):
-    """Return the `CacheUpdater` that feeds the catalog of `context`."""
+def make_cache_updater(source, context, live_entries):
+    """Return the `CacheUpdater` that updates the catalog of `context`."""
     return _cache_updater.CacheUpdater(
-        client,
+        source,
         context.catalog,
         live_entries,
-        _clocks.wall,
+        _clocks.boottime,
         context.random,
         context.guard.gossip.quarantine,
     )
 
 
-def _ready_handler(server):
+def _readiness_handler(server):
     async def handle(req):
         return http1.Reply(200 if server.is_ready() else 503)
 
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -1,4 +1,4 @@
-"""Shows in the store which versions are not due yet, for late starters."""
+"""Publishes pending versions in the store, for entries that start later."""
 
 import asyncio
 import math
@@ -8,62 +8,61 @@
 from catkinshunt.platform import _documents
 from catkinshunt import rendezvous
 
-#: Entries that write the key of a version; one of them may die meanwhile.
-WRITERS = 2
-#: Shortest lease that is worth its two calls, and that the store grants, in
-#: seconds.
-LEAST_LEASE_S = 1.0
-#: Seconds that a lease ends before the version is due, for the way of its
-#: grant; one that took longer is given back.
-MARGIN_S = 0.4
+#: Entries that write the key of a version, so that one of them may fail.
+WRITER_COUNT = 2
+#: Shortest lease that the store grants and that is worth two calls.
+MIN_LEASE_S = 1.0
+#: Time by which a lease ends before its version is due. It covers the latency
+#: of the grant; a lease whose grant took longer is revoked.
+LEASE_MARGIN_S = 0.4
 
 _log = logs.get_logger('versions')
 
 
 class PendingPublisher:
-    """Keeps a key for each version that was named and is not due yet.
+    """Writes a key for each version that was named and is not due yet.
 
-    An entry that starts finds a named version in the store, and cannot tell
-    whether that was a moment ago or long since. Taking it as due, it refused
-    all requests for up to eight seconds while engines were still loading.
-    The key is bound to a lease that ends no later than the version is due,
-    so while it is there the version is not.
+    An entry that starts reads the named versions from the store without the
+    time at which they were named. When such entries took a version as due
+    that was not, they rejected all requests for up to eight seconds while
+    engines were still loading. The key is bound to a lease that ends no later
+    than the version is due, so the version is pending while the key exists.
 
     Args:
         client: `StoreClient`.
-        catalog: `catalog.Catalog` in which versions are named.
-        roster: `catalog.LiveEntries` of the entries.
+        catalog: `catalog.Catalog` with the named versions.
+        live_entries: `catalog.LiveEntries`.
         name: name of this entry.
         grace_s: seconds after which a named version is due.
-        wall: gives seconds on the clock of the catalog.
+        boottime: returns seconds on the clock of the catalog.
     """
 
-    def __init__(self, client, catalog, live_entries, name, grace_s, wall):
+    def __init__(self, client, catalog, live_entries, name, grace_s, boottime):
         self.client = client
         self.catalog = catalog
         self.live_entries = live_entries
         self.name = name
         self.grace_s = grace_s
-        self.wall = wall
-        self._written = set()
+        self.boottime = boottime
+        self._handled = set()
 
     async def run(self):
         """Write keys until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
-                for model, named in self._find_new():
-                    group.create_task(self._write(model, named))
+                for model, named in self._find_unpublished():
+                    group.create_task(self._publish(model, named))
                 await self.catalog.wait_for_change()
 
-    def _find_new(self):
-        """Return pairs of model and version that this entry is to show."""
+    def _find_unpublished(self):
+        """Return (model, version) pairs that this entry has to publish."""
         found = []
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
             key = (model, named.version)
-            if key in self._written:
+            if key in self._handled:
                 continue
-            self._written.add(key)
+            self._handled.add(key)
             if not named.is_pending and self._is_writer(*key):
                 found.append((model, named))
         return found
@@ -71,24 +70,24 @@
     def _is_writer(self, model, version):
         names = sorted({*self.live_entries.names(), self.name})
         ranked = rendezvous.rank(f'{model}/{version}', names)
-        return self.name in ranked[:WRITERS]
+        return self.name in ranked[:WRITER_COUNT]
 
-    async def _write(self, model, named):
-        """Write the key of one version, unless it is due too soon."""
+    async def _publish(self, model, named):
+        """Write the key of one version unless it is due too soon."""
         due_at = named.learned_at + self.grace_s
-        lease_s = due_at - self.wall() - MARGIN_S
-        if not math.isfinite(lease_s) or lease_s < LEAST_LEASE_S:
+        lease_s = due_at - self.boottime() - LEASE_MARGIN_S
+        if not math.isfinite(lease_s) or lease_s < MIN_LEASE_S:
             return
         try:
             lease = await self.client.grant_lease(lease_s)
-            if self.wall() + lease_s > due_at:
+            if self.boottime() + lease_s > due_at:
                 await self.client.revoke_lease(lease)
                 return
             key = _documents.pending_key(model, named.version)
             await self.client.write(key, b'{}', lease)
         except errors.StoreError as exc:
             _log.warning(
-                'Version {} of {} is not shown as pending: {}.',
+                'Publishing version {} of {} as pending failed: {}.',
                 named.version,
                 model,
                 exc,
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process of the platform."""
+"""Runs a sidecar as a process of the platform."""
 
 import asyncio
 
@@ -8,75 +8,77 @@
 from catkinshunt import places
 from catkinshunt.platform import _clocks
 from catkinshunt.platform import _engine
-from catkinshunt.platform import _store_view
 from catkinshunt.platform import _process
 from catkinshunt.platform import _signals
+from catkinshunt.platform import _store_view
 from catkinshunt import spread
 
 _log = logs.get_logger('sidecar')
 
 
 async def run(cfg):
-    """Serve beside one engine until the signal to stop.
+    """Serve as the sidecar of one engine until SIGTERM.
 
     Args:
         cfg: `InstanceSettings`.
     """
-    stop = _signals.watch_signals()
+    stop = _signals.install_signal_handlers()
     registry = metrics.Registry()
     await _process.serve_metrics(cfg, registry)
-    tasks = await _start(cfg, registry)
-    _log.info('Started sidecar {}.', cfg.name, engine=cfg.engine)
+    tasks = await _start_services(cfg, registry)
+    _log.info('Started sidecar {}.', cfg.name, engine=cfg.engine_address)
     await stop.wait()
     for task in tasks:
         task.cancel()
     _log.info('Ended sidecar {}.', cfg.name)
 
 
-async def _start(cfg, registry):
-    """Start what looks after the engine; return its tasks."""
-    if cfg.engine is None:
+async def _start_services(cfg, registry):
+    """Start the services for the engine, if any; return their tasks."""
+    if cfg.engine_address is None:
         return []
     version_store = spread.VersionStore()
-    moved = make_metrics(registry, version_store)
-    outlook = _store_view.StoreView(
+    byte_counter = register_metrics(registry, version_store)
+    view = _store_view.StoreView(
         cfg,
         _process.make_store_client(cfg, registry),
         catalogs.Catalog(),
-        _clocks.wall,
+        _clocks.boottime,
         cfg.bounds.version_s,
     )
-    door = places.PermitServer(places.PermitAllocator(), _clocks.steady)
-    await door.start(cfg.ip, _process.place_port(cfg))
+    permit_server = places.PermitServer(
+        places.PermitAllocator(), _clocks.monotonic
+    )
+    await permit_server.start(cfg.ip, _process.permit_port(cfg))
     chunk_port = _process.chunk_port(cfg)
     agent = spread.Agent(
         spread.Member(cfg.ip, cfg.data_centre),
-        outlook,
-        _engine.PlatformEngine(cfg.engine, _clocks.steady),
-        _engine.PlatformOrigin(outlook.origin, _clocks.steady),
-        spread.PeerClient(chunk_port, _clocks.steady, name=cfg.ip),
+        view,
+        _engine.PlatformEngine(cfg.engine_address, _clocks.monotonic),
+        _engine.PlatformOrigin(view.origin, _clocks.monotonic),
+        spread.PeerClient(chunk_port, _clocks.monotonic, name=cfg.ip),
         version_store,
-        _clocks.steady,
+        _clocks.monotonic,
         cfg.link_mbps,
-        moved,
-        door,
+        byte_counter,
+        permit_server,
     )
     server = spread.ChunkServer(
         version_store,
-        _clocks.steady,
+        _clocks.monotonic,
         cfg.link_mbps,
-        moved,
+        byte_counter,
         agent.on_chunk_request,
     )
     await server.start(cfg.ip, chunk_port)
     return [
-        asyncio.ensure_future(outlook.run()),
+        asyncio.ensure_future(view.run()),
         asyncio.ensure_future(agent.run()),
     ]
 
 
-def make_metrics(registry, version_store):
-    """Show what is on the shelf; return the counter of moved bytes."""
+def register_metrics(registry, version_store):
+    """Register the gauges of `version_store`; return the byte counter."""
     registry.gauge(
         'versions_whole',
         'Newest version that is here whole, by model.',
--- a/catkinshunt/platform/tests/fakes.py
+++ b/catkinshunt/platform/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A store in memory that answers as it is told."""
+"""An in-memory store that can simulate faults."""
 
 import asyncio
 import json
@@ -9,16 +9,23 @@
 
 
 class FakeStore:
-    """Keys with revisions; reads, watches and faults."""
+    """Keys with revisions, watches and leases.
+
+    Attributes:
+        is_down: all calls fail.
+        calls: kinds of the calls made, in order.
+        sent_keys: keys of the changes that watches returned, in order.
+        granted_s: lifetimes of the leases granted, in order.
+    """
 
     def __init__(self):
         self.items = {}
         self.events = []
         self.revision = 1
-        self.down = False
-        self.history_from = 0
+        self.is_down = False
+        self.first_kept_revision = 0
         self.calls = []
-        self.sent = []
+        self.sent_keys = []
         self.leases = {}
         self.granted_s = []
         self._changes = notifier.Notifier()
@@ -33,8 +40,8 @@
         self._change(key, None)
 
     def forget_history(self):
-        """Drop what a watch would need to go on."""
-        self.history_from = self.revision + 1
+        """Drop all changes, so that running watches fail."""
+        self.first_kept_revision = self.revision + 1
         self.revision += 1
         self._changes.notify_all()
 
@@ -57,13 +64,13 @@
         try:
             async with asyncio.timeout(wait_s):
                 while not self._since(prefix, after):
-                    if after < self.history_from:
+                    if after < self.first_kept_revision:
                         raise platform.HistoryGoneError('gone')
                     await self._changes.wait()
         except TimeoutError:
             pass
         found = self._since(prefix, after)
-        self.sent += [item.key for item in found]
+        self.sent_keys += [item.key for item in found]
         return platform.Page(tuple(found), self.revision)
 
     async def grant_lease(self, ttl_s):
@@ -108,11 +115,11 @@
     async def _begin(self, kind):
         self.calls.append(kind)
         await asyncio.sleep(0)
-        if self.down:
+        if self.is_down:
             raise errors.StoreUnavailableError('down', step=kind)
 
 
-async def until(condition, timeout_s=3.0):
+async def wait_until(condition, timeout_s=3.0):
     """Wait until `condition` holds."""
     async with asyncio.timeout(timeout_s):
         while not condition():
--- a/catkinshunt/platform/tests/regions.py
+++ b/catkinshunt/platform/tests/regions.py
@@ -1,4 +1,4 @@
-"""Entries of one or several regions that follow one store, on loopback."""
+"""Entries of one or several regions that watch one store, on loopback."""
 
 import asyncio
 import contextlib
@@ -15,56 +15,60 @@
 
 
 REGION = 'attiki'
-#: Seconds within which a proof is to pass two entries of one machine.
-WAY_S = 0.2
-#: Seconds without proof after which an entry trusts no key.
-FRESH_S = 3.0
+#: Longest time for a confirmation to be relayed through two entries.
+RELAY_S = 0.2
+#: Seconds without confirmation after which an entry trusts no API key.
+KEY_TRUST_S = 3.0
 TWO_REGIONS = ('attiki', 'thessalia')
 
 
 class Entry:
-    """One entry of a region on an address of its own."""
+    """One entry of a region, on its own loopback address."""
 
-    def __init__(self, region, number, home_region=REGION):
+    def __init__(self, region, number, region_name=REGION):
         self.name = f'edge-{number}'
         self.host = f'127.0.0.{number}'
         self.region = region
-        self.home = catalogs.EntryLocation(self.host, home_region)
-        self.store = Door(region.store)
-        self.catalog = catalogs.Catalog(key_trust_s=FRESH_S)
+        self.location = catalogs.EntryLocation(self.host, region_name)
+        self.store = StoreConnection(region.store)
+        self.catalog = catalogs.Catalog(key_trust_s=KEY_TRUST_S)
         self.live_entries = catalogs.LiveEntries()
         self.offset_s = 0.0
         self.feed = feed.RegionalWatchSource(
             self.store,
             self.live_entries,
             self.name,
-            home_region,
+            region_name,
             self._make_peer,
-            self.wall,
-            _documents.FOLLOWED_PREFIXES,
+            self.boottime,
+            _documents.WATCHED_PREFIXES,
         )
-        self.server = feed.WatchRelayServer(self.feed, self.wall, self.wall)
-        self.barred = quarantine.Quarantine()
-        self.mirror = platform.CacheUpdater(
+        self.server = feed.WatchRelayServer(
+            self.feed, self.boottime, self.boottime
+        )
+        self.quarantined = quarantine.Quarantine()
+        self.updater = platform.CacheUpdater(
             self.feed,
             self.catalog,
             self.live_entries,
-            self.wall,
+            self.boottime,
             random.Random(1),
-            self.barred,
+            self.quarantined,
         )
         self.task = None
 
-    def wall(self):
+    def boottime(self):
         return asyncio.get_running_loop().time() + self.offset_s
 
     def _make_peer(self, host, must_be_direct):
-        return Neighbour(host, self.region.ports, self.wall, must_be_direct)
+        return PeerSource(
+            host, self.region.ports, self.boottime, must_be_direct
+        )
 
     async def start(self):
         await self.server.start(self.host, 0)
         self.region.ports[self.host] = self.server.port
-        self.task = asyncio.ensure_future(self.mirror.run())
+        self.task = asyncio.ensure_future(self.updater.run())
 
     async def kill(self):
         self.task.cancel()
@@ -73,9 +77,9 @@
             task.cancel()
 
     @property
-    def reads(self):
-        """Whether this entry reads from the store itself."""
-        return self.feed.watchers.choose(self.wall()) is None
+    def is_watcher(self):
+        """Whether this entry watches the store itself."""
+        return self.feed.watchers.choose(self.boottime()) is None
 
     @property
     def revision(self):
@@ -83,13 +87,13 @@
         return declaration.revision if declaration else None
 
 
-class Neighbour(feed.BaseWatchSource):
-    """Another entry, which refuses connections until it has started."""
+class PeerSource(feed.BaseWatchSource):
+    """Watches another entry; connections fail until that has started."""
 
-    def __init__(self, host, ports, wall, must_be_direct):
+    def __init__(self, host, ports, boottime, must_be_direct):
         self.host = host
         self.ports = ports
-        self.wall = wall
+        self.boottime = boottime
         self.must_be_direct = must_be_direct
 
     async def read_prefix(self, prefix):
@@ -103,18 +107,26 @@
             raise errors.StoreUnavailableError('refused', step='connect')
         port = self.ports[self.host]
         return feed.PeerWatchSource(
-            self.host, port, self.wall, self.wall, self.must_be_direct
+            self.host, port, self.boottime, self.boottime, self.must_be_direct
         )
 
 
-class Door(feed.BaseWatchSource):
-    """The way of one entry to the store, which can fall silent."""
+class StoreConnection(feed.BaseWatchSource):
+    """Connection of one entry to the store, with faults.
+
+    Attributes:
+        is_cut: calls hang.
+        is_rejecting: calls fail at once.
+        loses_history: the next watch fails, since its changes are gone.
+        delay_s: seconds before each call.
+        calls: the calls made, in order.
+    """
 
     def __init__(self, store):
         self.store = store
         self.is_cut = False
-        self.is_refused = False
-        self.has_lost_history = False
+        self.is_rejecting = False
+        self.loses_history = False
         self.delay_s = 0.0
         self.calls = []
 
@@ -128,46 +140,47 @@
         await self._pass('watch')
         page = await self.store.watch(prefix, after, wait_s)
         await self._pass('answer')
-        if self.has_lost_history:
-            self.has_lost_history = False
-            raise feed.HistoryGoneError('history is gone', step='watch')
+        if self.loses_history:
+            self.loses_history = False
+            raise feed.HistoryGoneError('changes are gone', step='watch')
         return page
 
     async def _pass(self, call):
         self.calls.append(call)
-        if self.is_refused:
+        if self.is_rejecting:
             raise errors.StoreUnavailableError('answered 503', step=call)
         if self.is_cut:
             await asyncio.sleep(60)
 
 
 class Region:
-    """Entries of one region, or of several, that follow one store."""
+    """Entries of one or several regions that watch one store."""
 
     def __init__(self, count=3, regions=(REGION,)):
         self.store = fakes.FakeStore()
         self.ports = {}
         self.store.put('op/config', documents.configuration())
         self.store.put('servers/i-1', documents.UPSTREAM)
-        homes = [region for region in regions for _ in range(count)]
+        region_names = [region for region in regions for _ in range(count)]
         self.entries = [
-            Entry(self, number, home) for number, home in enumerate(homes, 1)
+            Entry(self, number, name)
+            for number, name in enumerate(region_names, 1)
         ]
         for entry in self.entries:
-            self.list(entry)
+            self.register(entry)
 
-    def list(self, entry):
+    def register(self, entry):
         key = _documents.ENTRY_PREFIX + entry.name
-        self.store.put(key, _documents.dump_home(entry.home))
+        self.store.put(key, _documents.dump_location(entry.location))
 
     @contextlib.asynccontextmanager
     async def running(self):
         for entry in self.entries:
             await entry.start()
         try:
-            await self.until(lambda entry: entry.revision == 7)
-            await fakes.until(lambda: self.reader() is not None)
-            await fakes.until(
+            await self.wait_until(lambda entry: entry.revision == 7)
+            await fakes.wait_until(lambda: self.watcher() is not None)
+            await fakes.wait_until(
                 lambda: len(self.followers()) == len(self.entries) - 1
             )
             yield self
@@ -175,18 +188,18 @@
             for entry in self.entries:
                 await entry.kill()
 
-    async def until(self, condition, entries=None):
+    async def wait_until(self, condition, entries=None):
         entries = self.entries if entries is None else entries
-        await fakes.until(lambda: all(map(condition, entries)))
+        await fakes.wait_until(lambda: all(map(condition, entries)))
 
-    def reader(self):
-        """Return the entry that reads from the store for the others."""
-        found = [e for e in self.entries if e.reads]
+    def watcher(self):
+        """Return the entry that watches the store for the others."""
+        found = [e for e in self.entries if e.is_watcher]
         return found[0] if len(found) == 1 else None
 
     def followers(self):
-        reader = self.reader()
-        return [e for e in self.entries if e is not reader]
+        watcher = self.watcher()
+        return [e for e in self.entries if e is not watcher]
 
 
 def run(main, regions=(REGION,)):
--- a/catkinshunt/platform/tests/test_dialect.py
+++ b/catkinshunt/platform/tests/test_dialect.py
@@ -13,8 +13,8 @@
     return http1.Request('GET', '/a/b?c=1', http1.Headers(items))
 
 
-def test_a_request_is_decoded():
-    ask = DIALECT.decode_request(
+def test_decode_request():
+    info = DIALECT.decode_request(
         request(
             ('Attempt-Id', 'a1'),
             ('Deadline-Ms', '1500'),
@@ -23,7 +23,7 @@
             ('Last-Event-Id', '12'),
         )
     )
-    assert ask == gateway.RequestInfo(
+    assert info == gateway.RequestInfo(
         id='a1',
         host='shop.example',
         path='/a/b',
@@ -45,19 +45,19 @@
         ('Last-Event-Id', 'x'),
     ],
 )
-def test_a_header_that_cannot_be_read_counts_as_missing(name, value):
+def test_invalid_header_counts_as_missing(name, value):
     assert DIALECT.decode_request(
         request((name, value))
     ) == DIALECT.decode_request(request())
 
 
-def test_two_hosts_are_refused():
-    """With two hosts, this process and an upstream could each read another."""
+def test_two_host_headers_are_rejected():
+    """The gateway and an upstream could each use a different one of them."""
     with pytest.raises(errors.InvalidRequestError):
         DIALECT.decode_request(request(('Host', 'other.example')))
 
 
-def test_headers_of_one_connection_are_not_passed_on():
+def test_hop_by_hop_headers_are_not_forwarded():
     req = request(
         ('Connection', 'close, X-Hop'),
         ('X-Hop', '1'),
@@ -66,9 +66,9 @@
         ('Request-Priority', '0'),
         ('X-Kept', 'yes'),
     )
-    ask = DIALECT.decode_request(req)
+    info = DIALECT.decode_request(req)
     items = DIALECT.upstream_headers(
-        req, ask, gateway.AttemptInfo('i-1', 0.0004)
+        req, info, gateway.AttemptInfo('i-1', 0.0004)
     )
     assert dict(items) == {
         'Host': 'Shop.example:80',
@@ -78,7 +78,7 @@
     }
 
 
-def test_a_reply_is_decoded():
+def test_decode_reply():
     head = http1.ReplyHead(
         503,
         http1.Headers(
--- a/catkinshunt/platform/tests/test_documents.py
+++ b/catkinshunt/platform/tests/test_documents.py
@@ -44,7 +44,7 @@
     }
 
 
-def test_an_entry_becomes_an_upstream():
+def test_parse_upstream():
     upstream = platform.parse_upstream('i-1', dump(UPSTREAM))
     assert upstream.address == ('10.1.0.9', 8080)
     assert upstream.versions == {'drafts': 2}
@@ -52,11 +52,11 @@
     assert upstream.key == ('i-1', 1760000000000, ('10.1.0.9', 8080))
 
 
-def test_an_upstream_that_starts_again_is_another_one():
-    """An upstream can start again under the name that it had.
+def test_restarted_upstream_has_another_key():
+    """An upstream restarts under the same id.
 
-    It knows nothing of before; its connections, failures and weights must
-    not be taken for those of the first start.
+    The state kept for its earlier run, such as connections, failures and
+    versions of weights, must not be applied to the new one.
     """
     first = platform.parse_upstream('i-1', dump(UPSTREAM))
     again = platform.parse_upstream('i-1', dump({**UPSTREAM, 'born': 5}))
@@ -83,27 +83,27 @@
         dump({**UPSTREAM, 'models': ['drafts']}),
     ],
 )
-def test_an_entry_of_another_writer_is_left_aside(value):
-    """Other writers may put entries below the same prefix.
+def test_invalid_upstream_is_rejected(value):
+    """Other programs may write keys below the same prefix.
 
-    One that cannot be read must not stop the reading of the others, and
-    must not become an upstream that requests are sent to.
+    An invalid value must not break the reading of the others, and must not
+    become an upstream that receives requests.
     """
     with pytest.raises(platform.InvalidDocumentError):
         platform.parse_upstream('i-1', value)
 
 
-def test_the_longest_path_decides():
+def test_longest_path_matches_first():
     declaration = platform.parse_declaration(dump(configuration()))
-    ask = rules.Request(host='shop.example', path='/a/b/c')
-    assert declaration.rule_set.match(ask).name == 'long'
-    ask = rules.Request(host='shop.example', path='/a/c')
-    assert declaration.rule_set.match(ask).name == 'short'
-    ask = rules.Request(host='other.example', path='/a/c')
-    assert declaration.rule_set.match(ask) is None
+    req = rules.Request(host='shop.example', path='/a/b/c')
+    assert declaration.rule_set.match(req).name == 'long'
+    req = rules.Request(host='shop.example', path='/a/c')
+    assert declaration.rule_set.match(req).name == 'short'
+    req = rules.Request(host='other.example', path='/a/c')
+    assert declaration.rule_set.match(req) is None
 
 
-def test_what_a_route_says_becomes_a_rule():
+def test_route_becomes_a_rule():
     document = configuration(
         routes=[
             route(
@@ -127,7 +127,7 @@
     assert [share.weight for share in rule.then.shares] == [90, 10]
 
 
-def test_keys_and_limits_are_read():
+def test_accounts_and_limits_are_parsed():
     document = configuration(
         tenants=[{'name': 't1', 'api_keys': ['k1', 'k2'], 'priority': 0}]
     )
@@ -141,6 +141,6 @@
 @pytest.mark.parametrize(
     'value', [b'no', dump({}), dump({'version': 1, 'routes': [{}]})]
 )
-def test_a_configuration_that_cannot_be_read_is_refused(value):
+def test_invalid_configuration_is_rejected(value):
     with pytest.raises(platform.InvalidDocumentError):
         platform.parse_declaration(value)
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -20,7 +20,7 @@
     context = _entry.make_context(cfg, registry)
     context.retry_budget('desk').offer()
     server = gateway.Gateway(context)
-    _entry.show_gauges(registry, server, context)
+    _entry.register_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
     return registry
 
@@ -29,17 +29,14 @@
     registry = metrics.Registry()
     version_store = spread.VersionStore()
     version_store.chunk_store('drafts', 2)
-    _sidecar.make_metrics(registry, version_store)
+    _sidecar.register_metrics(registry, version_store)
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
     return registry
 
 
-def test_the_page_names_just_the_metrics_that_are_served():
-    """An engineer looks for a metric of the page and it is not there.
-
-    Or a metric is there and nobody knows what to do about it.
-    """
+def test_operations_page_lists_exactly_the_metrics_served():
+    """An engineer finds no metric of the page, or no page for a metric."""
     named = set(re.findall(r'^\| `catkinshunt_(\w+)`', PAGE.read_text(), re.M))
     served = {
         family.name
@@ -56,14 +53,14 @@
         other = type('Request', (), {'path': '/'})
         return await handle(request), await handle(other)
 
-    shown, other = asyncio.run(main())
-    assert shown.status == 200
-    assert b'catkinshunt_catalog_age_seconds -1.0' in shown.body
-    assert b'catkinshunt_retry_budget_tokens{service="desk"}' in shown.body
+    reply, other = asyncio.run(main())
+    assert reply.status == 200
+    assert b'catkinshunt_catalog_age_seconds -1.0' in reply.body
+    assert b'catkinshunt_retry_budget_tokens{service="desk"}' in reply.body
     assert other.status == 404
 
 
-def test_a_scrape_of_a_sidecar_works():
+def test_scrape_of_a_sidecar_works():
     asyncio.run(
         _process.metrics_handler(sidecar_registry())(
             type('Request', (), {'path': '/metrics'})
--- a/catkinshunt/platform/tests/test_registration.py
+++ b/catkinshunt/platform/tests/test_registration.py
@@ -11,87 +11,87 @@
 
 
 @contextlib.asynccontextmanager
-async def listed(monkeypatch):
-    """An entry that keeps itself listed, and looks often."""
-    monkeypatch.setattr(_registration, 'RENEW_S', 0.02)
-    monkeypatch.setattr(_registration, 'PAUSE_S', 0.02)
+async def registered(monkeypatch):
+    """Run the registration of an entry with short periods."""
+    monkeypatch.setattr(_registration, 'RENEW_PERIOD_S', 0.02)
+    monkeypatch.setattr(_registration, 'RETRY_PAUSE_S', 0.02)
     store = fakes.FakeStore()
     live_entries = catalogs.LiveEntries()
-    member = platform.Registration(store, live_entries, 'edge-1')
-    task = asyncio.ensure_future(member.run())
+    registration = platform.Registration(store, live_entries, 'edge-1')
+    task = asyncio.ensure_future(registration.run())
     try:
-        await fakes.until(lambda: KEY in store.items)
+        await fakes.wait_until(lambda: KEY in store.items)
         live_entries.put('edge-1')
-        yield store, live_entries, member
+        yield store, live_entries, registration
     finally:
         task.cancel()
 
 
-def test_the_lease_is_renewed_without_further_writes(monkeypatch):
+def test_lease_is_renewed_without_further_writes(monkeypatch):
     async def main():
-        async with listed(monkeypatch) as (store, _, _):
-            await fakes.until(lambda: store.calls.count('renew') > 3)
+        async with registered(monkeypatch) as (store, _, _):
+            await fakes.wait_until(lambda: store.calls.count('renew') > 3)
             return store.calls.count('write')
 
     assert asyncio.run(main()) == 1
 
 
-def test_an_entry_whose_lease_ended_is_listed_again(monkeypatch):
-    """The store lost the lease in an outage that was longer than it.
+def test_entry_registers_again_after_its_lease_ended(monkeypatch):
+    """The lease expires during a long outage of the store.
 
-    The others would share the retries among too few for as long as the
-    entry lives.
+    If the entry stayed unlisted, the others would divide the retry budget
+    among too few entries while it runs.
     """
 
     async def main():
-        async with listed(monkeypatch) as (store, _, _):
-            store.down = True
+        async with registered(monkeypatch) as (store, _, _):
+            store.is_down = True
             store.expire(*store.leases)
-            store.down = False
-            await fakes.until(lambda: KEY in store.items)
+            store.is_down = False
+            await fakes.wait_until(lambda: KEY in store.items)
 
     asyncio.run(main())
 
 
-def test_an_entry_whose_key_vanished_is_listed_again(monkeypatch):
-    """A write arrives late and binds the key to a lease that nobody renews.
+def test_entry_registers_again_after_its_key_vanished(monkeypatch):
+    """A delayed write binds the key to an older lease that is not renewed.
 
-    The key vanishes with that lease, while the newer one is renewed in
-    vain.
+    The key is deleted with that lease, although the newer one is renewed.
     """
 
     async def main():
-        async with listed(monkeypatch) as (store, live_entries, _):
+        async with registered(monkeypatch) as (store, live_entries, _):
             store.delete(KEY)
             live_entries.drop('edge-1')
-            await fakes.until(lambda: KEY in store.items)
+            await fakes.wait_until(lambda: KEY in store.items)
 
     asyncio.run(main())
 
 
-def test_an_entry_that_stops_is_listed_no_longer(monkeypatch):
+def test_stopped_entry_is_not_listed(monkeypatch):
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
-            await member.leave()
+        async with registered(monkeypatch) as (store, _, registration):
+            await registration.deregister()
             return KEY in store.items
 
     assert not asyncio.run(main())
 
 
-def test_stopping_goes_on_without_the_store(monkeypatch):
+def test_stopping_works_without_the_store(monkeypatch):
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
-            store.down = True
-            await member.leave()
+        async with registered(monkeypatch) as (store, _, registration):
+            store.is_down = True
+            await registration.deregister()
 
     asyncio.run(main())
 
 
-def test_a_silent_store_does_not_hold_up_the_stop(monkeypatch):
-    """The store gives no answer while a process stops.
+def test_unresponsive_store_does_not_delay_the_stop(monkeypatch):
+    """The store does not answer while a process stops.
 
-    Waited for when all requests had ended, the call lasted beyond the time
-    to stop, and the process was killed with its last log lines unwritten.
+    When the lease was revoked after the last request, the call outlasted the
+    grace period, and the process was killed before its last log lines were
+    written.
     """
 
     class Server:
@@ -99,24 +99,24 @@
             await asyncio.sleep(grace_s)
 
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
+        async with registered(monkeypatch) as (store, _, registration):
             monkeypatch.setattr(
-                store, 'end_lease', lambda lease: asyncio.sleep(60)
+                store, 'revoke_lease', lambda lease: asyncio.sleep(60)
             )
             async with asyncio.timeout(0.5):
-                await _entry.stop_serving(Server(), member, 0.05)
+                await _entry.stop_serving(Server(), registration, 0.05)
 
     asyncio.run(main())
 
 
-def test_the_lease_ends_while_the_last_requests_are_answered(monkeypatch):
+def test_lease_is_revoked_while_the_last_requests_are_answered(monkeypatch):
     class Server:
         async def stop(self, grace_s):
             await asyncio.sleep(grace_s)
 
     async def main():
-        async with listed(monkeypatch) as (store, _, member):
-            await _entry.stop_serving(Server(), member, 0.05)
+        async with registered(monkeypatch) as (store, _, registration):
+            await _entry.stop_serving(Server(), registration, 0.05)
             return KEY in store.items
 
     assert not asyncio.run(main())
--- a/catkinshunt/platform/tests/test_settings.py
+++ b/catkinshunt/platform/tests/test_settings.py
@@ -17,20 +17,20 @@
 }
 
 
-def test_the_platforms_words_become_ours():
+def test_settings_are_parsed():
     cfg = platform.parse_instance_settings(DOCUMENT)
-    assert cfg.frontend == ('10.1.0.4', 8005)
-    assert cfg.store == ('10.200.1.7', 8007)
+    assert cfg.frontend_address == ('10.1.0.4', 8005)
+    assert cfg.store_address == ('10.200.1.7', 8007)
     assert cfg.data_centre == 'larisa-a'
     assert cfg.bounds.drain_s == 2.0
     assert cfg.bounds.version_s == 13.4
-    assert cfg.engine is None
+    assert cfg.engine_address is None
 
 
-def test_every_wrong_field_is_named_at_once():
-    """A settings file has several mistakes.
+def test_all_invalid_fields_are_reported_at_once():
+    """A settings file has several invalid fields.
 
-    Told one by one, each restart of the process would show only the next.
+    If only the first were reported, each restart would show the next one.
     """
     document = {
         **DOCUMENT,
@@ -41,18 +41,18 @@
     with pytest.raises(errors.SettingsError) as caught:
         platform.parse_instance_settings(document, 'node.toml')
     text = str(caught.value)
-    assert 'node.toml: ip: got 7, allowed: a text' in text
+    assert 'node.toml: ip: got 7, allowed: a string' in text
     assert "platform.address: got 'nowhere'" in text
     assert "bounds.grace_s: got 'long', allowed: a number" in text
 
 
-def test_a_missing_field_is_named():
+def test_missing_field_is_reported():
     document = {k: v for k, v in DOCUMENT.items() if k != 'platform'}
     with pytest.raises(errors.SettingsError, match='platform.address'):
         platform.parse_instance_settings(document)
 
 
-def test_a_file_that_cannot_be_read_is_named(tmp_path):
+def test_unreadable_file_is_reported(tmp_path):
     with pytest.raises(errors.SettingsError, match='No such file'):
         platform.load_instance_settings(tmp_path / 'none.toml')
     bad = tmp_path / 'bad.toml'
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -12,7 +12,7 @@
 DUE_S = 8.0
 
 
-def make_outlook(store):
+def make_view(store):
     cfg = platform.parse_instance_settings(
         {**test_settings.DOCUMENT, 'service': 'engines'}
     )
@@ -31,11 +31,11 @@
                 ]
             ),
         )
-        outlook = make_outlook(store)
-        task = asyncio.ensure_future(outlook.run())
+        view = make_view(store)
+        task = asyncio.ensure_future(view.run())
         try:
-            await fakes.until(lambda: 'read' in store.calls)
-            return await main(outlook, store)
+            await fakes.wait_until(lambda: 'read' in store.calls)
+            return await main(view, store)
         finally:
             task.cancel()
 
@@ -50,46 +50,45 @@
     store.put('op/version/drafts', {'model': 'drafts', 'version': version})
 
 
-def test_the_newest_named_version_is_wanted():
-    async def main(outlook, store):
+def test_newest_named_version_is_the_target():
+    async def main(view, store):
         name(store, 2)
-        await fakes.until(lambda: outlook.catalog.named_models())
-        return await outlook.target_version(report(1))
+        await fakes.wait_until(lambda: view.catalog.named_models())
+        return await view.target_version(report(1))
 
     wanted = run(main)
     assert (wanted.model, wanted.version) == ('drafts', 2)
 
 
-def test_an_added_engine_gets_what_the_others_serve():
-    """An engine is added before any version was named.
+def test_added_engine_gets_the_version_that_others_serve():
+    """An engine is added while no version is named in the store.
 
-    Nothing in the store says which version it should hold; the entries of
-    those that were there from the begin do.
+    It loads the version that the other engines of the service list.
     """
 
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        return await outlook.target_version(
-            report()
-        ), await outlook.target_version(report(1))
+        return await view.target_version(report()), await view.target_version(
+            report(1)
+        )
 
     empty, serving = run(main)
     assert (empty.model, empty.version) == ('drafts', 2)
     assert serving is None
 
 
-def test_the_configuration_is_read_only_for_the_origin():
-    """After a loss of power all processes start at the same moment.
+def test_configuration_is_read_only_for_the_origin():
+    """After a power loss all processes start at the same time.
 
-    A large configuration read by each of them fills the links between
-    regions for seconds, while entries wait for it.
+    A large configuration read by each sidecar would saturate the links
+    between regions for seconds, while entries wait for it.
     """
 
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        await outlook.target_version(report())
-        before = outlook.catalog.declaration
-        origin = await outlook.origin()
+        await view.target_version(report())
+        before = view.catalog.declaration
+        origin = await view.origin()
         return before, origin
 
     before, origin = run(main)
@@ -97,148 +96,149 @@
     assert origin.address == ('10.9.9.9', 80)
 
 
-def test_nothing_is_wanted_before_the_store_tells_what_is_named():
-    """All machines lose their power after a new version was named.
+def test_no_target_before_the_named_versions_are_read():
+    """All instances restart after a power loss; a new version is named.
 
-    Their sidecars start before the store has told them its name. The engines
-    are still listed with the version before, and a sidecar that went by that
-    would fetch it first; callers wait for the new one meanwhile.
+    Engines are still listed with the previous version. A sidecar that used
+    the list before it has read the named versions would fetch the previous
+    version first and delay the new one.
     """
 
     async def main():
         store = fakes.FakeStore()
         store.put('servers/i-1', documents.UPSTREAM)
-        outlook = make_outlook(store)
-        early = await outlook.target_version(report())
+        view = make_view(store)
+        early = await view.target_version(report())
         name(store, 3)
-        task = asyncio.ensure_future(outlook.run())
-        await fakes.until(lambda: outlook.catalog.named_models())
+        task = asyncio.ensure_future(view.run())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         task.cancel()
-        return early, await outlook.target_version(report())
+        return early, await view.target_version(report())
 
     early, late = asyncio.run(main())
     assert early is None
     assert late.version == 3
 
 
-def test_a_shown_origin_spares_the_configuration():
-    """After a loss of power all sidecars and entries start together.
+def test_published_origin_avoids_reading_the_configuration():
+    """After a power loss all sidecars and entries start at the same time.
 
-    The large configuration, read by each sidecar that fetches from the
-    origin, fills the links between regions, and for nine seconds entries
-    there have no configuration: callers are refused.
+    When each sidecar that fetched from the origin read the large
+    configuration, the links between regions were saturated for nine seconds,
+    and entries without a configuration rejected all requests.
     """
 
-    async def main(outlook, store):
-        shown = catalogs.Origin(('10.9.9.7', 80), 'a', 4.38, 48)
-        store.put(_documents.ORIGIN_KEY, _documents.dump_origin(shown))
-        found = await outlook.origin()
-        return found == shown, outlook.catalog.declaration
+    async def main(view, store):
+        published = catalogs.Origin(('10.9.9.7', 80), 'a', 4.38, 48)
+        store.put(_documents.ORIGIN_KEY, _documents.dump_origin(published))
+        found = await view.origin()
+        return found == published, view.catalog.declaration
 
     assert run(main) == (True, None)
 
 
-def test_an_origin_that_moves_is_found_again(monkeypatch):
+def test_new_address_of_the_origin_is_read(monkeypatch):
     """The origin gets another address while sidecars run.
 
-    One that kept the first address for ever would fetch no version again.
+    A sidecar that cached the first address forever could fetch no further
+    version.
     """
-    monkeypatch.setattr(_store_view, 'ORIGIN_S', 0.0)
+    monkeypatch.setattr(_store_view, 'ORIGIN_MAX_AGE_S', 0.0)
 
-    async def main(outlook, store):
+    async def main(view, store):
         found = []
         for host in ('10.9.9.7', '10.9.9.8'):
-            shown = catalogs.Origin((host, 80))
-            store.put(_documents.ORIGIN_KEY, _documents.dump_origin(shown))
-            found.append((await outlook.origin()).address[0])
-        store.down = True
-        found.append((await outlook.origin()).address[0])
+            published = catalogs.Origin((host, 80))
+            store.put(_documents.ORIGIN_KEY, _documents.dump_origin(published))
+            found.append((await view.origin()).address[0])
+        store.is_down = True
+        found.append((await view.origin()).address[0])
         return found
 
     assert run(main) == ['10.9.9.7', '10.9.9.8', '10.9.9.8']
 
 
-def test_a_damaged_key_of_the_origin_is_left_aside():
-    async def main(outlook, store):
+def test_invalid_origin_key_is_ignored():
+    async def main(view, store):
         store.put(_documents.ORIGIN_KEY, b'{"address": 7}')
-        return await outlook.origin()
+        return await view.origin()
 
     assert run(main).address == ('10.9.9.9', 80)
 
 
-def test_a_version_named_while_it_runs_has_its_whole_time():
-    async def main(outlook, store):
+def test_version_named_at_run_time_gets_the_full_time():
+    async def main(view, store):
         name(store, 2)
-        await fakes.until(lambda: outlook.catalog.named_models())
-        since = outlook.superseded_at('drafts', 1) - outlook.now()
+        await fakes.wait_until(lambda: view.catalog.named_models())
+        since = view.superseded_at('drafts', 1) - view.now()
         return since
 
     assert run(main) > DUE_S - 1
 
 
-def test_a_version_expires_before_a_newer_one_is_due():
-    async def main(outlook, store):
-        calm = outlook.expires_at('drafts', 1)
+def test_version_expires_before_a_newer_one_is_due():
+    async def main(view, store):
+        before = view.expires_at('drafts', 1)
         name(store, 2)
-        await fakes.until(lambda: outlook.catalog.named_models())
-        named_at = outlook.now()
+        await fakes.wait_until(lambda: view.catalog.named_models())
+        named_at = view.now()
         name(store, 3)
-        await fakes.until(
-            lambda: outlook.catalog.newest_version('drafts').version == 3
+        await fakes.wait_until(
+            lambda: view.catalog.newest_version('drafts').version == 3
         )
-        return calm, named_at, outlook.expires_at('drafts', 1)
+        return before, named_at, view.expires_at('drafts', 1)
 
-    calm, named_at, expires_at = run(main)
-    assert calm == float('inf')
+    before, named_at, expires_at = run(main)
+    assert before == float('inf')
     assert expires_at <= named_at + DUE_S - _store_view.EXPIRY_MARGIN_S
 
 
-def test_a_version_found_at_the_start_expires_nothing():
-    """A sidecar is killed as a version is named, and is back at once.
+def test_version_found_at_start_expires_nothing():
+    """A sidecar restarts just after a version was named.
 
-    It cannot know how long ago that was. Taking the old version as expired
-    it would keep all requests from its engine, eight seconds too early.
+    It cannot determine when that was. If it took the old version as expired,
+    its engine would get no requests eight seconds too early.
     """
 
     async def main():
         store = fakes.FakeStore()
         name(store, 2)
-        outlook = make_outlook(store)
-        task = asyncio.ensure_future(outlook.run())
-        await fakes.until(lambda: outlook.catalog.named_models())
+        view = make_view(store)
+        task = asyncio.ensure_future(view.run())
+        await fakes.wait_until(lambda: view.catalog.named_models())
         task.cancel()
-        return outlook.expires_at('drafts', 1)
+        return view.expires_at('drafts', 1)
 
     assert asyncio.run(main()) == float('inf')
 
 
-def test_leaving_engines_are_no_members():
-    async def main(outlook, store):
+def test_leaving_engines_are_not_members():
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
         leaving = {**documents.UPSTREAM, 'state': 'draining'}
         store.put('servers/i-2', {**leaving, 'address': '10.1.0.10:8080'})
-        return await outlook.members()
+        return await view.members()
 
     assert [member.name for member in run(main)] == ['10.1.0.9']
 
 
-def test_members_stay_known_while_the_store_is_away(monkeypatch):
-    """The store goes away while a version is to be fetched.
+def test_members_stay_cached_while_the_store_is_unreachable(monkeypatch):
+    """The store becomes unreachable while a version has to be fetched.
 
-    Its list of members cannot be read anew then. Without the one from before
-    no transfer begins until the store is back, though all members and the
-    origin are there; callers get no answer once the version is due.
+    Without the cached members no transfer could begin until the outage ends,
+    although all members and the origin are up. Requests would fail once the
+    version is due.
     """
-    monkeypatch.setattr(_store_view, 'MEMBERS_S', 0.0)
+    monkeypatch.setattr(_store_view, 'MEMBERS_MAX_AGE_S', 0.0)
 
-    async def main(outlook, store):
+    async def main(view, store):
         store.put('servers/i-1', documents.UPSTREAM)
-        before = await outlook.members()
-        store.down = True
-        during = await outlook.members()
-        store.down = False
+        before = await view.members()
+        store.is_down = True
+        during = await view.members()
+        store.is_down = False
         store.delete('servers/i-1')
-        return before, during, await outlook.members()
+        return before, during, await view.members()
 
     before, during, after = run(main)
     assert [member.name for member in before] == ['10.1.0.9']
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -10,33 +10,33 @@
 
 import pytest
 
-#: Seconds in which a slow store answers a call.
+#: Latency of a slow store.
 SLOW_S = 0.5
 
 
 def test_entries_of_one_region_read_a_configuration_once():
-    """A configuration of 1,600 routes is read by every entry.
+    """Every entry of a region reads a configuration of 1,600 routes.
 
-    Five changes within four seconds then take eleven seconds over a link
-    between two regions, and an entry at its far end answers by rules that
-    are over three seconds old: a caller of an added path gets a 404.
+    Five changes within four seconds then need eleven seconds on a link
+    between two regions. An entry behind it applies rules that are over three
+    seconds old: a request for an added path gets a 404.
     """
 
     async def main(region):
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
-        return region.store.sent.count('op/config')
+        await region.wait_until(lambda entry: entry.revision == 9)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main) == 1
 
 
 def test_entries_that_start_together_read_a_configuration_once():
-    """All machines lose their power, and all entries start at once.
+    """All entries start at the same time after a power loss.
 
-    Five of a region that each read 1,700 rules over one link had them nine
-    seconds later, and refused all callers until then. The one that is to
-    read them may be the last to start.
+    When five entries of a region each read 1,700 rules over one link, it took
+    nine seconds, and they rejected all requests until then. The watcher may
+    be the last one to start.
     """
 
     async def main():
@@ -47,7 +47,7 @@
         for entry in region.entries:
             await entry.start()
             await asyncio.sleep(0.1)
-        await region.until(lambda entry: entry.revision == 7)
+        await region.wait_until(lambda entry: entry.revision == 7)
         for entry in region.entries:
             await entry.kill()
         return [e.store.calls.count('read op/') for e in region.entries]
@@ -55,79 +55,80 @@
     assert asyncio.run(main()) == [0, 0, 1]
 
 
-def test_a_storm_of_configurations_is_not_read_piece_by_piece():
+def test_burst_of_configurations_is_not_read_one_by_one():
     """The operator changes the configuration a dozen times in a row.
 
-    The watch gives each of them whole, though only the newest is needed.
-    Eighteen large ones fill the link of a region for six seconds; requests
-    and events of streams that cross it wait as long, and a caller's stream
-    breaks off. One at the begin, one on the way and the last are enough.
+    The watch returns each revision in full, though only the newest is needed.
+    Eighteen large ones saturate the link of a region for six seconds; requests
+    and stream events that cross it wait as long, and streams break off. The
+    first, one in between and the last are enough.
     """
 
     async def main(region):
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         for version in range(8, 20):
             document = documents.configuration(version=version)
             region.store.put('op/config', document)
             await asyncio.sleep(0.02)
-        await region.until(lambda entry: entry.revision == 19)
-        return region.store.sent.count('op/config')
+        await region.wait_until(lambda entry: entry.revision == 19)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main) <= 3
 
 
-def test_a_reader_lost_in_a_storm_does_not_bring_every_configuration():
-    """The entry that reads for the others dies as configurations follow.
+def test_watcher_lost_in_a_burst_does_not_transfer_every_configuration():
+    """The watcher is lost during a burst of configurations.
 
-    A watch gives each of those that the others have missed, whole, over one
-    link. A few that came before the loss was noticed do no harm.
+    A watch would return each revision that the followers have missed in full
+    over one link. A few revisions from before the loss was noticed are
+    acceptable.
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         region.store.put('op/config', documents.configuration(version=8))
-        await region.until(lambda entry: entry.revision == 8)
-        reader.task.cancel()
-        reader.store.is_cut = True
-        region.store.sent.clear()
+        await region.wait_until(lambda entry: entry.revision == 8)
+        watcher.task.cancel()
+        watcher.store.is_cut = True
+        region.store.sent_keys.clear()
         for version in range(9, 29):
             document = documents.configuration(version=version)
             region.store.put('op/config', document)
             await asyncio.sleep(0.1)
-        await region.until(lambda entry: entry.revision == 28, others)
-        return region.store.sent.count('op/config') / len(others)
+        await region.wait_until(lambda entry: entry.revision == 28, others)
+        return region.store.sent_keys.count('op/config') / len(others)
 
     assert regions.run(main) <= 3
 
 
-def test_an_outage_in_a_storm_does_not_bring_every_configuration(monkeypatch):
-    """The store is away for longer than a storm is remembered.
+def test_outage_in_a_burst_does_not_transfer_every_configuration(monkeypatch):
+    """The store is unreachable for longer than `_regional.BUSY_S`.
 
-    What was written meanwhile would be sent whole, one after the other.
+    The revisions written meanwhile would each be sent in full.
     """
     monkeypatch.setattr(_regional, 'BUSY_S', 0.1)
 
     async def main(region):
-        reader = region.reader()
+        watcher = region.watcher()
         for entry in region.followers():
             await entry.kill()
         region.store.put('op/config', documents.configuration(version=8))
-        await fakes.until(lambda: reader.revision == 8)
-        reader.store.is_refused = True
+        await fakes.wait_until(lambda: watcher.revision == 8)
+        watcher.store.is_rejecting = True
         await asyncio.sleep(0.3)
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         for version in range(9, 29):
             document = documents.configuration(version=version)
             region.store.put('op/config', document)
-        reader.store.is_refused = False
-        await fakes.until(lambda: reader.revision == 28)
-        return region.store.sent.count('op/config')
+        watcher.store.is_rejecting = False
+        await fakes.wait_until(lambda: watcher.revision == 28)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main) <= 3
 
 
-def test_what_is_deleted_in_a_storm_is_handed_on():
-    """A read of all shows no deletions; a dead upstream would stay listed."""
+def test_deletions_in_a_burst_are_relayed():
+    """A full read returns no deletions; a dead upstream would stay listed."""
 
     async def main(region):
         for version in (8, 9, 10):
@@ -136,145 +137,144 @@
             await asyncio.sleep(0.05)
         region.store.delete('servers/i-1')
         region.store.put('servers/i-2', documents.UPSTREAM)
-        await region.until(lambda e: e.catalog.find('i-1') is None)
-        await region.until(lambda e: e.catalog.find('i-2') is not None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is None)
+        await region.wait_until(lambda e: e.catalog.find('i-2') is not None)
         region.store.put('servers/i-1', documents.UPSTREAM)
-        await region.until(lambda e: e.catalog.find('i-1') is not None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is not None)
 
     regions.run(main)
 
 
-def test_all_go_on_when_the_entry_that_reads_dies():
-    """The entry that reads for the others is killed.
-
-    They ask the store themselves at once; a caller notices nothing.
-    """
+def test_followers_continue_after_the_watcher_is_killed():
+    """The followers watch the store themselves at once."""
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
-        await reader.kill()
+        watcher, others = region.watcher(), region.followers()
+        await watcher.kill()
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9, others)
+        await region.wait_until(lambda entry: entry.revision == 9, others)
 
     regions.run(main)
 
 
 @pytest.mark.parametrize('several', [(regions.REGION,), regions.TWO_REGIONS])
-def test_all_go_on_when_the_entry_that_reads_is_cut_off(monkeypatch, several):
-    """The entry that reads for the others loses its way to the store.
+def test_followers_continue_after_the_watcher_is_cut_off(monkeypatch, several):
+    """The watcher loses its connection to the store.
 
-    It goes on answering with what it knew. The others notice that it has no
-    proof any more, and ask the store before a key that was taken away could
-    still be served.
+    It continues to answer from its cache. The followers detect that its
+    confirmation is stale, and read from the store before a revoked API key
+    could be served.
     """
     monkeypatch.setattr(_regional, 'PEER_WAIT_S', 0.1)
     monkeypatch.setattr(_regional, 'STALE_S', 0.4)
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
-        reader.store.is_cut = True
+        watcher, others = region.watcher(), region.followers()
+        watcher.store.is_cut = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9, others)
-        return [e.catalog.age_s(e.wall()) for e in others]
+        await region.wait_until(lambda entry: entry.revision == 9, others)
+        return [e.catalog.age_s(e.boottime()) for e in others]
 
     assert max(regions.run(main, several)) < 2.0
 
 
-def test_a_lost_history_does_not_send_all_to_the_store():
-    """The store forgets its history as a large configuration is written.
+def test_history_loss_does_not_send_all_to_the_store():
+    """The store loses its history as a large configuration is written.
 
-    The entry that reads for the others reads all anew. Did the others take
-    that for an outage, each would read the configuration over one link, and
-    deny its paths for as long.
+    The watcher reads all items again. If the followers took that for an
+    outage, each would read the configuration over one link, and reject
+    requests for its paths meanwhile.
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.store.calls.clear()
-        reader.store.has_lost_history = True
+        watcher.store.loses_history = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
+        await region.wait_until(lambda entry: entry.revision == 9)
         return [call for entry in others for call in entry.store.calls]
 
     assert regions.run(main) == []
 
 
-def test_a_lost_history_of_a_slow_store_does_not_send_all_to_it():
-    """Three reads in a row take longer than the others go without proof."""
+def test_history_loss_of_a_slow_store_does_not_send_all_to_it():
+    """Three reads in a row take longer than a confirmation stays valid."""
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in region.entries:
             entry.store.delay_s = SLOW_S
         for entry in others:
             entry.store.calls.clear()
-        reader.store.has_lost_history = True
+        watcher.store.loses_history = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
+        await region.wait_until(lambda entry: entry.revision == 9)
         await asyncio.sleep(3 * SLOW_S)
         return [call for entry in others for call in entry.store.calls]
 
     assert regions.run(main) == []
 
 
-def test_one_that_the_store_turns_away_asks_the_others():
-    """The others of its region know all; its callers would be refused."""
+def test_entry_rejected_by_the_store_follows_others():
+    """Otherwise it would reject requests, although its peers are current."""
 
     async def main(region):
-        reader = region.reader()
-        reader.store.is_refused = True
+        watcher = region.watcher()
+        watcher.store.is_rejecting = True
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
+        await region.wait_until(lambda entry: entry.revision == 9)
         ages = []
         for _ in range(40):
             await asyncio.sleep(0.1)
-            ages.append(reader.catalog.age_s(reader.wall()))
+            ages.append(watcher.catalog.age_s(watcher.boottime()))
         return max(ages)
 
-    assert regions.run(main) < regions.FRESH_S
+    assert regions.run(main) < regions.KEY_TRUST_S
 
 
-def test_what_is_deleted_is_handed_on():
+def test_deletions_are_relayed():
     async def main(region):
         region.store.delete('servers/i-1')
-        await region.until(lambda e: e.catalog.find('i-1') is None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is None)
         region.store.put('servers/i-1', documents.UPSTREAM)
-        await region.until(lambda e: e.catalog.find('i-1') is not None)
+        await region.wait_until(lambda e: e.catalog.find('i-1') is not None)
 
     regions.run(main)
 
 
-def test_one_that_has_just_started_is_passed_over():
-    """The entry that reads starts again, and does not know what was before.
+def test_watcher_that_has_just_started_is_not_followed():
+    """The watcher restarts and lacks the changes from before its start.
 
-    Those that ask for changes from before its start go on by the store; a
-    change that it cannot know of would be missing for ever.
+    Followers that need those changes must read from the store. Otherwise they
+    would never get them.
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.task.cancel()
-        await reader.kill()
+        await watcher.kill()
         region.store.delete('servers/i-1')
-        number = region.entries.index(reader)
-        again = regions.Entry(region, int(reader.name[-1]))
-        region.entries[number] = again
-        await again.start()
-        await fakes.until(lambda: again.revision == 7)
+        number = region.entries.index(watcher)
+        restarted = regions.Entry(region, int(watcher.name[-1]))
+        region.entries[number] = restarted
+        await restarted.start()
+        await fakes.wait_until(lambda: restarted.revision == 7)
         for entry in others:
-            entry.task = asyncio.ensure_future(entry.mirror.run())
-        await region.until(lambda e: e.catalog.find('i-1') is None, others)
+            entry.task = asyncio.ensure_future(entry.updater.run())
+        await region.wait_until(
+            lambda e: e.catalog.find('i-1') is None, others
+        )
 
     regions.run(main)
 
 
-def test_an_answer_of_a_neighbour_that_lies_unread_proves_nothing():
-    """The process is suspended while an answer lies unread.
+def test_buffered_answer_of_a_peer_confirms_nothing():
+    """The process is suspended while an answer of a peer is buffered.
 
-    Counted from the moment at which it was read, it would make a state of
-    half a minute ago look new.
+    If the time of reading it counted, a state of half a minute ago would seem
+    current.
     """
 
     async def main(region):
@@ -282,11 +282,11 @@
         calls = follower.store.calls
         follower.offset_s += 30.0
         before = len(calls)
-        await fakes.until(lambda: len(calls) > before)
+        await fakes.wait_until(lambda: len(calls) > before)
         ages = []
-        await fakes.until(
+        await fakes.wait_until(
             lambda: (
-                ages.append(follower.catalog.age_s(follower.wall()))
+                ages.append(follower.catalog.age_s(follower.boottime()))
                 or ages[-1] < 3.0
             )
         )
@@ -295,101 +295,103 @@
     assert regions.run(main) > 25
 
 
-def test_a_version_is_as_old_as_the_reader_knows_it(monkeypatch):
-    """A neighbour hears of a named version later than the one that reads.
+def test_relayed_version_keeps_the_age_at_the_watcher(monkeypatch):
+    """A follower receives a named version later than the watcher.
 
-    Counted from then, it would serve the older version for longer than is
-    allowed.
+    If the time of receipt counted, it would serve the older version for too
+    long.
     """
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         slow = others[0]
         slow.task.cancel()
         region.store.put(
             'op/version/drafts', {'model': 'drafts', 'version': 3}
         )
-        await fakes.until(lambda: reader.catalog.newest_version('drafts'))
+        await fakes.wait_until(
+            lambda: watcher.catalog.newest_version('drafts')
+        )
         await asyncio.sleep(0.5)
-        slow.task = asyncio.ensure_future(slow.mirror.run())
-        await fakes.until(lambda: slow.catalog.newest_version('drafts'))
+        slow.task = asyncio.ensure_future(slow.updater.run())
+        await fakes.wait_until(lambda: slow.catalog.newest_version('drafts'))
         return [
             entry.catalog.newest_version('drafts').learned_at
-            for entry in (reader, slow)
+            for entry in (watcher, slow)
         ]
 
-    known, heard = regions.run(main)
-    assert heard <= known + 0.1
+    watcher_at, follower_at = regions.run(main)
+    assert follower_at <= watcher_at + 0.1
 
 
-def test_a_configuration_crosses_no_link_as_the_store_sends_it():
-    """Read by each region, a storm of them fills the links between regions.
+def test_one_entry_reads_a_configuration_for_all_regions():
+    """If each region read it, a burst would saturate links between regions.
 
-    Entries that wait behind such a link refuse their callers.
+    Entries that wait for such a link reject requests.
     """
 
     async def main(region):
-        region.store.sent.clear()
+        region.store.sent_keys.clear()
         region.store.put('op/config', documents.configuration(version=9))
-        await region.until(lambda entry: entry.revision == 9)
-        return region.store.sent.count('op/config')
+        await region.wait_until(lambda entry: entry.revision == 9)
+        return region.store.sent_keys.count('op/config')
 
     assert regions.run(main, regions.TWO_REGIONS) == 1
 
 
-def test_one_entry_of_a_region_asks_another_region():
-    """Asked by each entry, a link would carry every value several times."""
+def test_one_entry_of_a_region_follows_another_region():
+    """Otherwise a link between regions carries each value several times."""
 
     async def main(region):
-        reader = region.reader()
-        asking = [
+        watcher = region.watcher()
+        following = [
             entry
             for entry in region.followers()
-            if entry.home.region != reader.home.region
-            and entry.feed.watchers.regional_watcher(entry.wall()) is None
+            if entry.location.region != watcher.location.region
+            and entry.feed.watchers.regional_watcher(entry.boottime()) is None
         ]
-        return len(asking)
+        return len(following)
 
     assert regions.run(main, regions.TWO_REGIONS) == 1
 
 
-def test_proofs_reach_all_regions_before_they_are_too_old():
-    """Behind two entries a proof would be too old, and all ask the store."""
+def test_confirmations_reach_all_regions_before_they_are_stale():
+    """If a confirmation relayed twice were stale, all would call the store."""
 
     async def main(region):
-        reader, others = region.reader(), region.followers()
+        watcher, others = region.watcher(), region.followers()
         for entry in others:
             entry.store.calls.clear()
-        read_s, followed_s = [], []
+        watcher_s, follower_s = [], []
         for _ in range(50):
             await asyncio.sleep(0.05)
-            now = reader.wall()
-            read_s.append(reader.catalog.age_s(now))
-            followed_s += [entry.catalog.age_s(now) for entry in others]
+            now = watcher.boottime()
+            watcher_s.append(watcher.catalog.age_s(now))
+            follower_s += [entry.catalog.age_s(now) for entry in others]
         calls = [call for entry in others for call in entry.store.calls]
-        return max(read_s), max(followed_s), calls
+        return max(watcher_s), max(follower_s), calls
 
-    read_s, followed_s, calls = regions.run(main, regions.TWO_REGIONS)
-    assert followed_s < min(read_s + regions.WAY_S, _regional.STALE_S)
+    watcher_s, follower_s, calls = regions.run(main, regions.TWO_REGIONS)
+    assert follower_s < min(watcher_s + regions.RELAY_S, _regional.STALE_S)
     assert calls == []
 
 
-def test_a_region_goes_on_when_the_one_that_reads_for_all_dies():
-    """The others would otherwise answer by rules that are too old."""
+def test_other_regions_continue_after_the_watcher_is_killed():
+    """Otherwise they would apply rules that are too old."""
 
     async def main(region):
-        home = region.reader().home.region
-        lost = [e for e in region.entries if e.home.region == home]
+        home_region = region.watcher().location.region
+        lost = [e for e in region.entries if e.location.region == home_region]
         for entry in lost:
             await entry.kill()
         region.store.put('op/config', documents.configuration(version=9))
         others = [e for e in region.entries if e not in lost]
-        await region.until(lambda entry: entry.revision == 9, others)
+        await region.wait_until(lambda entry: entry.revision == 9, others)
 
     regions.run(main, regions.TWO_REGIONS)
 
 
-def test_a_neighbour_that_talks_nonsense_is_not_followed():
+def test_peer_with_invalid_answers_is_rejected():
     async def main():
         peer = feed.PeerWatchSource('127.0.0.1', 0, lambda: 0.0, lambda: 0.0)
         with pytest.raises(errors.StoreError):
