--- a/catkinshunt/dispatch/_returning.py
+++ b/catkinshunt/dispatch/_returning.py
@@ -19,8 +19,8 @@
 INITIAL_SHARE = 0.5
 #: Weight of the newest request in that share, which covers about the last ten.
 NEWEST_WEIGHT = 0.1
-#: Timeouts kept per service, and how many are needed for an estimate. Only
-#: those of times without rejections are sampled.
+#: Timeouts kept per service, and after how many new ones the estimate is
+#: updated. Timeouts during bursts of rejections are not sampled.
 MAX_SAMPLES = 200
 MIN_SAMPLES = 15
 #: Share of the shortest samples that is ignored, and the share of the longest
