--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -6,11 +6,12 @@
 from catkinshunt import errors
 from catkinshunt import rules
 
-#: `Retry-After` in seconds while the entry's state is stale.
+#: `Retry-After` in seconds while the entry waits for the store. The retry
+#: reaches another entry, since the connection is closed.
 STORE_RETRY_S = 0.3
 #: The same while the entry starts; other entries are likely to start too.
 STARTING_RETRY_S = 0.8
-#: `Retry-After` in seconds while the entry stops.
+#: `Retry-After` in seconds while the entry stops; the retry reaches another.
 STOPPING_RETRY_S = 0.1
 #: Deadline of a request that gives none, in seconds.
 LONGEST_DEADLINE_S = 300.0
--- a/catkinshunt/quarantine/_messages.py
+++ b/catkinshunt/quarantine/_messages.py
@@ -15,7 +15,7 @@
     """An upstream crashed while it ran these requests.
 
     Attributes:
-        crash: id of the crash.
+        crash: id of the upstream's start that ended in the crash.
         requests: fingerprints.
     """
 
