--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize(
-    ('left_share', 'older_due_s', 'newer_due_s', 'finishes'),
+    ('missing_share', 'older_due_s', 'newer_due_s', 'finishes'),
     [
         (0.3, 4.0, 8.0, True),
         (0.65, 6.0, 8.0, False),
