--- a/catkinshunt/platform/_deploy.py
+++ b/catkinshunt/platform/_deploy.py
@@ -54,7 +54,7 @@
         return
     for name in _ROLE_STRING_FIELDS:
         if not isinstance(role.get(name), str):
-            add_problem(f'{field}.{name}', role.get(name), 'a string')
+            add_problem(f'{field}.{name}', role.get(name), 'a text')
     if role.get('on') not in _INSTANCE_CLASSES:
         add_problem(
             f'{field}.on', role.get('on'), ' or '.join(_INSTANCE_CLASSES)
--- a/catkinshunt/platform/_settings.py
+++ b/catkinshunt/platform/_settings.py
@@ -110,7 +110,7 @@
 def _describe_type(kinds):
     if kinds is _NUMBER:
         return 'a number'
-    return {str: 'a string', dict: 'a table', list: 'a list'}[kinds]
+    return {str: 'a text', dict: 'a table', list: 'a list'}[kinds]
 
 
 def parse_address(text):
--- a/catkinshunt/platform/tests/test_settings.py
+++ b/catkinshunt/platform/tests/test_settings.py
@@ -41,7 +41,7 @@
     with pytest.raises(errors.SettingsError) as caught:
         platform.parse_instance_settings(document, 'node.toml')
     text = str(caught.value)
-    assert 'node.toml: ip: got 7, allowed: a string' in text
+    assert 'node.toml: ip: got 7, allowed: a text' in text
     assert "platform.address: got 'nowhere'" in text
     assert "bounds.grace_s: got 'long', allowed: a number" in text
 
