--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -93,7 +93,7 @@
     mutations.Mutation(
         'gateways-write-priorities',
         'catkinshunt/gateway/_exchange.py',
-        'return PRIORITIES[job.rank]',
+        'return PRIORITY_BY_RANK[job.rank]',
         'return None',
     ),
 )
