--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -23,7 +23,7 @@
         watch_s: seconds that a watch of the key-value service waits.
 
     Attributes:
-        keeper: `configuration.Keeper`, the rules in force.
+        keeper: `configuration.ConfigurationReplica`, the rules in force.
         directory: `instances.Directory`, the instances known.
         loop: `peers.LoopThread` of the process.
         pool: `peers.PeerPool` for calls to other processes.
@@ -38,7 +38,7 @@
         self.cfg = cfg
         self.pull_period_s = pull_period_s
         self.watch_s = watch_s
-        self.keeper = configuration.Keeper()
+        self.config_replica = configuration.ConfigurationReplica()
         self.directory = instances.Directory()
         self.loop = peers.LoopThread()
         self.pool = peers.PeerPool(cfg.deployment_key, self.loop)
@@ -71,7 +71,7 @@
         ).start()
         self._fetch(self._list_source)
         self._spreader.start()
-        if self.keeper.revision == 0 and not self._spreader.answered:
+        if self.config_replica.revision == 0 and not self._spreader.answered:
             # Nobody to ask. One read brings the rules, if the service is up.
             self._fetch(self._store_source)
         for watcher in self._watchers:
@@ -95,7 +95,9 @@
         store = kvstore.HttpKeyValueStore(
             httpio.Address.parse(platform.key_value)
         )
-        self._store_source = configuration.StoreSource(store, self.keeper)
+        self._store_source = configuration.StoreSource(
+            store, self.config_replica
+        )
         self._list_source = instances.ListSource(
             httpio.Address.parse(platform.instance_list),
             self.directory,
@@ -104,7 +106,7 @@
         self._spreader = dissemination.Spreader(
             cfg.name,
             cfg.data_centre,
-            (self.keeper, self.directory),
+            (self.config_replica, self.directory),
             peering.GrpcPeering(cfg.name, self.pool),
             self._members,
             pull_period_s=self.pull_period_s,
@@ -114,10 +116,10 @@
             for source in (self._store_source, self._list_source)
         ]
         self._spreader.duties = [watcher.duty for watcher in self._watchers]
-        self.keeper.subscribe(self._spreader.wake)
-        self.keeper.listen(
+        self.config_replica.subscribe(self._spreader.wake)
+        self.config_replica.on_newer_revision(
             lambda revision, now: self._spreader.hint(
-                self.keeper.topic, revision, now
+                self.config_replica.topic, revision, now
             )
         )
 
