--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -42,13 +42,13 @@
     Mutation(
         'grant-once',
         _DOCUMENT,
-        'elif held.attempt == record.attempt:',
+        'elif stored.attempt == record.attempt:',
         'elif True:',
     ),
     Mutation(
         'key-of-another-request',
         _DOCUMENT,
-        'if held.digest != record.digest:',
+        'if stored.digest != record.digest:',
         'if False:',
     ),
     Mutation(
@@ -60,7 +60,7 @@
     Mutation(
         'old-claims-kept',
         _DOCUMENT,
-        'if old_state is not None:',
+        'if compacted_state is not None:',
         'if False:',
     ),
     Mutation(
@@ -79,8 +79,10 @@
     Mutation(
         'release-of-own-attempt',
         _DOCUMENT,
-        'if held is not None and held.attempt == attempt and not held.status:',
-        'if held is not None:',
+        'stored is not None\n'
+        '            and stored.attempt == attempt\n'
+        '            and not stored.status',
+        'stored is not None',
     ),
     Mutation(
         'read-back-after-lost-answer',
@@ -92,7 +94,7 @@
     Mutation(
         'refused-claim-taken-back',
         _CLAIMS,
-        'kept.append(op.undo())',
+        'requeued.append(op.make_release())',
         'pass',
     ),
     Mutation(
@@ -104,25 +106,25 @@
     Mutation(
         'given-up-claim-taken-back',
         _CLAIMS,
-        'if not op.settle()]',
-        'if op.settle() is None]',
+        'if not op.complete()',
+        'if op.complete() is None',
     ),
     Mutation(
         'shards-as-written',
         _CLAIMS,
-        'return self._decode_layout(entry.value)',
+        'return self._decode_shard_count(entry.value)',
         'return self.shards',
     ),
     Mutation(
         'outcome-kept-in-outage',
         _CLAIMS,
-        'kept = list(batch.settled_ops)',
-        'kept = []',
+        'requeued = list(batch.completion_ops)',
+        'requeued = []',
     ),
     Mutation(
         'pause-in-outage',
         _CLAIMS,
-        'if 0 < self._closed_until - now <= self.outage_pause_s:',
+        'if 0 < self._outage_until - now <= self.outage_pause_s:',
         'if False:',
     ),
     Mutation(
@@ -140,7 +142,7 @@
     Mutation(
         'attempt-passes-once',
         _ATTEMPTS,
-        'if attempt in self._expiries:',
+        'if attempt in self._expiry_by_attempt:',
         'if False:',
     ),
     Mutation(
--- a/catkinshunt/claims/_attempts.py
+++ b/catkinshunt/claims/_attempts.py
@@ -37,7 +37,7 @@
         self.skew_s = skew_s
         self.max_ahead_s = max_ahead_s
         self._lock = threading.Lock()
-        self._expiries = {}
+        self._expiry_by_attempt = {}
 
     def check(self, attempt, expires_at, now):
         """Remember `attempt`, or refuse it.
@@ -54,7 +54,7 @@
         """
         checks.check_positive(self.capacity, 'capacity')
         with self._lock:
-            if attempt in self._expiries:
+            if attempt in self._expiry_by_attempt:
                 raise errors.DuplicateAttemptError(
                     'attempt came twice', step='duplicate'
                 )
@@ -67,20 +67,20 @@
                 raise errors.InvalidRequestError(
                     'deadline too far ahead', step='deadline'
                 )
-            if len(self._expiries) >= self.capacity:
-                self._forget(now)
-            if len(self._expiries) >= self.capacity:
+            if len(self._expiry_by_attempt) >= self.capacity:
+                self._remove_expired(now)
+            if len(self._expiry_by_attempt) >= self.capacity:
                 raise errors.OverloadedError(
                     'too many attempts remembered',
                     step='duplicate',
                     retry_after_s=self.skew_s,
                 )
-            self._expiries[attempt] = expires_at
+            self._expiry_by_attempt[attempt] = expires_at
 
-    def _forget(self, now):
+    def _remove_expired(self, now):
         kept = {
             attempt: expires_at
-            for attempt, expires_at in self._expiries.items()
+            for attempt, expires_at in self._expiry_by_attempt.items()
             if now <= expires_at + self.skew_s
         }
-        self._expiries = kept
+        self._expiry_by_attempt = kept
--- a/catkinshunt/claims/_batch.py
+++ b/catkinshunt/claims/_batch.py
@@ -23,7 +23,7 @@
     record: object
     now: float
     fut: futures.Future = attrs.field(factory=futures.Future)
-    written: bool = False
+    maybe_written: bool = False
     _result: object = None
 
     def apply(self, document):
@@ -33,7 +33,7 @@
         except errors.OverloadedError as exc:
             self._result = exc
 
-    def settle(self):
+    def complete(self):
         """Hand over the result; returns whether somebody still waited."""
         if self.fut.cancelled():
             return False
@@ -48,9 +48,9 @@
     def fail(self, exc):
         """Hand over `exc`."""
         self._result = exc
-        return self.settle()
+        return self.complete()
 
-    def undo(self):
+    def make_release(self):
         """Return the operation that takes this attempt's claim back."""
         return ReleaseOp(
             self.identity, self.record.attempt, self.now, fence=True
@@ -102,16 +102,16 @@
     outcome of the attempt before it.
     """
 
-    settled_ops: list = attrs.field(factory=list)
+    completion_ops: list = attrs.field(factory=list)
     claim_ops: list = attrs.field(factory=list)
 
     def __bool__(self):
-        return bool(self.settled_ops or self.claim_ops)
+        return bool(self.completion_ops or self.claim_ops)
 
     @property
     def now(self):
         """Latest time of any operation."""
-        return max(op.now for op in self.settled_ops + self.claim_ops)
+        return max(op.now for op in self.completion_ops + self.claim_ops)
 
     def apply(self, document, limits):
         """Apply all operations to `document` and trim it in between.
@@ -119,14 +119,16 @@
         Outcomes that waited out a long outage are recorded before their
         claims shrink, which would lose them.
         """
-        for op in self.settled_ops:
+        for op in self.completion_ops:
             op.apply(document, limits.body_limit_bytes)
-        document.trim(self.now, limits.retention_s, limits.answer_kept_s)
+        document.compact(self.now, limits.retention_s, limits.answer_kept_s)
         for op in self.claim_ops:
             op.apply(document)
 
-    def drop_given_up(self):
+    def drop_cancelled(self):
         """Forget claims nobody waits for and that no write has held."""
         self.claim_ops = [
-            op for op in self.claim_ops if op.written or not op.fut.cancelled()
+            op
+            for op in self.claim_ops
+            if op.maybe_written or not op.fut.cancelled()
         ]
--- a/catkinshunt/claims/_document.py
+++ b/catkinshunt/claims/_document.py
@@ -9,27 +9,30 @@
 from catkinshunt.claims import base
 from catkinshunt import errors
 
-VERSION = 1
+FORMAT_VERSION = 1
 _IDENTITY_BYTES = 15
 #: Room left for each unfinished claim, so that its finish always fits.
-_FINISH_BYTES = 64
+_FINISH_RESERVE_BYTES = 64
 #: Of an identity, as much as is kept of an old claim; 72 bits.
-_FRONT = 12
+_PREFIX_CHARS = 12
 _HOUR_S = 3600
-_BUCKET_BYTES = 20
-_EMPTY_BYTES = 64
-_RAN = 'r'
-_UNKNOWN = 'u'
-_STATE_OF_MARK = {_RAN: base.State.FINISHED, _UNKNOWN: base.State.UNKNOWN}
+_BUCKET_OVERHEAD_BYTES = 20
+_EMPTY_DOCUMENT_BYTES = 64
+_FINISHED_MARK = 'r'
+_UNKNOWN_MARK = 'u'
+_STATE_BY_MARK = {
+    _FINISHED_MARK: base.State.FINISHED,
+    _UNKNOWN_MARK: base.State.UNKNOWN,
+}
 
 
-def identity_of(account, key):
+def compute_identity(account, key):
     """Return the digest under which `account`'s `key` is recorded.
 
     The length goes in front, so that no two pairs give the same text.
 
     Examples:
-        >>> identity_of('a', 'bc') == identity_of('ab', 'c')
+        >>> compute_identity('a', 'bc') == compute_identity('ab', 'c')
         False
     """
     text = f'{len(account)}:{account}:{key}'.encode()
@@ -111,20 +114,20 @@
 def _bucket_of(record):
     """Return the bucket of an old claim: its hour and whether it ran."""
     hour = int(record.claimed_at // _HOUR_S)
-    return f'{hour}{_RAN if record.status else _UNKNOWN}'
+    return f'{hour}{_FINISHED_MARK if record.status else _UNKNOWN_MARK}'
 
 
 def _bucket_end(bucket):
     return (int(bucket[:-1]) + 1) * _HOUR_S
 
 
-def _check_bucket(bucket, fronts):
+def _check_bucket(bucket, prefixes):
     _bucket_end(bucket)
-    if bucket[-1] not in _STATE_OF_MARK or len(fronts) % _FRONT:
+    if bucket[-1] not in _STATE_BY_MARK or len(prefixes) % _PREFIX_CHARS:
         raise ValueError(f'wrong bucket {bucket!r}')
 
 
-def _size(identity, record):
+def _record_size_bytes(identity, record):
     row = json.dumps(record.to_json(), separators=(',', ':'))
     return len(identity) + len(row) + 4
 
@@ -143,17 +146,19 @@
         limit_bytes: largest encoded size.
     """
 
-    def __init__(self, records, old, limit_bytes):
+    def __init__(self, records, compacted, limit_bytes):
         self.records = records
-        self.old = old
+        self.compacted = compacted
         self.limit_bytes = limit_bytes
         self.changed = False
-        self._wait_s = 1.0
-        self._size = _EMPTY_BYTES + sum(
-            _size(*item) + _FINISH_BYTES for item in records.items()
+        self._retry_after_s = 1.0
+        self._size_bytes = _EMPTY_DOCUMENT_BYTES + sum(
+            _record_size_bytes(*item) + _FINISH_RESERVE_BYTES
+            for item in records.items()
         )
-        self._size += sum(
-            len(fronts) + _BUCKET_BYTES for fronts in old.values()
+        self._size_bytes += sum(
+            len(prefixes) + _BUCKET_OVERHEAD_BYTES
+            for prefixes in compacted.values()
         )
 
     @classmethod
@@ -169,15 +174,15 @@
             return cls({}, {}, limit_bytes)
         try:
             data = json.loads(value)
-            if data['version'] != VERSION:
+            if data['version'] != FORMAT_VERSION:
                 raise ValueError(f'version {data["version"]!r}')
             records = {
                 identity: Record.from_json(row)
                 for identity, row in data['claims'].items()
             }
-            old = dict(data['old'])
-            for bucket, fronts in old.items():
-                _check_bucket(bucket, fronts)
+            compacted = dict(data['old'])
+            for bucket, prefixes in compacted.items():
+                _check_bucket(bucket, prefixes)
         except (
             AttributeError,
             KeyError,
@@ -188,41 +193,49 @@
             raise errors.StoreError(
                 f'claims document cannot be read: {exc!r}', step='claims'
             ) from exc
-        return cls(records, old, limit_bytes)
+        return cls(records, compacted, limit_bytes)
 
     def encode(self):
         """Return the bytes to store."""
         rows = {key: record.to_json() for key, record in self.records.items()}
-        data = {'version': VERSION, 'claims': rows, 'old': self.old}
+        data = {
+            'version': FORMAT_VERSION,
+            'claims': rows,
+            'old': self.compacted,
+        }
         return json.dumps(data, separators=(',', ':')).encode()
 
-    def trim(self, now, retention_s, answer_kept_s):
+    def compact(self, now, retention_s, answer_kept_s):
         """Shrink claims that are old enough, drop those that are older."""
-        self._wait_s = answer_kept_s
-        for bucket in list(self.old):
+        self._retry_after_s = answer_kept_s
+        for bucket in list(self.compacted):
             if now - _bucket_end(bucket) > retention_s:
-                self._size -= len(self.old.pop(bucket)) + _BUCKET_BYTES
+                self._size_bytes -= (
+                    len(self.compacted.pop(bucket)) + _BUCKET_OVERHEAD_BYTES
+                )
                 self.changed = True
         for identity, record in list(self.records.items()):
             age_s = now - record.claimed_at
             if age_s > answer_kept_s and now > record.deadline:
                 self._remove(identity)
-                self._add_old(_bucket_of(record), identity[:_FRONT])
-
-    def _add_old(self, bucket, front):
-        if bucket not in self.old:
-            self._size += _BUCKET_BYTES
-        self.old[bucket] = self.old.get(bucket, '') + front
-        self._size += len(front)
-
-    def _old_state(self, identity):
-        front = identity[:_FRONT]
-        for bucket, fronts in self.old.items():
-            at = fronts.find(front)
-            while at >= 0 and at % _FRONT:
-                at = fronts.find(front, at + 1)
-            if at >= 0:
-                return _STATE_OF_MARK[bucket[-1]]
+                self._add_compacted(
+                    _bucket_of(record), identity[:_PREFIX_CHARS]
+                )
+
+    def _add_compacted(self, bucket, prefix):
+        if bucket not in self.compacted:
+            self._size_bytes += _BUCKET_OVERHEAD_BYTES
+        self.compacted[bucket] = self.compacted.get(bucket, '') + prefix
+        self._size_bytes += len(prefix)
+
+    def _compacted_state(self, identity):
+        prefix = identity[:_PREFIX_CHARS]
+        for bucket, prefixes in self.compacted.items():
+            offset = prefixes.find(prefix)
+            while offset >= 0 and offset % _PREFIX_CHARS:
+                offset = prefixes.find(prefix, offset + 1)
+            if offset >= 0:
+                return _STATE_BY_MARK[bucket[-1]]
         return None
 
     def claim(self, identity, record, now):
@@ -234,73 +247,87 @@
         Raises:
             errors.OverloadedError: the document has no room.
         """
-        held = self.records.get(identity)
-        if held is None:
-            old_state = self._old_state(identity)
-            if old_state is not None:
+        stored = self.records.get(identity)
+        if stored is None:
+            compacted_state = self._compacted_state(identity)
+            if compacted_state is not None:
                 return base.Claim(
-                    identity, record.attempt, old_state, record.deadline
+                    identity, record.attempt, compacted_state, record.deadline
                 )
-            self._check_room(identity, record)
+            self._check_space(identity, record)
             self._replace(identity, record)
-            held = record
+            stored = record
         outcome = None
-        if held.digest != record.digest:
+        if stored.digest != record.digest:
             state = base.State.MISMATCH
-        elif held.status:
+        elif stored.status:
             state = base.State.FINISHED
-            outcome = held.outcome()
-        elif held.attempt == record.attempt:
+            outcome = stored.outcome()
+        elif stored.attempt == record.attempt:
             state = base.State.GRANTED
-        elif now <= held.deadline:
+        elif now <= stored.deadline:
             state = base.State.IN_PROGRESS
         else:
             state = base.State.UNKNOWN
         return base.Claim(
-            identity, record.attempt, state, held.deadline, outcome
+            identity, record.attempt, state, stored.deadline, outcome
         )
 
     def finish(self, identity, attempt, outcome, body_limit_bytes):
         """Record `outcome` if `attempt` still holds the claim."""
-        held = self.records.get(identity)
-        if held is None or held.attempt != attempt or held.status:
+        stored = self.records.get(identity)
+        if stored is None or stored.attempt != attempt or stored.status:
             return
-        done = attrs.evolve(held, status=outcome.status)
+        finished = attrs.evolve(stored, status=outcome.status)
         if outcome.body is not None and len(outcome.body) <= body_limit_bytes:
             body = base64.b64encode(outcome.body).decode()
-            kept = attrs.evolve(
-                done, content_type=outcome.content_type, body=body
+            with_body = attrs.evolve(
+                finished, content_type=outcome.content_type, body=body
             )
-            grown = _size(identity, kept) - _size(identity, done)
-            if self._size + grown <= self.limit_bytes:
-                done = kept
-        self._replace(identity, done)
+            growth_bytes = _record_size_bytes(
+                identity, with_body
+            ) - _record_size_bytes(identity, finished)
+            if self._size_bytes + growth_bytes <= self.limit_bytes:
+                finished = with_body
+        self._replace(identity, finished)
 
     def release(self, identity, attempt):
         """Remove the claim if `attempt` holds it and it did not finish."""
-        held = self.records.get(identity)
-        if held is not None and held.attempt == attempt and not held.status:
+        stored = self.records.get(identity)
+        if (
+            stored is not None
+            and stored.attempt == attempt
+            and not stored.status
+        ):
             self._remove(identity)
 
-    def _check_room(self, identity, record):
+    def _check_space(self, identity, record):
         # A claim that fits while its finish does not would leave a request
         # that ran looking as if it might not have.
-        needed = self._size + _size(identity, record) + _FINISH_BYTES
+        needed = (
+            self._size_bytes
+            + _record_size_bytes(identity, record)
+            + _FINISH_RESERVE_BYTES
+        )
         if needed > self.limit_bytes:
             raise errors.OverloadedError(
                 'no room for another claim',
                 step='claim',
-                retry_after_s=self._wait_s,
+                retry_after_s=self._retry_after_s,
             )
 
     def _replace(self, identity, record):
         self._remove(identity)
         self.records[identity] = record
-        self._size += _size(identity, record) + _FINISH_BYTES
+        self._size_bytes += (
+            _record_size_bytes(identity, record) + _FINISH_RESERVE_BYTES
+        )
         self.changed = True
 
     def _remove(self, identity):
         record = self.records.pop(identity, None)
         if record is not None:
-            self._size -= _size(identity, record) + _FINISH_BYTES
+            self._size_bytes -= (
+                _record_size_bytes(identity, record) + _FINISH_RESERVE_BYTES
+            )
             self.changed = True
--- a/catkinshunt/claims/_ledger.py
+++ b/catkinshunt/claims/_ledger.py
@@ -18,7 +18,7 @@
 
 #: Tries at one write before its claims are refused; each try after the
 #: first follows a conflict or a lost answer.
-MAX_TRIES = 8
+MAX_WRITE_ATTEMPTS = 8
 
 
 class Ledger(base.BaseLedger):
@@ -38,7 +38,7 @@
         body_limit_bytes: largest answer that is kept.
         shard_limit_bytes: largest document.
         commit_timeout_s: how long a claim may wait to be written.
-        finish_gather_s: how long an outcome waits for claims to ride with.
+        finish_delay_s: how long an outcome waits for claims to ride with.
         writes_per_s: most writes a second of this process.
         committers: threads that write.
         outage_pause_s: time without calls after one that failed.
@@ -54,7 +54,7 @@
         body_limit_bytes=1024,
         shard_limit_bytes=256 * 1024,
         commit_timeout_s=2.0,
-        finish_gather_s=1.0,
+        finish_delay_s=1.0,
         writes_per_s=100,
         committers=4,
         outage_pause_s=0.5,
@@ -67,17 +67,17 @@
         self.body_limit_bytes = body_limit_bytes
         self.shard_limit_bytes = shard_limit_bytes
         self.commit_timeout_s = commit_timeout_s
-        self.finish_gather_s = finish_gather_s
+        self.finish_delay_s = finish_delay_s
         self.writes_per_s = writes_per_s
         self.committers = committers
         self.outage_pause_s = outage_pause_s
         self._lock = threading.Lock()
         self._schedule = None
         self._pool = None
-        self._layout = None
-        self._closed_until = 0.0
+        self._shard_count = None
+        self._outage_until = 0.0
         self._stopping = False
-        self._entries = {}
+        self._cached_entries = {}
 
     def start(self):
         """Check the parameters and start the committing threads."""
@@ -90,7 +90,7 @@
             self.committers, thread_name_prefix='claims'
         )
         for _ in range(self.committers):
-            self._pool.submit(self._commit_all)
+            self._pool.submit(self._run_committer)
         return self
 
     def stop(self):
@@ -108,55 +108,55 @@
 
     def claim(self, account, key, request_digest, attempt, now, deadline):
         """Ask to run a request; see `base.BaseLedger.claim`."""
-        self._check_open(now)
+        self._check_outage(now)
         if self._stopping:
             raise errors.LeavingError('this entry is stopping', step='claim')
-        identity = _document.identity_of(account, key)
+        identity = _document.compute_identity(account, key)
         record = _document.Record(attempt, request_digest, now, deadline)
         op = _batch.ClaimOp(identity, record, now)
         self._schedule.add_claim(self._shard_of(identity, now), op)
         try:
             return op.fut.result(min(self.commit_timeout_s, deadline - now))
         except futures.TimeoutError:
-            return self._give_up(op)
+            return self._cancel(op)
 
     def finish(self, claim, outcome, now):
         """Record an outcome; see `base.BaseLedger.finish`."""
         op = _batch.FinishOp(claim.identity, claim.attempt, outcome, now)
-        self._settle_later(op)
+        self._enqueue_completion(op)
 
     def release(self, claim, now):
         """Give back a claim; see `base.BaseLedger.release`."""
         op = _batch.ReleaseOp(claim.identity, claim.attempt, now)
-        self._settle_later(op)
+        self._enqueue_completion(op)
 
     def report(self):
         """Return counters for operators."""
         return {
-            'cached_shards': len(self._entries),
-            'pending': self._schedule.pending(),
+            'cached_shards': len(self._cached_entries),
+            'pending': self._schedule.count_pending_claims(),
         }
 
-    def _settle_later(self, op):
+    def _enqueue_completion(self, op):
         shard = self._shard_of(op.identity, op.now)
-        self._schedule.add_settled(shard, [op], self.finish_gather_s)
+        self._schedule.add_completions(shard, [op], self.finish_delay_s)
 
-    def _give_up(self, op):
+    def _cancel(self, op):
         # The write may be on its way and grant the claim after the caller
         # was told "not run". Cancelling decides the race: either the grant
         # came first and is used, or whoever writes finds the future
         # cancelled and takes the claim back out of the document.
         if op.fut.cancel():
-            raise self._refusal('the claim was not written in time')
+            raise self._make_error('the claim was not written in time')
         return op.fut.result()
 
-    def _check_open(self, now):
+    def _check_outage(self, now):
         # The upper bound keeps a clock that was set back from refusing all
         # claims until it has caught up.
-        if 0 < self._closed_until - now <= self.outage_pause_s:
-            raise self._refusal('the key-value service is not reached')
+        if 0 < self._outage_until - now <= self.outage_pause_s:
+            raise self._make_error('the key-value service is not reached')
 
-    def _refusal(self, message, cause=None):
+    def _make_error(self, message, cause=None):
         # An entry that died may have run an earlier try of the same key. Told
         # "not run", its caller would book again under a new key.
         return errors.RecordUnavailableError(
@@ -168,21 +168,21 @@
 
     def _shard_of(self, identity, now):
         with self._lock:
-            if self._layout is None:
-                self._check_open(now)
-                self._layout = self._read_layout(now)
-        number = zlib.crc32(identity.encode()) % self._layout
+            if self._shard_count is None:
+                self._check_outage(now)
+                self._shard_count = self._read_shard_count(now)
+        number = zlib.crc32(identity.encode()) % self._shard_count
         return f'{self.prefix}/{number}'
 
-    def _read_layout(self, now):
+    def _read_shard_count(self, now):
         # Entries that spread the same keys over different counts of shards
         # would each grant the same key. So the count that was written first
         # holds, and a change of the setting alone changes nothing.
         try:
-            for _ in range(MAX_TRIES):
+            for _ in range(MAX_WRITE_ATTEMPTS):
                 entry = self.store.get(f'{self.prefix}/layout')
                 if entry is not None:
-                    return self._decode_layout(entry.value)
+                    return self._decode_shard_count(entry.value)
                 value = json.dumps({'shards': self.shards}).encode()
                 try:
                     self.store.put(
@@ -192,11 +192,11 @@
                     continue
                 return self.shards
         except errors.StoreError as exc:
-            self._closed_until = now + self.outage_pause_s
-            raise self._refusal(str(exc), exc) from exc
-        raise self._refusal('the layout of the claims was not read')
+            self._outage_until = now + self.outage_pause_s
+            raise self._make_error(str(exc), exc) from exc
+        raise self._make_error('the layout of the claims was not read')
 
-    def _decode_layout(self, value):
+    def _decode_shard_count(self, value):
         try:
             count = json.loads(value)['shards']
             checks.check_positive(count, 'shards')
@@ -212,31 +212,31 @@
             )
         return count
 
-    def _commit_all(self):
+    def _run_committer(self):
         while True:
-            taken = self._schedule.take()
-            if taken is None:
+            item = self._schedule.take_batch()
+            if item is None:
                 return
-            shard, batch = taken
+            shard, batch = item
             try:
                 self._commit(shard, batch)
             except Exception as exc:
                 _LOG.exception('Writing {} failed.', shard)
                 self._fail(shard, batch, exc)
             finally:
-                self._schedule.done(shard)
+                self._schedule.unlock(shard)
 
     def _commit(self, shard, batch):
-        entry = self._entries.pop(shard, None)
-        fresh = False
-        for _ in range(MAX_TRIES):
+        entry = self._cached_entries.pop(shard, None)
+        from_store = False
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
-                batch.drop_given_up()
+                batch.drop_cancelled()
                 if not batch:
                     return
                 if entry is None:
                     entry = self.store.get(shard) or kvstore.Entry(None, 0)
-                    fresh = True
+                    from_store = True
                 written = self._write(shard, batch, entry)
             except (errors.ConflictError, errors.StoreUnknownError):
                 # Another entry wrote, or the answer to our write was lost.
@@ -244,19 +244,19 @@
                 # granted, and one not found is written again. A write still
                 # on its way then meets another revision or is found later.
                 entry = None
-                self._schedule.charge()
+                self._schedule.count_retry()
                 continue
             except errors.StoreError as exc:
-                self._closed_until = batch.now + self.outage_pause_s
+                self._outage_until = batch.now + self.outage_pause_s
                 self._fail(shard, batch, exc)
                 return
-            if written is None and not fresh:
+            if written is None and not from_store:
                 # A claim held by another attempt may have been finished or
                 # released since the document was kept here.
                 entry = None
                 continue
-            self._entries[shard] = written or entry
-            self._settle(shard, batch)
+            self._cached_entries[shard] = written or entry
+            self._complete(shard, batch)
             return
         self._fail(shard, batch, None)
 
@@ -269,29 +269,33 @@
             return None
         value = document.encode()
         for op in batch.claim_ops:
-            op.written = True
+            op.maybe_written = True
         revision = self.store.put(shard, value, entry.revision)
         return kvstore.Entry(value, revision)
 
-    def _settle(self, shard, batch):
-        undos = [op.undo() for op in batch.claim_ops if not op.settle()]
-        if undos:
-            self._schedule.add_settled(shard, undos, 0.0)
+    def _complete(self, shard, batch):
+        releases = [
+            op.make_release() for op in batch.claim_ops if not op.complete()
+        ]
+        if releases:
+            self._schedule.add_completions(shard, releases, 0.0)
 
     def _fail(self, shard, batch, cause):
         """Refuse the claims; keep what has to be written all the same."""
         _LOG.warning('Shard {} not written: {}.', shard, cause)
-        refusal = self._refusal('the claim could not be written', cause)
-        kept = list(batch.settled_ops)
+        error = self._make_error('the claim could not be written', cause)
+        requeued = list(batch.completion_ops)
         for op in batch.claim_ops:
-            op.fail(refusal)
-            if op.written:
+            op.fail(error)
+            if op.maybe_written:
                 # The write may have taken effect, or may yet: the claim is
                 # taken out again, or the caller's repeat would be told that
                 # a request is in progress which never ran.
-                kept.append(op.undo())
+                requeued.append(op.make_release())
         if self._stopping:
-            for op in self._schedule.abandon():
-                op.fail(refusal)
-        elif kept:
-            self._schedule.add_settled(shard, kept, self.outage_pause_s)
+            for op in self._schedule.discard_pending():
+                op.fail(error)
+        elif requeued:
+            self._schedule.add_completions(
+                shard, requeued, self.outage_pause_s
+            )
--- a/catkinshunt/claims/_schedule.py
+++ b/catkinshunt/claims/_schedule.py
@@ -20,52 +20,60 @@
     def __init__(self, writes_per_s):
         self.writes_per_s = writes_per_s
         self._cond = threading.Condition()
-        self._due = {}
+        self._due_times = {}
         self._batches = {}
-        self._busy = set()
-        self._next_write = 0.0
+        self._locked_shards = set()
+        self._next_write_at = 0.0
         self._closed = False
 
     def add_claim(self, shard, op):
         """Queue a claim; its shard is due at once."""
         with self._cond:
             self._batch(shard).claim_ops.append(op)
-            self._hasten(shard, 0.0)
+            self._set_due(shard, 0.0)
 
-    def add_settled(self, shard, ops, delay_s):
+    def add_completions(self, shard, ops, delay_s):
         """Queue finishes or releases; they wait for claims to ride with."""
         with self._cond:
-            self._batch(shard).settled_ops.extend(ops)
-            self._hasten(shard, delay_s)
+            self._batch(shard).completion_ops.extend(ops)
+            self._set_due(shard, delay_s)
 
-    def take(self):
+    def take_batch(self):
         """Wait for the next due shard; returns it and its batch.
 
         Returns None once the schedule is closed and nothing is pending.
         """
         with self._cond:
             while True:
-                if self._closed and not self._due and not self._busy:
+                if (
+                    self._closed
+                    and not self._due_times
+                    and not self._locked_shards
+                ):
                     return None
                 now = time.monotonic()
-                shard = min(self._free(), key=self._due.get, default=None)
+                shard = min(
+                    self._unlocked_shards(),
+                    key=self._due_times.get,
+                    default=None,
+                )
                 wait_s = self._wait_s(shard, now)
                 if shard is not None and wait_s <= 0:
-                    return self._hand_out(shard, now)
+                    return self._lock_batch(shard, now)
                 self._cond.wait(wait_s)
 
-    def charge(self):
+    def count_retry(self):
         """Count a write that is tried again against the rate."""
         with self._cond:
-            self._next_write += 1 / self.writes_per_s
+            self._next_write_at += 1 / self.writes_per_s
 
-    def done(self, shard):
+    def unlock(self, shard):
         """Let `shard` be written again."""
         with self._cond:
-            self._busy.discard(shard)
+            self._locked_shards.discard(shard)
             self._cond.notify_all()
 
-    def pending(self):
+    def count_pending_claims(self):
         """Return how many claims wait for their shard's next write."""
         with self._cond:
             return sum(
@@ -73,41 +81,45 @@
             )
 
     def close(self):
-        """Make all pending shards due and end `take` after the last."""
+        """Make all pending shards due and end `take_batch` after the last."""
         with self._cond:
             self._closed = True
-            self._due = dict.fromkeys(self._due, 0.0)
+            self._due_times = dict.fromkeys(self._due_times, 0.0)
             self._cond.notify_all()
 
-    def abandon(self):
+    def discard_pending(self):
         """Forget everything pending; returns the claims among it."""
         with self._cond:
             batches = list(self._batches.values())
             self._batches.clear()
-            self._due.clear()
+            self._due_times.clear()
             self._cond.notify_all()
         return [op for batch in batches for op in batch.claim_ops]
 
     def _batch(self, shard):
         return self._batches.setdefault(shard, _batch.Batch())
 
-    def _hasten(self, shard, delay_s):
+    def _set_due(self, shard, delay_s):
         delay_s = 0.0 if self._closed else delay_s
         due = time.monotonic() + delay_s
-        self._due[shard] = min(due, self._due.get(shard, due))
+        self._due_times[shard] = min(due, self._due_times.get(shard, due))
         self._cond.notify()
 
-    def _free(self):
-        return [shard for shard in self._due if shard not in self._busy]
+    def _unlocked_shards(self):
+        return [
+            shard
+            for shard in self._due_times
+            if shard not in self._locked_shards
+        ]
 
     def _wait_s(self, shard, now):
         if shard is None:
             return None
-        return max(self._due[shard], self._next_write) - now
+        return max(self._due_times[shard], self._next_write_at) - now
 
-    def _hand_out(self, shard, now):
-        del self._due[shard]
-        self._busy.add(shard)
-        self._next_write = max(now, self._next_write)
-        self._next_write += 1 / self.writes_per_s
+    def _lock_batch(self, shard, now):
+        del self._due_times[shard]
+        self._locked_shards.add(shard)
+        self._next_write_at = max(now, self._next_write_at)
+        self._next_write_at += 1 / self.writes_per_s
         return shard, self._batches.pop(shard)
--- a/catkinshunt/claims/tests/fakes.py
+++ b/catkinshunt/claims/tests/fakes.py
@@ -15,7 +15,7 @@
         lose_answers: coming writes whose answer is lost after they took
             effect.
         delayed: coming writes that are put in `in_flight` instead, while
-            the caller's answer is lost; `land` lets them take effect.
+            the caller's answer is lost; `apply_in_flight` applies them.
         calls: number of calls by kind.
     """
 
@@ -48,18 +48,18 @@
                 raise errors.StoreUnknownError('answer lost')
             return revision
 
-    def land(self):
+    def apply_in_flight(self):
         """Let the delayed writes arrive; returns how many took effect."""
-        landed = 0
+        applied = 0
         with self._lock:
             for write in self.in_flight:
                 try:
                     self._swap(*write)
-                    landed += 1
+                    applied += 1
                 except errors.ConflictError:
                     pass
             self.in_flight.clear()
-        return landed
+        return applied
 
     def _check(self, kind):
         self.calls[kind] += 1
@@ -67,11 +67,11 @@
             raise errors.StoreUnavailableError('down', peer='store')
 
     def _swap(self, key, value, expected_revision):
-        held = self._entries.get(key, base.Entry(b'', 0))
-        if held.revision != expected_revision:
-            raise errors.ConflictError(f'{key} is at {held.revision}')
-        self._entries[key] = base.Entry(value, held.revision + 1)
-        return held.revision + 1
+        stored = self._entries.get(key, base.Entry(b'', 0))
+        if stored.revision != expected_revision:
+            raise errors.ConflictError(f'{key} is at {stored.revision}')
+        self._entries[key] = base.Entry(value, stored.revision + 1)
+        return stored.revision + 1
 
     def delete(self, key, expected_revision):
         """Not used by the ledger."""
--- a/catkinshunt/claims/tests/test_ledger.py
+++ b/catkinshunt/claims/tests/test_ledger.py
@@ -17,7 +17,7 @@
 def make_ledger(store, **params):
     params = {
         'shards': 1,
-        'finish_gather_s': 0.001,
+        'finish_delay_s': 0.001,
         'outage_pause_s': 0.01,
         'writes_per_s': 10000,
         'committers': 1,
@@ -26,15 +26,17 @@
     return claims.Ledger(store, **params)
 
 
-def ask(ledger, attempt, key='k', digest='d', now=NOW, deadline=DEADLINE):
+def try_claim(
+    ledger, attempt, key='k', digest='d', now=NOW, deadline=DEADLINE
+):
     return ledger.claim('acme', key, digest, attempt, now, deadline)
 
 
-def ask_until(ledger, attempt, wanted, now=NOW):
+def claim_until(ledger, attempt, wanted, now=NOW):
     """Ask again, as a caller would, until the state is `wanted`."""
     for number in range(500):
         try:
-            claim = ask(ledger, f'{attempt}-{number}', now=now)
+            claim = try_claim(ledger, f'{attempt}-{number}', now=now)
         except errors.RefusedError:
             now += 0.1
             threading.Event().wait(0.01)
@@ -53,12 +55,12 @@
     store = fakes.FakeStore()
     with make_ledger(store) as first, make_ledger(store) as second:
         with futures.ThreadPoolExecutor(16) as pool:
-            asked = [
-                pool.submit(ask, ledger, f'{name}{number}')
+            futs = [
+                pool.submit(try_claim, ledger, f'{name}{number}')
                 for number in range(8)
                 for name, ledger in (('x', first), ('y', second))
             ]
-        states = [fut.result().state for fut in asked]
+        states = [fut.result().state for fut in futs]
     assert states.count(claims.State.GRANTED) == 1
     assert states.count(claims.State.IN_PROGRESS) == 15
 
@@ -66,9 +68,9 @@
 def test_repeat_gets_the_kept_answer_at_another_entry():
     store = fakes.FakeStore()
     with make_ledger(store) as first:
-        first.finish(ask(first, 'a1'), OUTCOME, NOW)
+        first.finish(try_claim(first, 'a1'), OUTCOME, NOW)
     with make_ledger(store) as second:
-        claim = ask(second, 'a2', now=NOW + 60, deadline=NOW + 90)
+        claim = try_claim(second, 'a2', now=NOW + 60, deadline=NOW + 90)
     assert claim.state == claims.State.FINISHED
     assert claim.outcome == OUTCOME
 
@@ -77,8 +79,8 @@
     store = fakes.FakeStore()
     large = claims.Outcome(200, 'text/plain', b'x' * 5000)
     with make_ledger(store) as ledger:
-        ledger.finish(ask(ledger, 'a1'), large, NOW)
-        claim = ask_until(ledger, 'a2', claims.State.FINISHED)
+        ledger.finish(try_claim(ledger, 'a1'), large, NOW)
+        claim = claim_until(ledger, 'a2', claims.State.FINISHED)
     assert claim.outcome == claims.Outcome(200)
 
 
@@ -97,29 +99,29 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store) as first:
-        ask(first, 'a1')
+        try_claim(first, 'a1')
     with make_ledger(store) as second:
-        claim = ask(second, 'a2', 'k', digest, now, now + 30)
+        claim = try_claim(second, 'a2', 'k', digest, now, now + 30)
     assert claim.state == state
 
 
 def test_released_claim_is_granted_again():
     with make_ledger(fakes.FakeStore()) as ledger:
-        ledger.release(ask(ledger, 'a1'), NOW)
-        ask_until(ledger, 'a2', claims.State.GRANTED)
+        ledger.release(try_claim(ledger, 'a1'), NOW)
+        claim_until(ledger, 'a2', claims.State.GRANTED)
 
 
 def test_release_of_another_attempt_changes_nothing():
     """A paused entry comes back and gives up a claim it no longer holds."""
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
-        stale = ask(ledger, 'a1')
+        stale = try_claim(ledger, 'a1')
         ledger.release(stale, NOW)
-        held = ask_until(ledger, 'a2', claims.State.GRANTED)
+        held = claim_until(ledger, 'a2', claims.State.GRANTED)
         ledger.release(stale, NOW)
         ledger.finish(stale, claims.Outcome(500), NOW)
         ledger.finish(held, OUTCOME, NOW)
-        done = ask_until(ledger, 'a3', claims.State.FINISHED)
+        done = claim_until(ledger, 'a3', claims.State.FINISHED)
     assert done.outcome == OUTCOME
 
 
@@ -131,9 +133,9 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
-        ask(ledger, 'warm', key='other')
+        try_claim(ledger, 'warm', key='other')
         store.lose_answers = 1
-        assert ask(ledger, 'a1').state == claims.State.GRANTED
+        assert try_claim(ledger, 'a1').state == claims.State.GRANTED
     assert store.calls['put'] == 3  # Layout, other key, this key.
 
 
@@ -145,7 +147,7 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
-        ask(ledger, 'warm', key='other')
+        try_claim(ledger, 'warm', key='other')
         real_get = store.get
 
         def get(key):
@@ -155,29 +157,29 @@
         store.delayed = 1
         store.get = get
         with pytest.raises(errors.RefusedError) as caught:
-            ask(ledger, 'a1')
+            try_claim(ledger, 'a1')
         assert caught.value.ran == 'unknown'
         store.get = real_get
         store.down = False
-        assert store.land() == 1
-        ask_until(ledger, 'a2', claims.State.GRANTED, NOW + 1)
+        assert store.apply_in_flight() == 1
+        claim_until(ledger, 'a2', claims.State.GRANTED, NOW + 1)
 
 
 def test_write_still_on_its_way_cannot_land_after_it_was_taken_back():
     """As before, but the write arrives after the ledger looked for it."""
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
-        ask(ledger, 'warm', key='other')
+        try_claim(ledger, 'warm', key='other')
         store.delayed = 8  # All tries of the claim are stuck.
         with pytest.raises(errors.RefusedError):
-            ask(ledger, 'a1')
+            try_claim(ledger, 'a1')
         in_flight = list(store.in_flight)
         settled = store.calls['put'] + 1
         while store.calls['put'] < settled:
             threading.Event().wait(0.005)
         store.in_flight = in_flight
-        store.land()
-        ask_until(ledger, 'a2', claims.State.GRANTED, NOW + 1)
+        store.apply_in_flight()
+        claim_until(ledger, 'a2', claims.State.GRANTED, NOW + 1)
 
 
 def test_outage_refuses_at_once_and_says_when_to_come_back():
@@ -188,17 +190,17 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store, outage_pause_s=5.0) as ledger:
-        ask(ledger, 'warm', key='other')
+        try_claim(ledger, 'warm', key='other')
         store.down = True
         before = sum(store.calls.values())
         for number in range(20):
             with pytest.raises(errors.RefusedError) as caught:
-                ask(ledger, f'a{number}')
+                try_claim(ledger, f'a{number}')
             assert caught.value.ran == 'unknown'
             assert caught.value.retry_after_s == 5.0
         assert sum(store.calls.values()) - before == 1
         store.down = False
-        claim = ask(ledger, 'b', now=NOW + 6)
+        claim = try_claim(ledger, 'b', now=NOW + 6)
     assert claim.state == claims.State.GRANTED
 
 
@@ -210,11 +212,11 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store) as first, make_ledger(store) as second:
-        ask(second, 'warm', key='other')
-        assert ask(first, 'a').state == claims.State.GRANTED
+        try_claim(second, 'warm', key='other')
+        assert try_claim(first, 'a').state == claims.State.GRANTED
         store.down = True
         with pytest.raises(errors.RefusedError) as caught:
-            ask(second, 'b')
+            try_claim(second, 'b')
         assert caught.value.ran != 'no'
 
 
@@ -224,7 +226,7 @@
     gate = threading.Event()
     real_put = store.put
     with make_ledger(store, commit_timeout_s=0.05) as ledger:
-        ask(ledger, 'warm', key='other')
+        try_claim(ledger, 'warm', key='other')
 
         def put(*args, **kwargs):
             gate.wait(10)
@@ -232,10 +234,10 @@
 
         store.put = put
         with pytest.raises(errors.RefusedError):
-            ask(ledger, 'a1')
+            try_claim(ledger, 'a1')
         store.put = real_put
         gate.set()
-        ask_until(ledger, 'a2', claims.State.GRANTED)
+        claim_until(ledger, 'a2', claims.State.GRANTED)
 
 
 def test_outcome_is_written_after_an_outage():
@@ -245,14 +247,14 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
-        claim = ask(ledger, 'a1')
+        claim = try_claim(ledger, 'a1')
         store.down = True
         ledger.finish(claim, OUTCOME, NOW)
         failed = store.calls['put'] + store.calls['get'] + 2
         while store.calls['put'] + store.calls['get'] < failed:
             threading.Event().wait(0.005)
         store.down = False
-        again = ask_until(ledger, 'a2', claims.State.FINISHED, NOW + 1)
+        again = claim_until(ledger, 'a2', claims.State.FINISHED, NOW + 1)
     assert again.outcome == OUTCOME
 
 
@@ -263,14 +265,16 @@
         granted = []
         with pytest.raises(errors.OverloadedError) as caught:
             for number in range(100):
-                granted.append(ask(ledger, f'a{number}', key=f'k{number}'))
+                granted.append(
+                    try_claim(ledger, f'a{number}', key=f'k{number}')
+                )
         assert caught.value.retry_after_s > 0
         for claim in granted:
             ledger.finish(claim, OUTCOME, NOW)
-        repeat = ask(ledger, 'b', key='k0')
+        repeat = try_claim(ledger, 'b', key='k0')
         assert repeat.state != claims.State.GRANTED
         late = NOW + 601
-        fresh = ask(ledger, 'c', key='new', now=late, deadline=late + 30)
+        fresh = try_claim(ledger, 'c', key='new', now=late, deadline=late + 30)
         assert fresh.state == claims.State.GRANTED
     assert len(store.get('claims/0').value) <= 1000
 
@@ -292,12 +296,12 @@
     itself has been dropped by then.
     """
     with make_ledger(fakes.FakeStore()) as ledger:
-        claim = ask(ledger, 'a1')
+        claim = try_claim(ledger, 'a1')
         if finished:
             ledger.finish(claim, OUTCOME, NOW)
-        ask(ledger, 'b1', key='other', now=NOW + 605, deadline=NOW + 635)
+        try_claim(ledger, 'b1', key='other', now=NOW + 605, deadline=NOW + 635)
         now = NOW + after_s
-        repeat = ask(ledger, 'a2', now=now, deadline=now + 30)
+        repeat = try_claim(ledger, 'a2', now=now, deadline=now + 30)
     assert repeat.state == state
     assert repeat.outcome is None
 
@@ -309,9 +313,9 @@
     """
     store = fakes.FakeStore()
     with make_ledger(store, shards=4) as first:
-        granted = ask(first, 'a1')
+        granted = try_claim(first, 'a1')
     with make_ledger(store, shards=64) as second:
-        repeat = ask(second, 'a2')
+        repeat = try_claim(second, 'a2')
     assert granted.state == claims.State.GRANTED
     assert repeat.state == claims.State.IN_PROGRESS
 
@@ -328,7 +332,7 @@
     store.put('claims/0', value, 0)
     with make_ledger(store) as ledger:
         with pytest.raises(errors.RefusedError):
-            ask(ledger, 'a1')
+            try_claim(ledger, 'a1')
     assert store.get('claims/0').value == value
 
 
@@ -337,7 +341,7 @@
     gate = threading.Event()
     real_put = store.put
     with make_ledger(store) as ledger:
-        ask(ledger, 'warm', key='other')
+        try_claim(ledger, 'warm', key='other')
         before = store.calls['put']
 
         def put(*args, **kwargs):
@@ -346,13 +350,13 @@
 
         store.put = put
         with futures.ThreadPoolExecutor(64) as pool:
-            asked = [
-                pool.submit(ask, ledger, f'a{number}', key=f'k{number}')
+            futs = [
+                pool.submit(try_claim, ledger, f'a{number}', key=f'k{number}')
                 for number in range(64)
             ]
             while ledger.report()['pending'] < 60:
                 threading.Event().wait(0.005)
             gate.set()
-        states = {fut.result().state for fut in asked}
+        states = {fut.result().state for fut in futs}
     assert states == {claims.State.GRANTED}
     assert store.calls['put'] - before <= 5
