--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -557,7 +557,7 @@
     Mutation(
         'update-leads-to-its-digest',
         'catkinshunt/configuration/_updates.py',
-        'if (found.revision, found.digest) != (update.revision, '
+        'if (updated.revision, updated.digest) != (update.revision, '
         'update.digest):',
         'if False:',
     ),
--- a/catkinshunt/configuration/_configuration.py
+++ b/catkinshunt/configuration/_configuration.py
@@ -16,8 +16,8 @@
 #: Largest value that the key-value service takes.
 MAX_BYTES = 1_000_000
 #: Edits kept with the configuration, and the bytes that they may take.
-KEPT_EDITS = 64
-KEPT_EDIT_BYTES = 64 * 1024
+MAX_EDITS = 64
+MAX_EDIT_BYTES = 64 * 1024
 COMPRESSION_LEVEL = 6
 
 
@@ -40,7 +40,7 @@
         return f'Configuration(revision={self.revision})'
 
     @classmethod
-    def from_bytes(cls, value, known=None):
+    def from_bytes(cls, value, previous=None):
         """Read the document as it is kept in the key-value service.
 
         Args:
@@ -56,15 +56,17 @@
             document = checks.load_json(value)
             items = document['rules']
             edits = document.get('edits', ())
-            found = cls(
+            decoded = cls(
                 checks.check_count(document['revision'], 'revision'),
                 edits=tuple(_edits.Edit.from_document(item) for item in edits),
             )
-            replayed = known and known._replayed_to(found, value)
+            replayed = previous and previous._replay_to(decoded, value)
             if replayed is not None:
                 return replayed
-            held = (_edits.EncodedRule.from_document(item) for item in items)
-            return attrs.evolve(found, encoded_rules=tuple(held))
+            encoded_rules = (
+                _edits.EncodedRule.from_document(item) for item in items
+            )
+            return attrs.evolve(decoded, encoded_rules=tuple(encoded_rules))
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             raise errors.RuleError(
                 f'not a configuration: {exc!r}', step='read-configuration'
@@ -78,8 +80,8 @@
     @functools.cached_property
     def document(self):
         """The document as bytes; equal configurations give equal bytes."""
-        edits = b','.join(edit.line for edit in self.edits)
-        lines = b','.join(item.line for item in self.encoded_rules)
+        edits = b','.join(edit.encoded for edit in self.edits)
+        lines = b','.join(item.encoded for item in self.encoded_rules)
         return b'{"edits":[%b],"revision":%d,"rules":[%b]}' % (
             edits,
             self.revision,
@@ -116,19 +118,19 @@
                 f'edit {edit.revision} does not follow {self.revision}',
                 step='replay',
             )
-        held = list(self.encoded_rules)
+        encoded_rules = list(self.encoded_rules)
         for operation in edit.operations:
-            operation.apply(held)
-        edits = _last_edits((*self.edits, edit))
-        return Configuration(edit.revision, tuple(held), edits)
+            operation.apply(encoded_rules)
+        edits = _trim_edits((*self.edits, edit))
+        return Configuration(edit.revision, tuple(encoded_rules), edits)
 
-    def _replayed_to(self, found, document):
-        """Return this configuration after the edits of `found`.
+    def _replay_to(self, decoded, document):
+        """Return this configuration after the edits of `decoded`.
 
         None is returned where these do not lead to `document`, byte for
         byte; then the whole of it has to be read.
         """
-        edits = found.edits_after(self.revision)
+        edits = decoded.edits_after(self.revision)
         if not edits:
             return None
         try:
@@ -154,10 +156,10 @@
 
     def edits_after(self, revision):
         """Return the edits after `revision`, or None if some are not kept."""
-        found = tuple(e for e in self.edits if e.revision > revision)
-        if len(found) != max(0, self.revision - revision):
+        edits = tuple(e for e in self.edits if e.revision > revision)
+        if len(edits) != max(0, self.revision - revision):
             return None
-        return found
+        return edits
 
     def find_edit(self, edit_id):
         """Return the kept `Edit` with `edit_id`, or None."""
@@ -171,11 +173,11 @@
 EMPTY = Configuration()
 
 
-def _last_edits(edits):
+def _trim_edits(edits):
     """Drop the oldest edits until the rest is within its bounds."""
-    kept = edits[-KEPT_EDITS:]
-    size = sum(len(edit.line) for edit in kept)
-    while size > KEPT_EDIT_BYTES and len(kept) > 1:
-        size -= len(kept[0].line)
+    kept = edits[-MAX_EDITS:]
+    size = sum(len(edit.encoded) for edit in kept)
+    while size > MAX_EDIT_BYTES and len(kept) > 1:
+        size -= len(kept[0].encoded)
         kept = kept[1:]
     return kept
--- a/catkinshunt/configuration/_differences.py
+++ b/catkinshunt/configuration/_differences.py
@@ -44,10 +44,10 @@
         >>> describe_differences(load('/a', '/b'), load('/b', '/c'))
         ("retired '/a'", "added '/c' at 1")
     """
-    steps = _edits.plan(_hold(before), _hold(after))
+    steps = _edits.plan_operations(_encode_rules(before), _encode_rules(after))
     return tuple(step.describe() for step in steps)
 
 
-def _hold(rule_set):
+def _encode_rules(rule_set):
     documents = rules.dump_rule_set(rule_set)['rules']
     return [_edits.EncodedRule.from_document(item) for item in documents]
--- a/catkinshunt/configuration/_editor.py
+++ b/catkinshunt/configuration/_editor.py
@@ -68,10 +68,10 @@
         """
 
         def steps(current):
-            place = (
+            index = (
                 len(current.encoded_rules) if position is None else position
             )
-            return (_edits.Add(rule, place),)
+            return (_edits.Add(rule, index),)
 
         return self._edit(steps, expected_revision, dry_run)
 
@@ -98,14 +98,14 @@
         def steps(current):
             items = rules.dump_rule_set(rule_set)['rules']
             wanted = [_edits.EncodedRule.from_document(item) for item in items]
-            return _edits.plan(current.encoded_rules, wanted)
+            return _edits.plan_operations(current.encoded_rules, wanted)
 
         return self._edit(steps, expected_revision, dry_run)
 
     def _edit(self, make_steps, expected_revision, dry_run):
-        current, stored = self._read()
+        current, store_revision = self._read()
         if expected_revision not in (None, current.revision):
-            raise _conflict(expected_revision, current)
+            raise _conflict_error(expected_revision, current)
         steps = make_steps(current)
         if not steps:
             return current
@@ -113,7 +113,7 @@
         edited.check(self.services)
         if dry_run:
             return edited
-        accepted = self._write(current, edited, stored)
+        accepted = self._write(current, edited, store_revision)
         if self.announce is not None:
             self.announce(accepted)
         return accepted
@@ -125,7 +125,7 @@
         current = _configuration.Configuration.from_bytes(entry.value)
         return current, entry.revision
 
-    def _write(self, before, edited, stored):
+    def _write(self, before, edited, store_revision):
         """Write until it is known whether `edited` was accepted.
 
         An answer can be lost after its write took effect, and the write can
@@ -133,28 +133,30 @@
         is safe: the service lets only one such write through. Which one won
         is told by the edit's id in what is read back.
         """
-        in_doubt = False
+        outcome_unknown = False
         for attempt in range(self.tries):
             if attempt:
                 threading.Event().wait(self.pause_s)
             try:
-                self.store.put(_configuration.KEY, edited.document, stored)
+                self.store.put(
+                    _configuration.KEY, edited.document, store_revision
+                )
                 return edited
             except errors.ConflictError:
-                found = self._settle(before, edited, in_doubt)
+                result = self._resolve(before, edited, outcome_unknown)
             except errors.StoreUnknownError as exc:
-                in_doubt = True
+                outcome_unknown = True
                 _log.warning('Answer to edit lost: {}', exc)
-                found = self._settle(before, edited, in_doubt)
+                result = self._resolve(before, edited, outcome_unknown)
             except errors.StoreUnavailableError:
-                if not in_doubt:
+                if not outcome_unknown:
                     raise
-                found = None
-            if found is not None:
-                return found
-        raise _unknown(edited)
+                result = None
+            if result is not None:
+                return result
+        raise _unknown_outcome_error(edited)
 
-    def _settle(self, before, edited, in_doubt):
+    def _resolve(self, before, edited, outcome_unknown):
         """Return `edited` if it was accepted, None if that is still open.
 
         Raises:
@@ -171,12 +173,12 @@
             return None
         # Where the edits since then are not all kept, ours may be among
         # those dropped.
-        if in_doubt and current.edits_after(before.revision) is None:
-            raise _unknown(edited)
-        raise _conflict(before.revision, current)
+        if outcome_unknown and current.edits_after(before.revision) is None:
+            raise _unknown_outcome_error(edited)
+        raise _conflict_error(before.revision, current)
 
 
-def _conflict(expected_revision, current):
+def _conflict_error(expected_revision, current):
     edits = current.edits_after(expected_revision)
     if current.revision < expected_revision:
         changes = ()
@@ -196,7 +198,7 @@
     )
 
 
-def _unknown(edited):
+def _unknown_outcome_error(edited):
     edit_id = edited.edits[-1].edit_id
     return errors.StoreUnknownError(
         f'it is not known whether the edit was accepted; look for edit '
--- a/catkinshunt/configuration/_edits.py
+++ b/catkinshunt/configuration/_edits.py
@@ -22,7 +22,7 @@
     """A rule with its canonical JSON, so that neither is made twice."""
 
     rule: rules.Rule
-    line: bytes
+    encoded: bytes
 
     @classmethod
     def from_document(cls, document):
@@ -38,8 +38,8 @@
     keyword = ''
 
     @abc.abstractmethod
-    def apply(self, held):
-        """Apply the step in place to `held`, a list of `EncodedRule`."""
+    def apply(self, encoded_rules):
+        """Apply the step in place to a list of `EncodedRule`."""
 
     @abc.abstractmethod
     def describe(self):
@@ -60,13 +60,13 @@
     rule: dict
     position: int
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
         new = EncodedRule.from_document(self.rule)
-        if _names(held).count(new.rule.name):
-            _fail(f'rule {new.rule.name!r} exists already')
-        _check_position(self.position, len(held))
-        held.insert(self.position, new)
+        if _rule_names(encoded_rules).count(new.rule.name):
+            _raise_rule_error(f'rule {new.rule.name!r} exists already')
+        _check_position(self.position, len(encoded_rules))
+        encoded_rules.insert(self.position, new)
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -81,10 +81,10 @@
 
     rule: dict
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
         new = EncodedRule.from_document(self.rule)
-        held[_find(held, new.rule.name)] = new
+        encoded_rules[_find_position(encoded_rules, new.rule.name)] = new
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -100,11 +100,11 @@
     name: str
     position: int
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
-        moved = held.pop(_find(held, self.name))
-        _check_position(self.position, len(held))
-        held.insert(self.position, moved)
+        moved = encoded_rules.pop(_find_position(encoded_rules, self.name))
+        _check_position(self.position, len(encoded_rules))
+        encoded_rules.insert(self.position, moved)
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -119,9 +119,9 @@
 
     name: str
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
-        del held[_find(held, self.name)]
+        del encoded_rules[_find_position(encoded_rules, self.name)]
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -174,7 +174,7 @@
         }
 
     @functools.cached_property
-    def line(self):
+    def encoded(self):
         """The edit as canonical JSON bytes."""
         return encode(self.to_document())
 
@@ -184,7 +184,7 @@
         return f'revision {self.revision} {steps}'
 
 
-def plan(current, wanted):
+def plan_operations(current, wanted):
     """Return the operations that lead from one list of rules to another.
 
     Args:
@@ -195,45 +195,47 @@
         A tuple of operations; empty where the lists are equal.
     """
     steps = []
-    names = set(_names(wanted))
-    for held in current:
-        if held.rule.name not in names:
-            steps.append(Retire(held.rule.name))
-    lines = {held.rule.name: held.line for held in current}
-    for held in wanted:
-        known = lines.get(held.rule.name)
-        if known is not None and known != held.line:
-            steps.append(Replace(rules.dump_rule(held.rule)))
-    order = [held.rule.name for held in current if held.rule.name in names]
-    for position, held in enumerate(wanted):
-        name = held.rule.name
+    names = set(_rule_names(wanted))
+    for item in current:
+        if item.rule.name not in names:
+            steps.append(Retire(item.rule.name))
+    encoded_by_name = {item.rule.name: item.encoded for item in current}
+    for item in wanted:
+        known = encoded_by_name.get(item.rule.name)
+        if known is not None and known != item.encoded:
+            steps.append(Replace(rules.dump_rule(item.rule)))
+    order = [item.rule.name for item in current if item.rule.name in names]
+    for position, item in enumerate(wanted):
+        name = item.rule.name
         if position < len(order) and order[position] == name:
             continue
-        if name in lines:
+        if name in encoded_by_name:
             order.remove(name)
             steps.append(Move(name, position))
         else:
-            steps.append(Add(rules.dump_rule(held.rule), position))
+            steps.append(Add(rules.dump_rule(item.rule), position))
         order.insert(position, name)
     return tuple(steps)
 
 
-def _names(held):
-    return [item.rule.name for item in held]
+def _rule_names(encoded_rules):
+    return [item.rule.name for item in encoded_rules]
 
 
-def _find(held, name):
-    for position, item in enumerate(held):
+def _find_position(encoded_rules, name):
+    for position, item in enumerate(encoded_rules):
         if item.rule.name == name:
             return position
-    return _fail(f'there is no rule {name!r}')
+    return _raise_rule_error(f'there is no rule {name!r}')
 
 
 def _check_position(position, last):
     wrong = isinstance(position, bool) or not isinstance(position, int)
     if wrong or not 0 <= position <= last:
-        _fail(f'position must be from 0 to {last}, got {position!r}')
+        _raise_rule_error(
+            f'position must be from 0 to {last}, got {position!r}'
+        )
 
 
-def _fail(text):
+def _raise_rule_error(text):
     raise errors.RuleError(text, step='edit-rules')
--- a/catkinshunt/configuration/_replica.py
+++ b/catkinshunt/configuration/_replica.py
@@ -8,7 +8,7 @@
 from catkinshunt import logs
 
 #: Longest revision that is believed.
-MAX_DIGITS = 15
+MAX_REVISION_DIGITS = 15
 _log = logs.get_logger('configuration')
 
 
@@ -32,11 +32,11 @@
     def __init__(self):
         self._current = _configuration.EMPTY
         self._since = None
-        self._callbacks = []
-        self._listeners = []
+        self._subscribers = []
+        self._newer_callbacks = []
         self._changed = threading.Condition()
-        self._telling = threading.Lock()
-        self._told = 0
+        self._notify_lock = threading.Lock()
+        self._notified_revision = 0
 
     @property
     def current(self):
@@ -59,8 +59,8 @@
 
     def apply_update(self, update, now):
         """See `base.BaseReplica.apply_update`."""
-        found = _updates.apply_update(self._current, update)
-        return self.offer(found, now)
+        updated = _updates.apply_update(self._current, update)
+        return self.offer(updated, now)
 
     def offer(self, configuration, now):
         """Put `configuration` in force if its revision is higher.
@@ -75,7 +75,7 @@
             self._since = now
             self._changed.notify_all()
         _log.info('Revision {} is in force.', configuration.revision)
-        self._tell()
+        self._notify_subscribers()
         return True
 
     def subscribe(self, callback):
@@ -85,12 +85,12 @@
         fast, those in between are left out.
         """
         with self._changed:
-            self._callbacks.append(callback)
+            self._subscribers.append(callback)
 
     def on_newer_revision(self, callback):
         """Call ``callback(revision, now)`` where others have a newer one."""
         with self._changed:
-            self._listeners.append(callback)
+            self._newer_callbacks.append(callback)
 
     def observe_revision(self, text, now):
         """Note the revision that a message of another process carries.
@@ -101,9 +101,9 @@
         """
         if not text or not text.isascii() or not text.isdigit():
             return
-        if len(text) > MAX_DIGITS or int(text) <= self.revision:
+        if len(text) > MAX_REVISION_DIGITS or int(text) <= self.revision:
             return
-        for callback in tuple(self._listeners):
+        for callback in tuple(self._newer_callbacks):
             callback(int(text), now)
 
     def wait(self, after_revision, timeout_s):
@@ -114,15 +114,15 @@
             )
             return self._current
 
-    def _tell(self):
+    def _notify_subscribers(self):
         # Two threads may offer at a time. Without the lock a callback could
         # see the newer revision first and the older one last, and act on it.
-        with self._telling:
+        with self._notify_lock:
             with self._changed:
                 current = self._current
-                callbacks = tuple(self._callbacks)
-            if current.revision <= self._told:
+                callbacks = tuple(self._subscribers)
+            if current.revision <= self._notified_revision:
                 return
-            self._told = current.revision
+            self._notified_revision = current.revision
             for callback in callbacks:
                 callback(current)
--- a/catkinshunt/configuration/_source.py
+++ b/catkinshunt/configuration/_source.py
@@ -25,24 +25,24 @@
     def __init__(self, store, config_replica):
         self.store = store
         self.config_replica = config_replica
-        self._seen = 0
+        self._seen_revision = 0
 
     def fetch(self, wait_s):
         """See `base.BaseSource.fetch`."""
         key = _configuration.KEY
         if wait_s > 0:
-            entry = self.store.watch(key, self._seen, wait_s)
+            entry = self.store.watch(key, self._seen_revision, wait_s)
         else:
             entry = self.store.get(key)
-        if entry is None or entry.revision == self._seen:
+        if entry is None or entry.revision == self._seen_revision:
             return
-        self._seen = entry.revision
+        self._seen_revision = entry.revision
         try:
-            found = _configuration.Configuration.from_bytes(
-                entry.value, known=self.config_replica.current
+            decoded = _configuration.Configuration.from_bytes(
+                entry.value, previous=self.config_replica.current
             )
         except errors.RuleError as exc:
             # Somebody wrote past the editor. The rules in force stay.
             _log.error('Stored configuration is not usable: {}', exc)
             return
-        self.config_replica.offer(found, time.monotonic())
+        self.config_replica.offer(decoded, time.monotonic())
--- a/catkinshunt/configuration/_updates.py
+++ b/catkinshunt/configuration/_updates.py
@@ -11,7 +11,7 @@
 #: Name of the document among those that processes hand on.
 TOPIC = 'configuration'
 #: Documents of rules deflate to no less than this part of their size.
-SURELY_SMALLER = 25
+MAX_COMPRESSION_RATIO = 25
 #: Guards against a small message that unfolds into a huge document.
 MAX_DOCUMENT_BYTES = 2 * _configuration.MAX_BYTES
 
@@ -28,11 +28,11 @@
     if after_revision > 0:
         edits = configuration.edits_after(after_revision)
     if edits is not None:
-        lines = tuple(edit.line for edit in edits)
+        lines = tuple(edit.encoded for edit in edits)
         # Deflating is left out where edits are sure to be smaller; a
         # document of 1,000 rules takes 10 ms, and every process hands on.
         size = sum(map(len, lines))
-        small = SURELY_SMALLER * size <= len(configuration.document)
+        small = MAX_COMPRESSION_RATIO * size <= len(configuration.document)
         if small or size <= len(configuration.deflated):
             return base.Update(
                 TOPIC,
@@ -41,11 +41,11 @@
                 lines,
                 digest=configuration.digest,
             )
-    whole = configuration.deflated
+    compressed = configuration.deflated
     return base.Update(
         TOPIC,
         configuration.revision,
-        document=whole,
+        document=compressed,
         digest=configuration.digest,
     )
 
@@ -67,9 +67,9 @@
         return configuration
     try:
         if update.document:
-            found = _inflated(update.document)
+            updated = _decompress(update.document)
         else:
-            found = _replayed(configuration, update)
+            updated = _replay(configuration, update)
     except (ValueError, zlib.error, errors.RuleError) as exc:
         raise errors.PeerError(
             f'update {update.revision} cannot be applied: {exc}',
@@ -77,21 +77,21 @@
         ) from exc
     # A process of another build may replay an edit differently. It would go
     # on with other rules than everybody else, and nobody would notice.
-    if (found.revision, found.digest) != (update.revision, update.digest):
+    if (updated.revision, updated.digest) != (update.revision, update.digest):
         raise errors.PeerError(
             f'update {update.revision} leads to another document',
             step='apply-update',
         )
-    return found
+    return updated
 
 
-def _inflated(document):
-    inflater = zlib.decompressobj()
-    data = inflater.decompress(document, MAX_DOCUMENT_BYTES)
+def _decompress(document):
+    decompressor = zlib.decompressobj()
+    data = decompressor.decompress(document, MAX_DOCUMENT_BYTES)
     return _configuration.Configuration.from_bytes(data)
 
 
-def _replayed(configuration, update):
+def _replay(configuration, update):
     for line in update.edits:
         edit = _edits.Edit.from_document(checks.load_json(line))
         if edit.revision > configuration.revision:
--- a/catkinshunt/configuration/tests/test_configuration.py
+++ b/catkinshunt/configuration/tests/test_configuration.py
@@ -24,19 +24,19 @@
     1,000 rules, of which one had changed.
     """
     history = _history(8)
-    known = history[8 - behind]
+    previous = history[8 - behind]
     found = configuration.Configuration.from_bytes(
-        history[8].document, known=known
+        history[8].document, previous=previous
     )
     assert found.document == history[8].document
     for ours, theirs in zip(
-        found.encoded_rules, known.encoded_rules, strict=False
+        found.encoded_rules, previous.encoded_rules, strict=False
     ):
         assert ours is theirs
 
 
-@pytest.mark.parametrize('known', [None, 0, 6])
-def test_a_document_that_its_edits_do_not_lead_to_is_read_whole(known):
+@pytest.mark.parametrize('previous', [None, 0, 6])
+def test_a_document_that_its_edits_do_not_lead_to_is_read_whole(previous):
     """Somebody writes the document past the editor and leaves old edits.
 
     A process that only replayed those would keep rules that nobody accepted.
@@ -47,7 +47,7 @@
     document['rules'].reverse()
     value = json.dumps(document).encode()
     found = configuration.Configuration.from_bytes(
-        value, known=None if known is None else history[known]
+        value, previous=None if previous is None else history[previous]
     )
     assert [item.rule.name for item in found.encoded_rules] == [
         f'r{number}' for number in reversed(range(6))
