--- a/catkinshunt/rules/_actions.py
+++ b/catkinshunt/rules/_actions.py
@@ -29,14 +29,14 @@
 
     keyword = 'route'
 
-    service: str = attrs.field(validator=_fields.text)
-    model: str | None = _optional(_fields.text)
-    version: str | None = _optional(_fields.text)
-    policy: str | None = _optional(_fields.text)
-    deadline_s: float | None = _optional(_fields.positive)
-    priority: int = attrs.field(default=0, validator=_fields.whole)
+    service: str = attrs.field(validator=_fields.nonempty_text)
+    model: str | None = _optional(_fields.nonempty_text)
+    version: str | None = _optional(_fields.nonempty_text)
+    policy: str | None = _optional(_fields.nonempty_text)
+    deadline_s: float | None = _optional(_fields.positive_number)
+    priority: int = attrs.field(default=0, validator=_fields.integer)
     account_weight: float = attrs.field(
-        default=1.0, validator=_fields.positive
+        default=1.0, validator=_fields.positive_number
     )
 
 
@@ -51,9 +51,9 @@
 
     keyword = 'refuse'
 
-    reason: str = attrs.field(validator=_fields.text)
+    reason: str = attrs.field(validator=_fields.nonempty_text)
     retry_after_s: float = attrs.field(
-        default=60.0, validator=_fields.positive
+        default=60.0, validator=_fields.positive_number
     )
 
 
@@ -76,16 +76,16 @@
 
     keyword = 'place'
 
-    model: str = attrs.field(validator=_fields.text)
-    version: str = attrs.field(validator=_fields.text)
-    replicas: int | None = _optional(_fields.count)
-    lean: str | float = attrs.field(default='time', validator=_fields.leaning)
+    model: str = attrs.field(validator=_fields.nonempty_text)
+    version: str = attrs.field(validator=_fields.nonempty_text)
+    replicas: int | None = _optional(_fields.positive_integer)
+    lean: str | float = attrs.field(default='time', validator=_fields.lean)
 
     @property
     def time_preference(self):
         """The leaning as a number from 0 (origin) to 1 (time)."""
         if isinstance(self.lean, str):
-            return _fields.LEANINGS[self.lean]
+            return _fields.NAMED_LEANS[self.lean]
         return float(self.lean)
 
 
--- a/catkinshunt/rules/_conditions.py
+++ b/catkinshunt/rules/_conditions.py
@@ -59,15 +59,15 @@
     """The field has one of these values."""
 
     choices: tuple = attrs.field(converter=tuple)
-    _set: frozenset = attrs.field(init=False, eq=False, repr=False)
+    _choice_set: frozenset = attrs.field(init=False, eq=False, repr=False)
 
-    @_set.default
-    def _make_set(self):
+    @_choice_set.default
+    def _make_choice_set(self):
         return frozenset(self.choices)
 
     def matches(self, value):
         """See `base.BaseCondition.matches`."""
-        return value in self._set
+        return value in self._choice_set
 
     def describe(self):
         """See `base.BaseCondition.describe`."""
--- a/catkinshunt/rules/_documents.py
+++ b/catkinshunt/rules/_documents.py
@@ -34,15 +34,15 @@
           rule 'a', field then: must hold an action, one of place, refuse, \
 route [step check-rules]
     """
-    found = _problems.Collector()
-    rules = _load_rules(document, found)
+    collector = _problems.ProblemCollector()
+    rules = _load_rules(document, collector)
     if services is not None:
-        _check_services(rules, frozenset(services), found)
+        _check_services(rules, frozenset(services), collector)
     # A clause that did not load would make its rule look like a catch-all.
-    broken = {problem.rule for problem in found.problems}
-    whole = [rule for rule in rules if rule.name not in broken]
-    _reachability.check_reachable(whole, found)
-    found.raise_any()
+    invalid = {problem.rule for problem in collector.problems}
+    valid_rules = [rule for rule in rules if rule.name not in invalid]
+    _reachability.check_reachable(valid_rules, collector)
+    collector.raise_any()
     return _rules.RuleSet(rules)
 
 
@@ -52,9 +52,9 @@
     Raises:
         errors.RuleError: the rule cannot be accepted.
     """
-    found = _problems.Collector()
-    rule = _load_rule(0, document, found)
-    found.raise_any()
+    collector = _problems.ProblemCollector()
+    rule = _load_rule(0, document, collector)
+    collector.raise_any()
     return rule
 
 
@@ -81,146 +81,151 @@
     return value != attribute.default
 
 
-def _load_rules(document, found):
+def _load_rules(document, collector):
     if not isinstance(document, dict) or 'rules' not in document:
-        found.add('', 'rules', "the document must hold a list 'rules'")
+        collector.add('', 'rules', "the document must hold a list 'rules'")
         return []
     for key in document:
         if key != 'rules':
-            found.add('', key, 'is not a field of the document')
+            collector.add('', key, 'is not a field of the document')
     items = document['rules']
     if not isinstance(items, list):
-        found.add('', 'rules', f'must be a list, got {items!r}')
+        collector.add('', 'rules', f'must be a list, got {items!r}')
         return []
-    loaded = [_load_rule(i, item, found) for i, item in enumerate(items)]
-    _check_names(items, found)
+    loaded = [_load_rule(i, item, collector) for i, item in enumerate(items)]
+    _check_names(items, collector)
     return [rule for rule in loaded if rule is not None]
 
 
-def _load_rule(position, item, found):
+def _load_rule(position, item, collector):
     label = f'#{position + 1}'
     if not isinstance(item, dict):
-        found.add(label, '', f'must be a mapping, got {item!r}')
+        collector.add(label, '', f'must be a mapping, got {item!r}')
         return None
     name = item.get('name')
     if isinstance(name, str) and name:
         label = name
     else:
-        found.add(label, 'name', f'must be text, got {name!r}')
+        collector.add(label, 'name', f'must be text, got {name!r}')
     for key in item:
         if key not in _RULE_FIELDS:
-            found.add(label, key, 'is not a field of a rule')
-    when = _load_when(label, item, found)
+            collector.add(label, key, 'is not a field of a rule')
+    when = _load_when(label, item, collector)
     subject = when.subject if when else ''
-    then = _load_then(label, item, subject, found)
+    then = _load_then(label, item, subject, collector)
     if when is None or then is None:
         return None
     return _rules.Rule(label, when, then)
 
 
-def _load_when(rule, item, found):
+def _load_when(rule, item, collector):
     if 'when' not in item:
-        found.add(rule, 'when', 'is missing')
+        collector.add(rule, 'when', 'is missing')
         return None
     when = item['when']
     known = ' or '.join(_subjects.SUBJECTS)
     if not isinstance(when, dict) or len(when) != 1:
-        found.add(rule, 'when', f'must hold just one of {known}')
+        collector.add(rule, 'when', f'must hold just one of {known}')
         return None
     [(subject, fields)] = when.items()
     if subject not in _subjects.SUBJECTS:
-        found.add(rule, f'when.{subject}', f'is not one of {known}')
+        collector.add(rule, f'when.{subject}', f'is not one of {known}')
         return None
     path = f'when.{subject}'
     if not isinstance(fields, dict):
-        found.add(rule, path, f'must be a mapping, got {fields!r}')
+        collector.add(rule, path, f'must be a mapping, got {fields!r}')
         return None
-    clauses = _load_clauses(rule, path, subject, fields, found)
+    clauses = _load_clauses(rule, path, subject, fields, collector)
     return _rules.When(subject, clauses)
 
 
-def _load_clauses(rule, path, subject, fields, found):
+def _load_clauses(rule, path, subject, fields, collector):
     types = attrs.fields_dict(_subjects.SUBJECTS[subject])
     clauses = []
     for name, value in fields.items():
         if name not in types:
             allowed = ', '.join(types)
-            found.add(rule, f'{path}.{name}', f'is not one of {allowed}')
+            collector.add(rule, f'{path}.{name}', f'is not one of {allowed}')
             continue
-        kind = types[name].type
-        cond = _load_condition(rule, f'{path}.{name}', kind, value, found)
+        value_type = types[name].type
+        cond = _load_condition(
+            rule, f'{path}.{name}', value_type, value, collector
+        )
         if cond is not None:
             clauses.append(_rules.Clause(name, cond))
     return clauses
 
 
-def _load_condition(rule, path, kind, value, found):
+def _load_condition(rule, path, value_type, value, collector):
     if not isinstance(value, dict):
-        return _load_equal(rule, path, kind, value, found)
+        return _load_equal(rule, path, value_type, value, collector)
     if len(value) != 1 or next(iter(value)) not in _OPERATORS:
         allowed = ', '.join(_OPERATORS)
-        found.add(rule, path, f'must hold just one of {allowed}')
+        collector.add(rule, path, f'must hold just one of {allowed}')
         return None
     [(operator, operand)] = value.items()
     path = f'{path}.{operator}'
     if operator == 'equal':
-        return _load_equal(rule, path, kind, operand, found)
+        return _load_equal(rule, path, value_type, operand, collector)
     if operator == 'one_of':
-        return _load_one_of(rule, path, kind, operand, found)
+        return _load_one_of(rule, path, value_type, operand, collector)
     if operator == 'prefix':
-        return _load_prefix(rule, path, kind, operand, found)
-    inner = _load_condition(rule, path, kind, operand, found)
+        return _load_prefix(rule, path, value_type, operand, collector)
+    inner = _load_condition(rule, path, value_type, operand, collector)
     return None if inner is None else _conditions.Not(inner)
 
 
-def _load_equal(rule, path, kind, value, found):
-    if not _check_type(rule, path, kind, value, found):
+def _load_equal(rule, path, value_type, value, collector):
+    if not _check_type(rule, path, value_type, value, collector):
         return None
     return _conditions.Equal(value)
 
 
-def _load_one_of(rule, path, kind, values, found):
+def _load_one_of(rule, path, value_type, values, collector):
     if not isinstance(values, list) or not values:
-        found.add(rule, path, f'must be a list of values, got {values!r}')
+        collector.add(rule, path, f'must be a list of values, got {values!r}')
         return None
-    good = [_check_type(rule, path, kind, value, found) for value in values]
-    return _conditions.OneOf(values) if all(good) else None
+    valid = [
+        _check_type(rule, path, value_type, value, collector)
+        for value in values
+    ]
+    return _conditions.OneOf(values) if all(valid) else None
 
 
-def _load_prefix(rule, path, kind, value, found):
-    if kind is not str:
-        found.add(rule, path, 'is only for text')
+def _load_prefix(rule, path, value_type, value, collector):
+    if value_type is not str:
+        collector.add(rule, path, 'is only for text')
         return None
-    if not _check_type(rule, path, kind, value, found):
+    if not _check_type(rule, path, value_type, value, collector):
         return None
     return _conditions.Prefix(value)
 
 
-def _check_type(rule, path, kind, value, found):
-    if type(value) is kind:
+def _check_type(rule, path, value_type, value, collector):
+    if type(value) is value_type:
         return True
-    allowed = 'text' if kind is str else 'true or false'
-    found.add(rule, path, f'must be {allowed}, got {value!r}')
+    allowed = 'text' if value_type is str else 'true or false'
+    collector.add(rule, path, f'must be {allowed}, got {value!r}')
     return False
 
 
-def _load_then(rule, item, subject, found):
+def _load_then(rule, item, subject, collector):
     actions = _actions.ACTIONS.get(subject) or _all_actions()
     then = item.get('then')
     if not isinstance(then, dict) or len(then) != 1:
         known = ', '.join(sorted(actions))
-        found.add(rule, 'then', f'must hold an action, one of {known}')
+        collector.add(rule, 'then', f'must hold an action, one of {known}')
         return None
     [(keyword, fields)] = then.items()
     path = f'then.{keyword}'
     if keyword not in actions:
         known = ', '.join(sorted(actions))
-        found.add(rule, path, f'is not one of {known}')
+        collector.add(rule, path, f'is not one of {known}')
         return None
     if not isinstance(fields, dict):
-        found.add(rule, path, f'must be a mapping, got {fields!r}')
+        collector.add(rule, path, f'must be a mapping, got {fields!r}')
         return None
-    return _load_action(rule, path, actions[keyword], fields, found)
+    return _load_action(rule, path, actions[keyword], fields, collector)
 
 
 def _all_actions():
@@ -231,57 +236,57 @@
     }
 
 
-def _load_action(rule, path, cls, fields, found):
-    before = len(found.problems)
+def _load_action(rule, path, cls, fields, collector):
+    n_before = len(collector.problems)
     attributes = attrs.fields_dict(cls)
     for name in fields:
         if name not in attributes:
             allowed = ', '.join(attributes)
-            found.add(rule, f'{path}.{name}', f'is not one of {allowed}')
+            collector.add(rule, f'{path}.{name}', f'is not one of {allowed}')
     for name, attribute in attributes.items():
         if name in fields:
-            _check_attribute(rule, path, attribute, fields[name], found)
+            _check_attribute(rule, path, attribute, fields[name], collector)
         elif attribute.default is attrs.NOTHING:
-            found.add(rule, f'{path}.{name}', 'is missing')
-    if len(found.problems) > before:
+            collector.add(rule, f'{path}.{name}', 'is missing')
+    if len(collector.problems) > n_before:
         return None
     return cls(**fields)
 
 
-def _check_attribute(rule, path, attribute, value, found):
+def _check_attribute(rule, path, attribute, value, collector):
     try:
         attribute.validator(None, attribute, value)
     except ValueError as exc:
-        found.add(rule, f'{path}.{attribute.name}', str(exc))
+        collector.add(rule, f'{path}.{attribute.name}', str(exc))
 
 
-def _check_names(items, found):
+def _check_names(items, collector):
     seen = set()
     for item in items:
         name = item.get('name') if isinstance(item, dict) else None
         if not isinstance(name, str):
             continue
         if name in seen:
-            found.add(name, 'name', 'stands twice')
+            collector.add(name, 'name', 'stands twice')
         seen.add(name)
 
 
-def _check_services(rules, services, found):
+def _check_services(rules, services, collector):
     known = ', '.join(sorted(services))
     for rule in rules:
         condition = rule.when.condition('service')
         path = f'when.{rule.when.subject}.service'
-        for name in _named(condition):
+        for name in _service_names(condition):
             if name not in services:
                 text = f'{name!r} is not a known service ({known})'
-                found.add(rule.name, path, text)
+                collector.add(rule.name, path, text)
         target = getattr(rule.then, 'service', None)
         if target is not None and target not in services:
             text = f'{target!r} is not a known service ({known})'
-            found.add(rule.name, 'then.route.service', text)
+            collector.add(rule.name, 'then.route.service', text)
 
 
-def _named(condition):
+def _service_names(condition):
     if isinstance(condition, _conditions.Not):
         condition = condition.condition
     if condition is None:
--- a/catkinshunt/rules/_problems.py
+++ b/catkinshunt/rules/_problems.py
@@ -21,13 +21,13 @@
     text: str
 
     def __str__(self):
-        place = f'rule {self.rule!r}' if self.rule else 'document'
+        location = f'rule {self.rule!r}' if self.rule else 'document'
         if self.field:
-            place += f', field {self.field}'
-        return f'{place}: {self.text}'
+            location += f', field {self.field}'
+        return f'{location}: {self.text}'
 
 
-class Collector:
+class ProblemCollector:
     """Gathers problems so that an author sees all of them at once."""
 
     def __init__(self):
--- a/catkinshunt/rules/_reachability.py
+++ b/catkinshunt/rules/_reachability.py
@@ -3,27 +3,27 @@
 import collections
 
 
-def check_reachable(rules, found):
+def check_reachable(rules, collector):
     """Add a problem for each rule that one earlier rule covers wholly.
 
     A rule that several earlier ones cover only together is not found.
 
     Args:
         rules: the rules in order.
-        found: the `Collector` that takes the problems.
+        found: the `ProblemCollector` that takes the problems.
     """
     by_service = collections.defaultdict(list)
     for rule in rules:
-        for earlier in _may_cover(rule, by_service):
+        for earlier in _cover_candidates(rule, by_service):
             if covers(earlier.when, rule.when):
-                text = f'cannot be reached: {_why(earlier)}'
-                found.add(rule.name, 'when', text)
+                text = f'cannot be reached: {_describe_cover(earlier)}'
+                collector.add(rule.name, 'when', text)
                 break
         for service in _services(rule) or (None,):
             by_service[rule.when.subject, service].append(rule)
 
 
-def _may_cover(rule, by_service):
+def _cover_candidates(rule, by_service):
     """Yield the earlier rules that are worth comparing with `rule`.
 
     A rule for some services covers only rules for some of these, so most
@@ -51,7 +51,7 @@
     return True
 
 
-def _why(earlier):
+def _describe_cover(earlier):
     if not earlier.when.clauses:
         return f'rule {earlier.name!r} before it matches everything'
     return f'rule {earlier.name!r} before it matches all that it matches'
--- a/catkinshunt/rules/_rules.py
+++ b/catkinshunt/rules/_rules.py
@@ -72,40 +72,40 @@
     def __init__(self, rules, field):
         self._rules = rules
         self._field = field
-        self._named = set()
+        self._named_values = set()
         for rule in rules:
             condition = rule.when.condition(field)
             if condition is not None:
-                self._named.update(condition.values() or ())
+                self._named_values.update(condition.values() or ())
         self._by_value = {}
-        self._rest = tuple(
-            rule for rule in rules if _open_ended(rule.when.condition(field))
+        self._default_candidates = tuple(
+            rule for rule in rules if _is_unbounded(rule.when.condition(field))
         )
 
     @property
     def is_useful(self):
         """Whether any rule names a value of the field."""
-        return bool(self._named)
+        return bool(self._named_values)
 
     def candidates(self, value):
         """Return the rules that may match a subject with this value."""
-        found = self._by_value.get(value)
-        if found is not None:
-            return found
-        if value not in self._named:
-            return self._rest
-        found = tuple(self._admitting(value))
-        self._by_value[value] = found
-        return found
-
-    def _admitting(self, value):
+        candidates = self._by_value.get(value)
+        if candidates is not None:
+            return candidates
+        if value not in self._named_values:
+            return self._default_candidates
+        candidates = tuple(self._matching_rules(value))
+        self._by_value[value] = candidates
+        return candidates
+
+    def _matching_rules(self, value):
         for rule in self._rules:
             condition = rule.when.condition(self._field)
             if condition is None or condition.matches(value):
                 yield rule
 
 
-def _open_ended(condition):
+def _is_unbounded(condition):
     return condition is None or condition.values() is None
 
 
