--- a/catkinshunt/claims/_attempts.py
+++ b/catkinshunt/claims/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that a sidecar has seen, to refuse delayed duplicates."""
+"""Detection of duplicate attempts in a sidecar."""
 
 import threading
 
@@ -8,19 +8,20 @@
 
 
 class SeenAttempts(base.ParamsMixin):
-    """Lets each attempt at a non-idempotent request through once.
+    """Accepts each attempt at a non-idempotent request once.
 
-    A message can reach a sidecar twice when a connection is re-made, or
-    long after its sender gave up. An attempt is remembered until its
-    deadline and `skew_s` have passed; after that it is refused as late, so
-    forgetting it then lets nothing run twice.
+    A message can reach a sidecar twice after a reconnect, or long after its
+    sender timed out. An attempt is recorded until `skew_s` after its
+    deadline. From then on it is rejected as late, so its record can be
+    removed without the risk of a second execution.
 
     Args:
-        capacity: attempts remembered; at this bound new ones are refused
-            rather than older ones forgotten before their deadline.
-        skew_s: most by which clocks of two instances differ.
-        max_ahead_s: a deadline further ahead than this is refused, as its
-            attempt would be remembered for too long.
+        capacity: maximum number of recorded attempts. When it is reached,
+            new attempts are rejected; no record is removed before its
+            deadline.
+        skew_s: maximum clock difference between two instances, seconds.
+        max_ahead_s: a deadline further in the future is rejected, as its
+            attempt would stay recorded for too long; seconds.
 
     Examples:
         >>> seen = SeenAttempts()
@@ -28,7 +29,7 @@
         >>> seen.check('a1', expires_at=10.0, now=6.0)
         Traceback (most recent call last):
             ...
-        catkinshunt.errors.DuplicateAttemptError: attempt came twice \
+        catkinshunt.errors.DuplicateAttemptError: duplicate attempt \
 [step duplicate]
     """
 
@@ -40,7 +41,7 @@
         self._expiry_by_attempt = {}
 
     def check(self, attempt, expires_at, now):
-        """Remember `attempt`, or refuse it.
+        """Record `attempt`, or reject it.
 
         Args:
             attempt: unique id of the attempt.
@@ -48,30 +49,30 @@
             now: present time, seconds since the epoch.
 
         Raises:
-            errors.DuplicateAttemptError: it was let through before.
+            errors.DuplicateAttemptError: it was accepted before.
             errors.RefusedError: its deadline has passed, or too many
-                attempts are remembered; it was not run.
+                attempts are recorded; it was not executed.
         """
         checks.check_positive(self.capacity, 'capacity')
         with self._lock:
             if attempt in self._expiry_by_attempt:
                 raise errors.DuplicateAttemptError(
-                    'attempt came twice', step='duplicate'
+                    'duplicate attempt', step='duplicate'
                 )
             if now >= expires_at:
                 raise errors.RefusedError(
                     'deadline passed before dispatch', step='deadline'
                 )
-            # Written so that it also refuses what is not a number.
+            # The negated comparison also rejects NaN.
             if not expires_at <= now + self.max_ahead_s:
                 raise errors.InvalidRequestError(
-                    'deadline too far ahead', step='deadline'
+                    'deadline is too far in the future', step='deadline'
                 )
             if len(self._expiry_by_attempt) >= self.capacity:
                 self._remove_expired(now)
             if len(self._expiry_by_attempt) >= self.capacity:
                 raise errors.OverloadedError(
-                    'too many attempts remembered',
+                    'too many recorded attempts',
                     step='duplicate',
                     retry_after_s=self.skew_s,
                 )
--- a/catkinshunt/claims/_batch.py
+++ b/catkinshunt/claims/_batch.py
@@ -1,4 +1,4 @@
-"""The operations that wait for the next write of their shard."""
+"""Batches of operations on one shard."""
 
 from concurrent import futures
 
@@ -9,14 +9,15 @@
 
 @attrs.define(eq=False)
 class ClaimOp:
-    """An attempt that waits to be granted.
+    """A pending claim.
 
     Attributes:
         identity: digest of account and key.
-        record: the record to write if the identity is free.
+        record: `Record` to write if the identity is not claimed.
         now: time of the attempt, seconds since the epoch.
-        fut: gets the `base.Claim` or the error.
-        written: a write that held the record may have taken effect.
+        fut: resolves to the `base.Claim` or an error.
+        maybe_written: whether a write with this record was sent and may have
+            taken effect.
     """
 
     identity: str
@@ -27,14 +28,14 @@
     _result: object = None
 
     def apply(self, document):
-        """Try the claim on `document` and remember the result."""
+        """Apply the claim to `document` and store the result."""
         try:
             self._result = document.claim(self.identity, self.record, self.now)
         except errors.OverloadedError as exc:
             self._result = exc
 
     def complete(self):
-        """Hand over the result; returns whether somebody still waited."""
+        """Resolve the future; return False if it was cancelled."""
         if self.fut.cancelled():
             return False
         if not self.fut.set_running_or_notify_cancel():
@@ -46,12 +47,12 @@
         return True
 
     def fail(self, exc):
-        """Hand over `exc`."""
+        """Resolve the future with `exc`."""
         self._result = exc
         return self.complete()
 
     def make_release(self):
-        """Return the operation that takes this attempt's claim back."""
+        """Return the operation that releases this claim."""
         return ReleaseOp(
             self.identity, self.record.attempt, self.now, fence=True
         )
@@ -59,7 +60,7 @@
 
 @attrs.frozen(eq=False)
 class FinishOp:
-    """An outcome to record."""
+    """A pending outcome."""
 
     identity: str
     attempt: str
@@ -75,12 +76,12 @@
 
 @attrs.frozen(eq=False)
 class ReleaseOp:
-    """A claim to take back, as its request did not run.
+    """A pending release of a claim whose request was not executed.
 
     Attributes:
-        fence: write the document even if it does not hold the claim. A
-            write whose answer was lost may still be on its way; it meets
-            another revision then, and cannot leave the claim behind.
+        fence: write the document even if it does not contain the claim. An
+            earlier write without a response may still be in flight; the new
+            revision makes it fail, so it cannot add the claim later.
     """
 
     identity: str
@@ -96,10 +97,10 @@
 
 @attrs.define
 class Batch:
-    """Operations of one shard in the order in which they are applied.
+    """Operations on one shard.
 
-    Finishes and releases go first: a repeat in the same batch then sees the
-    outcome of the attempt before it.
+    Finishes and releases are applied before claims, so that a retry in the
+    same batch gets the outcome of the previous attempt.
     """
 
     completion_ops: list = attrs.field(factory=list)
@@ -110,14 +111,14 @@
 
     @property
     def now(self):
-        """Latest time of any operation."""
+        """Time of the latest operation, seconds since the epoch."""
         return max(op.now for op in self.completion_ops + self.claim_ops)
 
     def apply(self, document, limits):
-        """Apply all operations to `document` and trim it in between.
+        """Apply all operations to `document`, compacting it before the claims.
 
-        Outcomes that waited out a long outage are recorded before their
-        claims shrink, which would lose them.
+        Outcomes are recorded before compaction: those delayed by a long
+        outage would be lost if their claims were compacted first.
         """
         for op in self.completion_ops:
             op.apply(document, limits.body_limit_bytes)
@@ -126,7 +127,7 @@
             op.apply(document)
 
     def drop_cancelled(self):
-        """Forget claims nobody waits for and that no write has held."""
+        """Remove cancelled claims that no write can have stored."""
         self.claim_ops = [
             op
             for op in self.claim_ops
--- a/catkinshunt/claims/_document.py
+++ b/catkinshunt/claims/_document.py
@@ -1,4 +1,4 @@
-"""One shard of the claims as it is kept in the key-value service."""
+"""Stored document of one shard of claims."""
 
 import base64
 import hashlib
@@ -11,9 +11,9 @@
 
 FORMAT_VERSION = 1
 _IDENTITY_BYTES = 15
-#: Room left for each unfinished claim, so that its finish always fits.
+#: Space reserved for each claim, so that its finish always fits.
 _FINISH_RESERVE_BYTES = 64
-#: Of an identity, as much as is kept of an old claim; 72 bits.
+#: Length of the identity prefix that a compacted claim keeps: 72 bits.
 _PREFIX_CHARS = 12
 _HOUR_S = 3600
 _BUCKET_OVERHEAD_BYTES = 20
@@ -27,9 +27,10 @@
 
 
 def compute_identity(account, key):
-    """Return the digest under which `account`'s `key` is recorded.
+    """Return the digest of an account and an idempotency key.
 
-    The length goes in front, so that no two pairs give the same text.
+    The length of the account comes first, so that different pairs cannot
+    yield the same text.
 
     Examples:
         >>> compute_identity('a', 'bc') == compute_identity('ab', 'c')
@@ -40,7 +41,7 @@
 
 
 def compute_request_digest(method, path, body):
-    """Return the digest that tells a repeat from another request.
+    """Return the digest that distinguishes a retry from another request.
 
     Examples:
         >>> first = compute_request_digest('POST', '/', b'1')
@@ -58,16 +59,16 @@
 
 @attrs.define
 class Record:
-    """One claim as it is kept.
+    """One stored claim.
 
     Attributes:
         attempt: the attempt that was granted.
         digest: digest of the request.
         claimed_at: seconds since the epoch.
         deadline: seconds since the epoch.
-        status: HTTP status once finished, else 0.
-        content_type: media type of the kept body.
-        body: base64 of the kept body, or None.
+        status: HTTP status if finished, else 0.
+        content_type: media type of the stored body.
+        body: base64 of the stored body, or None.
     """
 
     attempt: str
@@ -79,7 +80,7 @@
     body: str | None = None
 
     def to_json(self):
-        """Return the shortest list that `from_json` reads back."""
+        """Return the shortest list that `from_json` accepts."""
         row = [self.attempt, self.digest, self.claimed_at, self.deadline]
         if self.status:
             row.append(self.status)
@@ -89,16 +90,16 @@
 
     @classmethod
     def from_json(cls, row):
-        """Read a record; raises TypeError or ValueError if it is wrong."""
+        """Decode a record; raise TypeError or ValueError if it is invalid."""
         record = cls(*row)
         texts = (record.attempt, record.digest, record.content_type)
         if not all(isinstance(text, str) for text in texts):
-            raise ValueError('text expected')
+            raise ValueError('expected a string')
         times = (record.claimed_at, record.deadline)
         if not all(type(value) in (int, float) for value in times):
-            raise ValueError('number expected')
+            raise ValueError('expected a number')
         if type(record.status) is not int:
-            raise ValueError('status must be a whole number')
+            raise ValueError('status must be an integer')
         if record.body is not None:
             base64.b64decode(record.body, validate=True)
         return record
@@ -112,7 +113,7 @@
 
 
 def _bucket_of(record):
-    """Return the bucket of an old claim: its hour and whether it ran."""
+    """Return the bucket of a compacted claim: its hour and state mark."""
     hour = int(record.claimed_at // _HOUR_S)
     return f'{hour}{_FINISHED_MARK if record.status else _UNKNOWN_MARK}'
 
@@ -124,7 +125,7 @@
 def _check_bucket(bucket, prefixes):
     _bucket_end(bucket)
     if bucket[-1] not in _STATE_BY_MARK or len(prefixes) % _PREFIX_CHARS:
-        raise ValueError(f'wrong bucket {bucket!r}')
+        raise ValueError(f'invalid bucket {bucket!r}')
 
 
 def _record_size_bytes(identity, record):
@@ -133,17 +134,19 @@
 
 
 class Document:
-    """The claims of one shard, with the operations upon them.
+    """Claims of one shard and the operations on them.
 
-    Claims past their deadline and the time that answers are kept shrink to
-    the front of their identity, joined to one text for each hour. At 12
-    bytes a claim, hours of them are rewritten with each write at little
-    cost, while whole records would soon fill the document.
+    A claim that is past its deadline and whose response is no longer stored
+    is compacted to a prefix of its identity. Prefixes are concatenated in
+    one string per hour and state. At 12 bytes a claim, rewriting several
+    hours of them with each write is cheap; complete records would soon fill
+    the document.
 
     Args:
         records: `Record` by identity.
-        old: joined fronts of identities by bucket; see `_bucket_of`.
-        limit_bytes: largest encoded size.
+        compacted: concatenated identity prefixes by bucket; see
+            `_bucket_of`.
+        limit_bytes: maximum encoded size.
     """
 
     def __init__(self, records, compacted, limit_bytes):
@@ -163,12 +166,12 @@
 
     @classmethod
     def decode(cls, value, limit_bytes):
-        """Read the stored bytes; None stands for a shard not yet written.
+        """Decode the stored bytes; None is a shard that was never written.
 
         Raises:
-            errors.StoreError: the value is not such a document. It is left
-                as it is: taking it for empty would forget all its claims
-                and let each of them run again.
+            errors.StoreError: the value is not a valid document. It is not
+                overwritten: treating it as empty would lose its claims and
+                allow their requests to be executed again.
         """
         if value is None:
             return cls({}, {}, limit_bytes)
@@ -191,7 +194,7 @@
             ValueError,
         ) as exc:
             raise errors.StoreError(
-                f'claims document cannot be read: {exc!r}', step='claims'
+                f'claims document cannot be decoded: {exc!r}', step='claims'
             ) from exc
         return cls(records, compacted, limit_bytes)
 
@@ -206,7 +209,7 @@
         return json.dumps(data, separators=(',', ':')).encode()
 
     def compact(self, now, retention_s, answer_kept_s):
-        """Shrink claims that are old enough, drop those that are older."""
+        """Compact claims after `answer_kept_s`; drop after `retention_s`."""
         self._retry_after_s = answer_kept_s
         for bucket in list(self.compacted):
             if now - _bucket_end(bucket) > retention_s:
@@ -239,13 +242,13 @@
         return None
 
     def claim(self, identity, record, now):
-        """Grant `record` unless the identity is taken.
+        """Grant `record` unless the identity is already claimed.
 
         Returns:
             A `base.Claim`.
 
         Raises:
-            errors.OverloadedError: the document has no room.
+            errors.OverloadedError: the document is full.
         """
         stored = self.records.get(identity)
         if stored is None:
@@ -274,7 +277,7 @@
         )
 
     def finish(self, identity, attempt, outcome, body_limit_bytes):
-        """Record `outcome` if `attempt` still holds the claim."""
+        """Record `outcome` if `attempt` holds the unfinished claim."""
         stored = self.records.get(identity)
         if stored is None or stored.attempt != attempt or stored.status:
             return
@@ -292,7 +295,7 @@
         self._replace(identity, finished)
 
     def release(self, identity, attempt):
-        """Remove the claim if `attempt` holds it and it did not finish."""
+        """Remove the claim if `attempt` holds it and it is unfinished."""
         stored = self.records.get(identity)
         if (
             stored is not None
@@ -302,8 +305,8 @@
             self._remove(identity)
 
     def _check_space(self, identity, record):
-        # A claim that fits while its finish does not would leave a request
-        # that ran looking as if it might not have.
+        # If a claim fitted but its finish did not, a request that ran would
+        # later have an unknown outcome.
         needed = (
             self._size_bytes
             + _record_size_bytes(identity, record)
@@ -311,7 +314,7 @@
         )
         if needed > self.limit_bytes:
             raise errors.OverloadedError(
-                'no room for another claim',
+                'claims shard is full',
                 step='claim',
                 retry_after_s=self._retry_after_s,
             )
--- a/catkinshunt/claims/_ledger.py
+++ b/catkinshunt/claims/_ledger.py
@@ -16,32 +16,33 @@
 
 _LOG = logs.get_logger('claims')
 
-#: Tries at one write before its claims are refused; each try after the
-#: first follows a conflict or a lost answer.
+#: Attempts at one write before its claims are rejected; each attempt after
+#: the first follows a conflict or a lost response.
 MAX_WRITE_ATTEMPTS = 8
 
 
 class Ledger(base.BaseLedger):
     """Claims in `shards` documents of the key-value service.
 
-    Claims of one shard that arrive while it is being written gather for its
-    next write, so one compare-and-swap carries all of them.
+    Claims that arrive while their shard is being written are batched, so
+    that the next compare-and-swap writes all of them.
 
     Args:
         store: a `kvstore.base.BaseKeyValueStore`.
-        prefix: keys of the documents begin with it.
-        shards: documents to spread the claims over. The first ledger to run
-            writes the count down; later ones keep to what is written.
-        retention_s: how long a claim is remembered.
-        answer_kept_s: how long a small answer is kept to be replayed; after
-            it only that the request ran is known.
-        body_limit_bytes: largest answer that is kept.
-        shard_limit_bytes: largest document.
-        commit_timeout_s: how long a claim may wait to be written.
-        finish_delay_s: how long an outcome waits for claims to ride with.
-        writes_per_s: most writes a second of this process.
-        committers: threads that write.
-        outage_pause_s: time without calls after one that failed.
+        prefix: prefix of the keys of the documents.
+        shards: number of documents. The first ledger stores the number;
+            later ones use the stored number.
+        retention_s: time for which a claim is stored, seconds.
+        answer_kept_s: time for which a small response is stored for
+            replay, seconds; afterwards only the state is stored.
+        body_limit_bytes: maximum size of a stored response body.
+        shard_limit_bytes: maximum size of a document.
+        commit_timeout_s: maximum time that a claim waits to be written.
+        finish_delay_s: maximum time that an outcome waits to share a write
+            with claims.
+        writes_per_s: maximum number of writes per second of this process.
+        committers: number of threads that write.
+        outage_pause_s: time without calls to the store after a failed one.
     """
 
     def __init__(
@@ -94,10 +95,10 @@
         return self
 
     def stop(self):
-        """Write what is pending and end the threads.
+        """Write pending operations and stop the threads.
 
-        Outcomes that the service does not take at the first try are lost;
-        a repeat of such a request is told that its outcome is not known.
+        Outcomes whose first write fails are lost; a retry of such a request
+        gets the state `UNKNOWN`.
         """
         if self._pool is None:
             return
@@ -107,7 +108,7 @@
         self._pool = None
 
     def claim(self, account, key, request_digest, attempt, now, deadline):
-        """Ask to run a request; see `base.BaseLedger.claim`."""
+        """See `base.BaseLedger.claim`."""
         self._check_outage(now)
         if self._stopping:
             raise errors.LeavingError('this entry is stopping', step='claim')
@@ -121,12 +122,12 @@
             return self._cancel(op)
 
     def finish(self, claim, outcome, now):
-        """Record an outcome; see `base.BaseLedger.finish`."""
+        """See `base.BaseLedger.finish`."""
         op = _batch.FinishOp(claim.identity, claim.attempt, outcome, now)
         self._enqueue_completion(op)
 
     def release(self, claim, now):
-        """Give back a claim; see `base.BaseLedger.release`."""
+        """See `base.BaseLedger.release`."""
         op = _batch.ReleaseOp(claim.identity, claim.attempt, now)
         self._enqueue_completion(op)
 
@@ -142,25 +143,26 @@
         self._schedule.add_completions(shard, [op], self.finish_delay_s)
 
     def _cancel(self, op):
-        # The write may be on its way and grant the claim after the caller
-        # was told "not run". Cancelling decides the race: either the grant
-        # came first and is used, or whoever writes finds the future
-        # cancelled and takes the claim back out of the document.
+        # A write in flight may grant the claim after the client got an
+        # error. Cancelling the future decides the race: either the grant
+        # came first and is used, or the committer sees the cancelled future
+        # and releases the claim.
         if op.fut.cancel():
             raise self._make_error('the claim was not written in time')
         return op.fut.result()
 
     def _check_outage(self, now):
-        # The upper bound keeps a clock that was set back from refusing all
-        # claims until it has caught up.
+        # Without the upper bound a clock that is set back would cause all
+        # claims to be rejected until it has caught up.
         if 0 < self._outage_until - now <= self.outage_pause_s:
-            raise self._make_error('the key-value service is not reached')
+            raise self._make_error('the key-value service is unreachable')
 
     def _make_error(self, message, cause=None):
-        # An entry that died may have run an earlier try of the same key. Told
-        # "not run", its caller would book again under a new key.
+        # A crashed entry may have executed an earlier attempt with the same
+        # key. If the error said "not run", the client would repeat the
+        # request under a new key and it would be executed twice.
         return errors.RecordUnavailableError(
-            f'{message}; nothing was dispatched now',
+            f'{message}; this attempt was not dispatched',
             step='claim',
             peer=getattr(cause, 'peer', ''),
             retry_after_s=self.outage_pause_s,
@@ -175,9 +177,9 @@
         return f'{self.prefix}/{number}'
 
     def _read_shard_count(self, now):
-        # Entries that spread the same keys over different counts of shards
-        # would each grant the same key. So the count that was written first
-        # holds, and a change of the setting alone changes nothing.
+        # Entries with different shard counts would look up a key in
+        # different documents and each grant it. The count stored first is
+        # therefore used, whatever the setting.
         try:
             for _ in range(MAX_WRITE_ATTEMPTS):
                 entry = self.store.get(f'{self.prefix}/layout')
@@ -194,7 +196,7 @@
         except errors.StoreError as exc:
             self._outage_until = now + self.outage_pause_s
             raise self._make_error(str(exc), exc) from exc
-        raise self._make_error('the layout of the claims was not read')
+        raise self._make_error('the shard count could not be read')
 
     def _decode_shard_count(self, value):
         try:
@@ -204,11 +206,14 @@
                 raise ValueError(f'{count} shards')
         except (KeyError, TypeError, ValueError) as exc:
             raise errors.StoreError(
-                f'layout of the claims cannot be read: {exc!r}', step='claim'
+                f'shard count of the claims cannot be decoded: {exc!r}',
+                step='claim',
             ) from exc
         if count != self.shards:
             _LOG.warning(
-                'Keeping to {} shards as written, not {}.', count, self.shards
+                'Using the stored count of {} shards, not the configured {}.',
+                count,
+                self.shards,
             )
         return count
 
@@ -221,7 +226,7 @@
             try:
                 self._commit(shard, batch)
             except Exception as exc:
-                _LOG.exception('Writing {} failed.', shard)
+                _LOG.exception('Write of shard {} failed.', shard)
                 self._fail(shard, batch, exc)
             finally:
                 self._schedule.unlock(shard)
@@ -239,10 +244,10 @@
                     from_store = True
                 written = self._write(shard, batch, entry)
             except (errors.ConflictError, errors.StoreUnknownError):
-                # Another entry wrote, or the answer to our write was lost.
-                # Reading back tells: an attempt id found in the document is
-                # granted, and one not found is written again. A write still
-                # on its way then meets another revision or is found later.
+                # Another entry wrote, or the response was lost. The document
+                # is read again: attempts in it are granted, the others are
+                # written again. An earlier write still in flight then fails
+                # by its revision or is found at the next read.
                 entry = None
                 self._schedule.count_retry()
                 continue
@@ -252,7 +257,7 @@
                 return
             if written is None and not from_store:
                 # A claim held by another attempt may have been finished or
-                # released since the document was kept here.
+                # released since the document was cached.
                 entry = None
                 continue
             self._cached_entries[shard] = written or entry
@@ -281,16 +286,16 @@
             self._schedule.add_completions(shard, releases, 0.0)
 
     def _fail(self, shard, batch, cause):
-        """Refuse the claims; keep what has to be written all the same."""
-        _LOG.warning('Shard {} not written: {}.', shard, cause)
+        """Fail the claims; requeue the operations that must be written."""
+        _LOG.warning('Shard {} could not be written: {}.', shard, cause)
         error = self._make_error('the claim could not be written', cause)
         requeued = list(batch.completion_ops)
         for op in batch.claim_ops:
             op.fail(error)
             if op.maybe_written:
-                # The write may have taken effect, or may yet: the claim is
-                # taken out again, or the caller's repeat would be told that
-                # a request is in progress which never ran.
+                # The write may have taken effect or may still do so. Without
+                # the release a retry would get the state `IN_PROGRESS` of a
+                # request that was never executed.
                 requeued.append(op.make_release())
         if self._stopping:
             for op in self._schedule.discard_pending():
--- a/catkinshunt/claims/_schedule.py
+++ b/catkinshunt/claims/_schedule.py
@@ -1,4 +1,4 @@
-"""Which shard is written next, and when."""
+"""Schedule of shard writes."""
 
 import threading
 import time
@@ -7,14 +7,14 @@
 
 
 class Schedule:
-    """Pending operations by shard, taken by the committing threads.
+    """Pending operations by shard, consumed by the committer threads.
 
-    A shard is written by one thread at a time, and operations that come in
-    meanwhile gather for its next write. So writes a second are bounded by
-    `writes_per_s` whatever the demand, and only the batches grow.
+    A shard is written by one thread at a time; operations that arrive during
+    a write are batched into the next one. The write rate is thus bounded by
+    `writes_per_s` under any load; only the batches grow.
 
     Args:
-        writes_per_s: most writes handed out a second.
+        writes_per_s: maximum number of writes per second.
     """
 
     def __init__(self, writes_per_s):
@@ -27,19 +27,22 @@
         self._closed = False
 
     def add_claim(self, shard, op):
-        """Queue a claim; its shard is due at once."""
+        """Enqueue a claim; its shard is due immediately."""
         with self._cond:
             self._batch(shard).claim_ops.append(op)
             self._set_due(shard, 0.0)
 
     def add_completions(self, shard, ops, delay_s):
-        """Queue finishes or releases; they wait for claims to ride with."""
+        """Enqueue finishes or releases, due after `delay_s`.
+
+        The delay lets them share a write with later claims.
+        """
         with self._cond:
             self._batch(shard).completion_ops.extend(ops)
             self._set_due(shard, delay_s)
 
     def take_batch(self):
-        """Wait for the next due shard; returns it and its batch.
+        """Wait for the next due shard, lock it and return it with its batch.
 
         Returns None once the schedule is closed and nothing is pending.
         """
@@ -63,32 +66,32 @@
                 self._cond.wait(wait_s)
 
     def count_retry(self):
-        """Count a write that is tried again against the rate."""
+        """Count a retried write against the write rate."""
         with self._cond:
             self._next_write_at += 1 / self.writes_per_s
 
     def unlock(self, shard):
-        """Let `shard` be written again."""
+        """Allow further writes of `shard`."""
         with self._cond:
             self._locked_shards.discard(shard)
             self._cond.notify_all()
 
     def count_pending_claims(self):
-        """Return how many claims wait for their shard's next write."""
+        """Return the number of claims that wait to be written."""
         with self._cond:
             return sum(
                 len(batch.claim_ops) for batch in self._batches.values()
             )
 
     def close(self):
-        """Make all pending shards due and end `take_batch` after the last."""
+        """Make all pending shards due; `take_batch` ends after the last."""
         with self._cond:
             self._closed = True
             self._due_times = dict.fromkeys(self._due_times, 0.0)
             self._cond.notify_all()
 
     def discard_pending(self):
-        """Forget everything pending; returns the claims among it."""
+        """Discard all pending operations and return the claims among them."""
         with self._cond:
             batches = list(self._batches.values())
             self._batches.clear()
--- a/catkinshunt/claims/base.py
+++ b/catkinshunt/claims/base.py
@@ -1,4 +1,4 @@
-"""What the request path asks of an at-most-once record."""
+"""Interface of the at-most-once ledger."""
 
 import abc
 import enum
@@ -9,13 +9,13 @@
 
 
 class State(enum.Enum):
-    """What is known of a claimed request."""
+    """State of a claimed request."""
 
     #: This attempt holds the claim and may dispatch the request, once.
     GRANTED = 'granted'
     #: Another attempt holds the claim and its deadline has not passed.
     IN_PROGRESS = 'in-progress'
-    #: The request ran.
+    #: The request was executed.
     FINISHED = 'finished'
     #: The claim's deadline passed and no outcome was recorded.
     UNKNOWN = 'unknown'
@@ -25,12 +25,12 @@
 
 @attrs.frozen
 class Outcome:
-    """The answer of a request that ran.
+    """Response to a request that was executed.
 
     Attributes:
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
         content_type: media type of the body.
-        body: the whole body, or None where it was too large to keep.
+        body: complete body, or None if it was too large to store.
     """
 
     status: int
@@ -40,14 +40,14 @@
 
 @attrs.frozen
 class Claim:
-    """The answer to an attempt at a non-idempotent request.
+    """Result of an attempt to claim a non-idempotent request.
 
     Attributes:
-        identity: digest of the account and its idempotency key.
-        attempt: unique id of the attempt that asked.
-        state: what is known of the request.
+        identity: digest of the account and the idempotency key.
+        attempt: unique id of the attempt.
+        state: `State` of the request.
         deadline: seconds since the epoch after which it is not dispatched.
-        outcome: the `Outcome`, where it ran and that is still kept.
+        outcome: `Outcome` of the request, if it ran and is still stored.
     """
 
     identity: str
@@ -58,27 +58,27 @@
 
 
 class BaseLedger(base.BaseService):
-    """Record of the non-idempotent requests that may have run.
+    """Ledger of non-idempotent requests that may have been executed.
 
-    All times are seconds since the epoch, as the record outlives processes
-    and is read by other instances.
+    All times are seconds since the epoch, since the records outlive
+    processes and are read by other instances.
     """
 
     @abc.abstractmethod
     def claim(self, account, key, request_digest, attempt, now, deadline):
-        """Ask to run the request that `account` named by `key`.
+        """Claim the right to execute the request `key` of `account`.
 
         Args:
-            account: the account whose keys are told apart from others'.
-            key: the caller's idempotency key.
+            account: account; keys are unique within one account.
+            key: idempotency key sent by the client.
             request_digest: digest of the request's method, path and body.
-            attempt: unique id of this attempt, never used again.
+            attempt: unique id of this attempt, never reused.
             now: present time, seconds since the epoch.
             deadline: the request is not dispatched after this time.
 
         Returns:
-            A `Claim`. Exactly one attempt is ever granted one key, within
-            the time that claims are kept, unless a grant was released.
+            A `Claim`. Within the retention time a key is granted to exactly
+            one attempt, unless the grant is released.
 
         Raises:
             errors.RefusedError: nothing was granted or dispatched.
@@ -86,12 +86,12 @@
 
     @abc.abstractmethod
     def finish(self, claim, outcome, now):
-        """Record the outcome of a granted claim; does not wait."""
+        """Record the outcome of a granted claim without blocking."""
 
     @abc.abstractmethod
     def release(self, claim, now):
-        """Give back a granted claim whose request is known not to have run.
+        """Release a granted claim whose request was certainly not executed.
 
-        A claim whose outcome is not known must never be released: a repeat
-        would be granted and the request could run a second time.
+        A claim with an unknown outcome must never be released: a retry would
+        be granted and the request could be executed twice.
         """
--- a/catkinshunt/claims/tests/fakes.py
+++ b/catkinshunt/claims/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A key-value store in memory, with faults on demand."""
+"""In-memory key-value store with fault injection."""
 
 import collections
 import threading
@@ -8,15 +8,15 @@
 
 
 class FakeStore(base.BaseKeyValueStore):
-    """Compare-and-swap in memory.
+    """Compare-and-swap in memory, with injected faults.
 
     Attributes:
         down: calls fail without effect.
-        lose_answers: coming writes whose answer is lost after they took
-            effect.
-        delayed: coming writes that are put in `in_flight` instead, while
-            the caller's answer is lost; `apply_in_flight` applies them.
-        calls: number of calls by kind.
+        lose_answers: number of next writes whose response is lost after
+            they took effect.
+        delayed: number of next writes that are put in `in_flight` and whose
+            response is lost; `apply_in_flight` applies them.
+        calls: number of calls by method.
     """
 
     def __init__(self):
@@ -35,7 +35,7 @@
             return self._entries.get(key)
 
     def put(self, key, value, expected_revision, lease=None):
-        """Write, unless a fault is in force."""
+        """Write `value`, subject to the injected faults."""
         with self._lock:
             self._check('put')
             if self.delayed:
@@ -49,7 +49,7 @@
             return revision
 
     def apply_in_flight(self):
-        """Let the delayed writes arrive; returns how many took effect."""
+        """Apply the delayed writes; return how many took effect."""
         applied = 0
         with self._lock:
             for write in self.in_flight:
--- a/catkinshunt/claims/tests/test_attempts.py
+++ b/catkinshunt/claims/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of the attempts that a sidecar has seen."""
+"""Tests of the detection of duplicate attempts."""
 
 import pytest
 
@@ -6,10 +6,10 @@
 from catkinshunt import errors
 
 
-def test_delayed_duplicate_is_refused():
+def test_delayed_duplicate_is_rejected():
     """The network delivers one booking twice, the second time late.
 
-    The member would be booked twice. The second delivery may not be told
+    It would be executed twice. The error of the second delivery must not say
     "not run", since the first may be running.
     """
     seen = claims.SeenAttempts(skew_s=1.0)
@@ -21,15 +21,15 @@
         seen.check('a1', expires_at=10.0, now=10.5)
 
 
-def test_late_attempt_is_refused_as_not_run():
+def test_late_attempt_is_rejected_as_not_run():
     seen = claims.SeenAttempts()
     with pytest.raises(errors.RefusedError) as caught:
         seen.check('a1', expires_at=10.0, now=10.0)
     assert caught.value.ran == 'no'
 
 
-def test_full_memory_refuses_new_attempts_and_keeps_the_old():
-    """A burst brings more attempts than are remembered."""
+def test_full_capacity_rejects_new_attempts_and_keeps_old_ones():
+    """A burst contains more attempts than can be recorded."""
     seen = claims.SeenAttempts(capacity=2, skew_s=1.0)
     seen.check('a1', expires_at=10.0, now=0.0)
     seen.check('a2', expires_at=20.0, now=0.0)
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize('expires_at', [float('nan'), float('inf'), 1e9])
-def test_deadline_that_would_be_remembered_for_ever(expires_at):
+def test_deadline_too_far_in_the_future_is_rejected(expires_at):
     seen = claims.SeenAttempts()
     with pytest.raises(errors.InvalidRequestError):
         seen.check('a1', expires_at=expires_at, now=0.0)
--- a/catkinshunt/claims/tests/test_ledger.py
+++ b/catkinshunt/claims/tests/test_ledger.py
@@ -33,7 +33,7 @@
 
 
 def claim_until(ledger, attempt, wanted, now=NOW):
-    """Ask again, as a caller would, until the state is `wanted`."""
+    """Retry, as a client does, until the state is `wanted`."""
     for number in range(500):
         try:
             claim = try_claim(ledger, f'{attempt}-{number}', now=now)
@@ -48,9 +48,9 @@
 
 
 def test_one_of_many_attempts_at_two_entries_is_granted():
-    """A caller's client sends one booking to both entries at once.
+    """A client sends one booking to two entries at the same time.
 
-    The member would be booked twice if both entries ran it.
+    It would be executed twice if both entries dispatched it.
     """
     store = fakes.FakeStore()
     with make_ledger(store) as first, make_ledger(store) as second:
@@ -65,7 +65,7 @@
     assert states.count(claims.State.IN_PROGRESS) == 15
 
 
-def test_repeat_gets_the_kept_answer_at_another_entry():
+def test_retry_gets_the_stored_response_at_another_entry():
     store = fakes.FakeStore()
     with make_ledger(store) as first:
         first.finish(try_claim(first, 'a1'), OUTCOME, NOW)
@@ -75,7 +75,7 @@
     assert claim.outcome == OUTCOME
 
 
-def test_large_answer_is_remembered_without_its_body():
+def test_large_response_is_stored_without_its_body():
     store = fakes.FakeStore()
     large = claims.Outcome(200, 'text/plain', b'x' * 5000)
     with make_ledger(store) as ledger:
@@ -92,10 +92,10 @@
         ('d', NOW + 31, claims.State.UNKNOWN),
     ],
 )
-def test_repeat_of_an_unfinished_claim(digest, now, state):
-    """The entry that was granted dies without recording an outcome.
+def test_retry_of_an_unfinished_claim(digest, now, state):
+    """The entry that holds the claim crashes without recording an outcome.
 
-    A repeat is never run; the caller is told that the outcome is unknown.
+    A retry is never executed; after the deadline its outcome is unknown.
     """
     store = fakes.FakeStore()
     with make_ledger(store) as first:
@@ -112,7 +112,7 @@
 
 
 def test_release_of_another_attempt_changes_nothing():
-    """A paused entry comes back and gives up a claim it no longer holds."""
+    """A paused entry resumes and releases a claim it no longer holds."""
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
         stale = try_claim(ledger, 'a1')
@@ -125,11 +125,11 @@
     assert done.outcome == OUTCOME
 
 
-def test_lost_answer_of_the_write_is_resolved_by_reading_back():
-    """The service wrote the claim, but its answer was lost.
+def test_lost_write_response_is_resolved_by_reading_back():
+    """The store wrote the claim, but the response was lost.
 
-    Refusing here would leave a claim that nobody runs, and the caller's
-    repeat would be told for ever that the request is in progress.
+    Rejecting the attempt would leave a claim that is never executed, while
+    each retry would be reported as in progress.
     """
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
@@ -139,11 +139,11 @@
     assert store.calls['put'] == 3  # Layout, other key, this key.
 
 
-def test_write_that_lands_after_the_refusal_is_taken_back():
-    """A claim's write is stuck in the network while the service goes down.
+def test_write_applied_after_the_rejection_is_released():
+    """A claim's write is delayed in the network during an outage.
 
-    The caller is told "not run". The write arrives when the service is
-    back; the caller's repeat must be granted all the same.
+    The attempt is rejected. The write takes effect after the outage; the
+    client's retry must be granted nevertheless.
     """
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
@@ -165,12 +165,12 @@
         claim_until(ledger, 'a2', claims.State.GRANTED, NOW + 1)
 
 
-def test_write_still_on_its_way_cannot_land_after_it_was_taken_back():
-    """As before, but the write arrives after the ledger looked for it."""
+def test_write_in_flight_cannot_take_effect_after_its_release():
+    """As before, but the write arrives after the ledger read the document."""
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
         try_claim(ledger, 'warm', key='other')
-        store.delayed = 8  # All tries of the claim are stuck.
+        store.delayed = 8  # All attempts at the write are delayed.
         with pytest.raises(errors.RefusedError):
             try_claim(ledger, 'a1')
         in_flight = list(store.in_flight)
@@ -182,11 +182,11 @@
         claim_until(ledger, 'a2', claims.State.GRANTED, NOW + 1)
 
 
-def test_outage_refuses_at_once_and_says_when_to_come_back():
-    """The service is down for long while bookings come in.
+def test_outage_rejects_at_once_with_a_retry_time():
+    """The store is down for a long time while bookings arrive.
 
-    Each is refused at once, most of them without a call. None says "not
-    run": whether an earlier try of its key ran cannot be seen then.
+    Each is rejected at once, most of them without a call. No error says "not
+    run", as the store cannot show whether an earlier attempt ran.
     """
     store = fakes.FakeStore()
     with make_ledger(store, outage_pause_s=5.0) as ledger:
@@ -204,11 +204,11 @@
     assert claim.state == claims.State.GRANTED
 
 
-def test_a_second_try_in_an_outage_does_not_say_that_nothing_ran():
-    """An entry dies with a booking dispatched, and the service is away.
+def test_retry_in_an_outage_is_not_reported_as_not_run():
+    """An entry crashes after dispatching a booking; the store is down.
 
-    The caller comes back with its key to another entry. Told "not run", it
-    would book under a new key, and the booking that ran would stand twice.
+    The client retries its key at another entry. After an error "not run" it
+    would use a new key, and the booking would be executed twice.
     """
     store = fakes.FakeStore()
     with make_ledger(store) as first, make_ledger(store) as second:
@@ -220,8 +220,8 @@
         assert caught.value.ran != 'no'
 
 
-def test_claim_given_up_while_its_write_is_slow_is_taken_back():
-    """The service is so slow that the claim outlasts its time."""
+def test_claim_that_times_out_during_a_slow_write_is_released():
+    """The store is so slow that the claim times out."""
     store = fakes.FakeStore()
     gate = threading.Event()
     real_put = store.put
@@ -241,9 +241,9 @@
 
 
 def test_outcome_is_written_after_an_outage():
-    """The service goes down while a booking runs.
+    """The store goes down while a booking runs.
 
-    Its outcome waits for the service, so that a repeat gets the answer.
+    Its outcome stays queued, so that a retry gets the response.
     """
     store = fakes.FakeStore()
     with make_ledger(store) as ledger:
@@ -258,8 +258,8 @@
     assert again.outcome == OUTCOME
 
 
-def test_full_shard_refuses_and_forgets_nothing():
-    """More keys come within the retention time than a shard holds."""
+def test_full_shard_rejects_claims_and_loses_none():
+    """More keys arrive within the retention time than fit in a shard."""
     store = fakes.FakeStore()
     with make_ledger(store, shard_limit_bytes=1000) as ledger:
         granted = []
@@ -289,11 +289,11 @@
         (True, 8 * 3600, claims.State.GRANTED),
     ],
 )
-def test_repeat_hours_later(finished, after_s, state):
-    """A caller's outbox sends a booking again after its own long outage.
+def test_retry_hours_later(finished, after_s, state):
+    """A client sends a booking again hours later, after its own outage.
 
-    Within the time that claims are kept it is not run again; the answer
-    itself has been dropped by then.
+    Within the retention time it is not executed again, although its response
+    is no longer stored.
     """
     with make_ledger(fakes.FakeStore()) as ledger:
         claim = try_claim(ledger, 'a1')
@@ -306,10 +306,10 @@
     assert repeat.outcome is None
 
 
-def test_entries_with_other_shard_counts_share_the_written_layout():
-    """An operator changes the count of shards at one entry only.
+def test_entries_with_different_shard_counts_use_the_stored_count():
+    """An operator changes the number of shards at one entry only.
 
-    Each entry would look for a key in another document and run it.
+    Each entry would look up a key in another document and grant it.
     """
     store = fakes.FakeStore()
     with make_ledger(store, shards=4) as first:
@@ -326,8 +326,8 @@
     + [b'{"version":1,"claims":{"i":[1,2,3,4]},"old":{}}']
     + [b'{"version":1,"claims":{},"old":{"1r":"short"}}'],
 )
-def test_damaged_document_refuses_and_is_left_as_it_is(value):
-    """Somebody overwrites a document by hand; its claims must not be lost."""
+def test_damaged_document_rejects_claims_and_is_not_overwritten(value):
+    """A document is overwritten by hand; its claims must not be lost."""
     store = fakes.FakeStore()
     store.put('claims/0', value, 0)
     with make_ledger(store) as ledger:
