--- a/catkinshunt/configuration/__init__.py
+++ b/catkinshunt/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration accepted last, and how it reaches each process."""
+"""The accepted configuration and its replication to each process."""
 
 from catkinshunt.configuration._announcing import announce
 from catkinshunt.configuration._configuration import Configuration
--- a/catkinshunt/configuration/_announcing.py
+++ b/catkinshunt/configuration/_announcing.py
@@ -1,4 +1,4 @@
-"""Hands a revision just accepted to a few processes directly."""
+"""Pushes a newly accepted revision to a few processes."""
 
 import concurrent.futures
 
@@ -7,7 +7,7 @@
 from catkinshunt import errors
 
 MIN_ACCEPTED = 3
-#: Peers called at most; some that the list shows may be gone.
+#: Maximum number of peers called; some listed peers may have stopped.
 MAX_CALLS = 12
 TIMEOUT_S = 3.0
 
@@ -19,21 +19,21 @@
     random_state=None,
     min_accepted=MIN_ACCEPTED,
 ):
-    """Offer `configuration` to random processes until a few have taken it.
+    """Push `configuration` to random processes until a few accepted it.
 
-    The watchers learn it from the key-value service. If that goes down right
-    after it accepted the edit, nobody would have it before it is back; these
-    few then hand it on.
+    Watchers read it from the key-value service. If the service goes down
+    right after accepting the edit, no process would get it until the service
+    is back; the few that accepted the push disseminate it meanwhile.
 
     Args:
-        configuration: the revision just accepted.
+        configuration: `Configuration` just accepted.
         peering: a `dissemination.BasePeering`.
         members: instances with a control address.
         random_state: seed or `random.Random`.
-        told: how many should have taken it.
+        min_accepted: number of processes that should accept it.
 
     Returns:
-        How many took it.
+        The number of processes that accepted it.
     """
     rng = checks.check_random_state(random_state)
     chosen = rng.sample(members, min(MAX_CALLS, len(members)))
--- a/catkinshunt/configuration/_configuration.py
+++ b/catkinshunt/configuration/_configuration.py
@@ -1,4 +1,4 @@
-"""One accepted revision of the rules."""
+"""One accepted revision of the rules and its document."""
 
 import functools
 import hashlib
@@ -13,9 +13,9 @@
 
 #: Key of the configuration in the key-value service.
 KEY = 'catkinshunt/configuration'
-#: Largest value that the key-value service takes.
+#: Maximum size of a value in the key-value service.
 MAX_BYTES = 1_000_000
-#: Edits kept with the configuration, and the bytes that they may take.
+#: Maximum number and total size of the edits stored with a configuration.
 MAX_EDITS = 64
 MAX_EDIT_BYTES = 64 * 1024
 COMPRESSION_LEVEL = 6
@@ -23,13 +23,13 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class Configuration:
-    """The rules at one revision, with the last edits that led there.
+    """The rules at one revision, with the latest edits.
 
     Args:
-        revision: counter in the document, raised by each accepted edit; 0
-            before the first.
-        held: the rules in order as `EncodedRule`.
-        edits: the last edits, oldest first.
+        revision: counter in the document, incremented by each accepted
+            edit; 0 before the first.
+        encoded_rules: the rules in order as `EncodedRule`.
+        edits: the latest edits, oldest first.
     """
 
     revision: int = 0
@@ -41,16 +41,16 @@
 
     @classmethod
     def from_bytes(cls, value, previous=None):
-        """Read the document as it is kept in the key-value service.
+        """Decode the document stored in the key-value service.
 
         Args:
             value: the document.
-            known: an earlier `Configuration`. Where the edits in the
-                document lead from it to the document, its rules are taken
-                over and only the changed ones are read.
+            previous: an earlier `Configuration`. If the edits in the
+                document lead from it to the document, its rules are reused
+                and only the changed ones are decoded.
 
         Raises:
-            errors.RuleError: the bytes are no accepted configuration.
+            errors.RuleError: the bytes are not a valid configuration.
         """
         try:
             document = checks.load_json(value)
@@ -79,7 +79,7 @@
 
     @functools.cached_property
     def document(self):
-        """The document as bytes; equal configurations give equal bytes."""
+        """The document as bytes; equal configurations yield equal bytes."""
         edits = b','.join(edit.encoded for edit in self.edits)
         lines = b','.join(item.encoded for item in self.encoded_rules)
         return b'{"edits":[%b],"revision":%d,"rules":[%b]}' % (
@@ -95,20 +95,20 @@
 
     @functools.cached_property
     def deflated(self):
-        """The document compressed; kept, as many may ask for it."""
+        """The compressed document, cached because many peers may need it."""
         return zlib.compress(self.document, COMPRESSION_LEVEL)
 
     def edited(self, edit_id, operations):
-        """Return the next revision, made by `operations`.
+        """Return the next revision, produced by `operations`.
 
         Raises:
-            errors.RuleError: an operation does not fit the rules.
+            errors.RuleError: an operation cannot be applied to the rules.
         """
         edit = _edits.Edit(edit_id, self.revision + 1, operations)
         return self.replayed(edit)
 
     def replayed(self, edit):
-        """Return the configuration that `edit` led to.
+        """Return the configuration after `edit`.
 
         Raises:
             errors.RuleError: the edit does not follow this revision.
@@ -127,8 +127,8 @@
     def _replay_to(self, decoded, document):
         """Return this configuration after the edits of `decoded`.
 
-        None is returned where these do not lead to `document`, byte for
-        byte; then the whole of it has to be read.
+        Returns None if the result is not `document` byte for byte; the
+        document must then be decoded completely.
         """
         edits = decoded.edits_after(self.revision)
         if not edits:
@@ -140,41 +140,41 @@
         return replayed if replayed.document == document else None
 
     def check(self, services=None):
-        """Check the rules together, as before an edit is accepted.
+        """Check the rules together, before an edit is accepted.
 
         Raises:
-            errors.RuleError: names every rule and field that is wrong.
+            errors.RuleError: lists every invalid rule and field.
         """
         document = rules.dump_rule_set(self.rule_set)
         rules.load_rule_set(document, services)
         if len(self.document) > MAX_BYTES:
             raise errors.RuleError(
-                f'the rules take {len(self.document)} bytes; the key-value '
-                f'service takes {MAX_BYTES}',
+                f'the rules take {len(self.document)} bytes, the maximum in '
+                f'the key-value service is {MAX_BYTES}',
                 step='check-rules',
             )
 
     def edits_after(self, revision):
-        """Return the edits after `revision`, or None if some are not kept."""
+        """Return the edits after `revision`, or None if some were dropped."""
         edits = tuple(e for e in self.edits if e.revision > revision)
         if len(edits) != max(0, self.revision - revision):
             return None
         return edits
 
     def find_edit(self, edit_id):
-        """Return the kept `Edit` with `edit_id`, or None."""
+        """Return the stored `Edit` with `edit_id`, or None."""
         for edit in self.edits:
             if edit.edit_id == edit_id:
                 return edit
         return None
 
 
-#: What a process holds before it has learnt of any configuration.
+#: Configuration of a process before it has received any.
 EMPTY = Configuration()
 
 
 def _trim_edits(edits):
-    """Drop the oldest edits until the rest is within its bounds."""
+    """Drop the oldest edits until the rest is within the limits."""
     kept = edits[-MAX_EDITS:]
     size = sum(len(edit.encoded) for edit in kept)
     while size > MAX_EDIT_BYTES and len(kept) > 1:
--- a/catkinshunt/configuration/_differences.py
+++ b/catkinshunt/configuration/_differences.py
@@ -1,4 +1,4 @@
-"""Rules files, and the difference that applying one would make."""
+"""Reading rules files and comparing rule sets."""
 
 from catkinshunt.configuration import _edits
 from catkinshunt import errors
@@ -9,7 +9,7 @@
     """Return the checked `rules.RuleSet` in a JSON5 file.
 
     Raises:
-        errors.RuleError: the file cannot be read or its rules accepted.
+        errors.RuleError: the file cannot be read or its rules are invalid.
     """
     return rules.load_rule_set(read_document(path), services)
 
@@ -20,7 +20,7 @@
     Raises:
         errors.RuleError: the file cannot be read.
     """
-    # The reader takes memory that only an operator's command needs.
+    # Imported here to save its memory in processes that read no rules file.
     import json5
 
     try:
@@ -33,7 +33,7 @@
 
 
 def describe_differences(before, after):
-    """Return what leads from one rule set to another, a line for each step.
+    """Return the operations between two rule sets, one line for each.
 
     Examples:
         >>> def load(*names):
--- a/catkinshunt/configuration/_editor.py
+++ b/catkinshunt/configuration/_editor.py
@@ -1,4 +1,4 @@
-"""Operators' edits of the configuration in the key-value service."""
+"""Edits of the configuration in the key-value service."""
 
 import threading
 import uuid
@@ -18,23 +18,23 @@
 class Editor(base.ParamsMixin):
     """Edits the configuration by compare-and-swap.
 
-    Each edit returns the `Configuration` that was accepted, or with
-    ``dry_run`` the one that would be, and raises
+    Each edit returns the accepted `Configuration`, or with ``dry_run`` the
+    one that would be accepted, and raises
 
-    * `errors.RuleError` where the rules after the edit cannot be accepted,
-    * `errors.ConflictError` where somebody else's edit came first; its
-      ``changes`` name what that did,
-    * `errors.StoreUnavailableError` where nothing was written,
-    * `errors.StoreUnknownError` where it is not known whether the edit was
+    * `errors.RuleError` if the rules after the edit are invalid,
+    * `errors.ConflictError` if another edit was accepted first; its
+      ``changes`` describe that edit,
+    * `errors.StoreUnavailableError` if nothing was written,
+    * `errors.StoreUnknownError` if it is unknown whether the edit was
       accepted.
 
     Args:
         store: a `kvstore.BaseKeyValueStore`.
-        services: names of the known services; None leaves them unchecked.
-        tries: how often a write is tried while its outcome is not known.
-        pause_s: seconds between tries.
-        announce: called with each accepted `Configuration`, to hand it to
-            some processes at once; see `announce`.
+        services: names of the known services; None disables the check.
+        tries: maximum attempts at a write whose outcome is unknown.
+        pause_s: seconds between attempts.
+        announce: called with each accepted `Configuration` to push it to
+            some processes; see `announce`.
     """
 
     def __init__(
@@ -52,19 +52,19 @@
         self.announce = announce
 
     def read(self):
-        """Return the `Configuration` accepted last."""
+        """Return the latest accepted `Configuration`."""
         current, _ = self._read()
         return current
 
     def add(self, rule, position=None, expected_revision=None, dry_run=False):
-        """Insert `rule`, as written in a rules file; by default at the end.
+        """Insert a rule as written in a rules file, by default at the end.
 
         Args:
             rule: mapping with ``name``, ``when`` and ``then``.
-            position: place in the order, 0 for the first.
-            expected_revision: revision that the operator saw; None for
-                whichever is read now.
-            dry_run: check only, and write nothing.
+            position: index in the order, 0 for the first.
+            expected_revision: revision that the edit is based on; None for
+                the one read now.
+            dry_run: only check; write nothing.
         """
 
         def steps(current):
@@ -76,7 +76,7 @@
         return self._edit(steps, expected_revision, dry_run)
 
     def move(self, name, position, expected_revision=None, dry_run=False):
-        """Move the rule `name`; the other arguments are as in `add`."""
+        """Move the rule `name`; for the other arguments see `add`."""
         return self._edit(
             lambda current: (_edits.Move(name, position),),
             expected_revision,
@@ -84,15 +84,15 @@
         )
 
     def retire(self, name, expected_revision=None, dry_run=False):
-        """Take the rule `name` away; arguments are as in `add`."""
+        """Remove the rule `name`; for the other arguments see `add`."""
         return self._edit(
             lambda current: (_edits.Retire(name),), expected_revision, dry_run
         )
 
     def apply(self, rule_set, expected_revision=None, dry_run=False):
-        """Make the rules equal to `rule_set`; arguments are as in `add`.
+        """Make the rules equal to `rule_set`; for other arguments see `add`.
 
-        Where they are equal already, nothing is written.
+        If they are equal already, nothing is written.
         """
 
         def steps(current):
@@ -128,10 +128,10 @@
     def _write(self, before, edited, store_revision):
         """Write until it is known whether `edited` was accepted.
 
-        An answer can be lost after its write took effect, and the write can
-        even take effect later. Trying again with the same expected revision
-        is safe: the service lets only one such write through. Which one won
-        is told by the edit's id in what is read back.
+        A response can be lost after the write took effect, and the write can
+        even take effect later. A retry with the same expected revision is
+        safe, since at most one such write succeeds. Reading the document back
+        shows by the id of the edit whether it was accepted.
         """
         outcome_unknown = False
         for attempt in range(self.tries):
@@ -146,7 +146,7 @@
                 result = self._resolve(before, edited, outcome_unknown)
             except errors.StoreUnknownError as exc:
                 outcome_unknown = True
-                _log.warning('Answer to edit lost: {}', exc)
+                _log.warning('The response to the edit was lost: {}.', exc)
                 result = self._resolve(before, edited, outcome_unknown)
             except errors.StoreUnavailableError:
                 if not outcome_unknown:
@@ -157,22 +157,23 @@
         raise _unknown_outcome_error(edited)
 
     def _resolve(self, before, edited, outcome_unknown):
-        """Return `edited` if it was accepted, None if that is still open.
+        """Return `edited` if it was accepted, None if still unknown.
 
         Raises:
-            errors.ConflictError: another edit came first.
+            errors.ConflictError: another edit was accepted first.
+            errors.StoreUnknownError: the edit may have been dropped from the
+                document.
         """
         try:
             current, _ = self._read()
         except errors.StoreError as exc:
-            _log.warning('Edit not read back: {}', exc)
+            _log.warning('Could not read back the edit: {}.', exc)
             return None
         if current.find_edit(edited.edits[-1].edit_id) is not None:
             return edited
         if current.revision <= before.revision:
             return None
-        # Where the edits since then are not all kept, ours may be among
-        # those dropped.
+        # If some edits since then were dropped, this one may be among them.
         if outcome_unknown and current.edits_after(before.revision) is None:
             raise _unknown_outcome_error(edited)
         raise _conflict_error(before.revision, current)
@@ -185,7 +186,7 @@
         text = 'which was never accepted'
     elif edits is None:
         kept = tuple(edit.describe() for edit in current.edits)
-        changes = ('earlier changes are not kept any more', *kept)
+        changes = ('earlier edits are no longer stored', *kept)
         text = '; '.join(changes)
     else:
         changes = tuple(edit.describe() for edit in edits)
@@ -201,7 +202,7 @@
 def _unknown_outcome_error(edited):
     edit_id = edited.edits[-1].edit_id
     return errors.StoreUnknownError(
-        f'it is not known whether the edit was accepted; look for edit '
-        f'{edit_id} at revision {edited.revision} before trying again',
+        f'it is unknown whether the edit was accepted; look for edit '
+        f'{edit_id} at revision {edited.revision} before retrying',
         step='edit-rules',
     )
--- a/catkinshunt/configuration/_edits.py
+++ b/catkinshunt/configuration/_edits.py
@@ -1,4 +1,4 @@
-"""Edits of the ordered rules, as operations that can be replayed."""
+"""Edits of the ordered rules as operations that can be replayed."""
 
 import abc
 import functools
@@ -19,34 +19,34 @@
 
 @attrs.frozen
 class EncodedRule:
-    """A rule with its canonical JSON, so that neither is made twice."""
+    """A rule with its canonical JSON, to decode and encode it only once."""
 
     rule: rules.Rule
     encoded: bytes
 
     @classmethod
     def from_document(cls, document):
-        """Check one rule as it is written in a rules file."""
+        """Check and encode one rule as written in a rules file."""
         rule = rules.load_rule(document)
         return cls(rule, encode(rules.dump_rule(rule)))
 
 
 class BaseOperation(abc.ABC):
-    """One step of an edit."""
+    """One operation of an edit."""
 
-    #: Word under which the operation stands in a document.
+    #: Key of the operation in a document.
     keyword = ''
 
     @abc.abstractmethod
     def apply(self, encoded_rules):
-        """Apply the step in place to a list of `EncodedRule`."""
+        """Apply the operation in place to a list of `EncodedRule`."""
 
     @abc.abstractmethod
     def describe(self):
-        """Return what the step does, in a few words."""
+        """Return a short description of the operation."""
 
     def to_document(self):
-        """Return the step as JSON values."""
+        """Return the operation as JSON values."""
         fields = attrs.asdict(self, recurse=False)
         return {self.keyword: fields}
 
@@ -64,7 +64,7 @@
         """See `BaseOperation.apply`."""
         new = EncodedRule.from_document(self.rule)
         if _rule_names(encoded_rules).count(new.rule.name):
-            _raise_rule_error(f'rule {new.rule.name!r} exists already')
+            _raise_rule_error(f'rule {new.rule.name!r} already exists')
         _check_position(self.position, len(encoded_rules))
         encoded_rules.insert(self.position, new)
 
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class Replace(BaseOperation):
-    """Put a rule in the place of the one with its name."""
+    """Replace the rule of the same name."""
 
     keyword = 'replace'
 
@@ -93,7 +93,7 @@
 
 @attrs.frozen
 class Move(BaseOperation):
-    """Move a rule; the position counts without the rule itself."""
+    """Move a rule; `position` is its index in the other rules."""
 
     keyword = 'move'
 
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class Retire(BaseOperation):
-    """Take a rule away."""
+    """Remove a rule."""
 
     keyword = 'retire'
 
@@ -133,13 +133,13 @@
 
 @attrs.frozen(slots=False)
 class Edit:
-    """An accepted edit, kept with the configuration it led to.
+    """An accepted edit, stored with the configuration that it produced.
 
     Args:
-        edit_id: unique; by it an operator whose answer was lost finds out
-            whether the edit was accepted, also after later edits.
-        revision: the configuration's revision that the edit led to.
-        operations: its steps in order.
+        edit_id: unique id. It shows whether the edit was accepted when the
+            response was lost, even after later edits.
+        revision: revision of the configuration that the edit produced.
+        operations: operations in order.
     """
 
     edit_id: str
@@ -148,10 +148,10 @@
 
     @classmethod
     def from_document(cls, document):
-        """Read what `to_document` wrote.
+        """Decode the output of `to_document`.
 
         Raises:
-            errors.RuleError: the values are no edit.
+            errors.RuleError: the values are not an edit.
         """
         try:
             operations = []
@@ -179,20 +179,20 @@
         return encode(self.to_document())
 
     def describe(self):
-        """Return what the edit did, in a few words."""
+        """Return a short description of the edit."""
         steps = ', '.join(step.describe() for step in self.operations)
         return f'revision {self.revision} {steps}'
 
 
 def plan_operations(current, wanted):
-    """Return the operations that lead from one list of rules to another.
+    """Return the operations that turn one list of rules into another.
 
     Args:
         current: list of `EncodedRule` in force.
-        wanted: list of `EncodedRule` to be in force.
+        wanted: list of `EncodedRule` to put in force.
 
     Returns:
-        A tuple of operations; empty where the lists are equal.
+        A tuple of operations; empty if the lists are equal.
     """
     steps = []
     names = set(_rule_names(wanted))
--- a/catkinshunt/configuration/_replica.py
+++ b/catkinshunt/configuration/_replica.py
@@ -1,4 +1,4 @@
-"""The one configuration in force in a process."""
+"""Replica of the configuration that is in force in a process."""
 
 import threading
 
@@ -7,16 +7,16 @@
 from catkinshunt.dissemination import base
 from catkinshunt import logs
 
-#: Longest revision that is believed.
+#: Longer values of the revision header are ignored.
 MAX_REVISION_DIGITS = 15
 _log = logs.get_logger('configuration')
 
 
 class ConfigurationReplica(base.BaseReplica):
-    """Holds the newest configuration that the process has learnt of.
+    """Holds the newest configuration that the process has received.
 
-    However it is learnt - by a watch, a push, a pull, an old read - only a
-    higher revision takes the place of the one in force, so it never reverts.
+    Whether by a watch, a push, a pull or a stale read: only a higher revision
+    replaces the one in force, so the configuration never reverts.
 
     Examples:
         >>> replica = ConfigurationReplica()
@@ -45,7 +45,7 @@
 
     @property
     def since(self):
-        """Time since when it is in force, or None before the first."""
+        """Time at which it came into force, or None before the first."""
         return self._since
 
     @property
@@ -63,10 +63,10 @@
         return self.offer(updated, now)
 
     def offer(self, configuration, now):
-        """Put `configuration` in force if its revision is higher.
+        """Replace the configuration in force if the revision is higher.
 
         Returns:
-            Whether it was put in force.
+            Whether it was replaced.
         """
         with self._changed:
             if configuration.revision <= self._current.revision:
@@ -79,25 +79,25 @@
         return True
 
     def subscribe(self, callback):
-        """Call ``callback(configuration)`` for each one put in force.
+        """Call ``callback(configuration)`` after each change.
 
-        Calls come one at a time and in rising order; where revisions follow
-        fast, those in between are left out.
+        Calls are serialized, in ascending order of revision; intermediate
+        revisions may be skipped.
         """
         with self._changed:
             self._subscribers.append(callback)
 
     def on_newer_revision(self, callback):
-        """Call ``callback(revision, now)`` where others have a newer one."""
+        """Call ``callback(revision, now)`` if a peer has a newer one."""
         with self._changed:
             self._newer_callbacks.append(callback)
 
     def observe_revision(self, text, now):
-        """Note the revision that a message of another process carries.
+        """Process the revision in a message from another process.
 
         Args:
-            text: value of its header; what is no revision is ignored.
-            now: seconds, monotonic.
+            text: value of the revision header; invalid values are ignored.
+            now: monotonic time, seconds.
         """
         if not text or not text.isascii() or not text.isdigit():
             return
@@ -107,7 +107,7 @@
             callback(int(text), now)
 
     def wait(self, after_revision, timeout_s):
-        """Wait for a revision above `after_revision`; return the current."""
+        """Wait for a revision above `after_revision`; return the latest."""
         with self._changed:
             self._changed.wait_for(
                 lambda: self._current.revision > after_revision, timeout_s
@@ -115,8 +115,9 @@
             return self._current
 
     def _notify_subscribers(self):
-        # Two threads may offer at a time. Without the lock a callback could
-        # see the newer revision first and the older one last, and act on it.
+        # Two threads may call `offer` at the same time. Without the lock a
+        # callback could get the newer revision first and then act on the
+        # older one.
         with self._notify_lock:
             with self._changed:
                 current = self._current
--- a/catkinshunt/configuration/_source.py
+++ b/catkinshunt/configuration/_source.py
@@ -13,11 +13,11 @@
 
 
 class StoreSource(shared.ParamsMixin, base.BaseSource):
-    """Offers each revision that the key-value service shows to a keeper.
+    """Offers each revision read from the key-value service to a replica.
 
     Args:
         store: a `kvstore.BaseKeyValueStore`.
-        keeper: the process's `ConfigurationReplica`.
+        config_replica: `ConfigurationReplica` of the process.
     """
 
     topic = _updates.TOPIC
@@ -42,7 +42,8 @@
                 entry.value, previous=self.config_replica.current
             )
         except errors.RuleError as exc:
-            # Somebody wrote past the editor. The rules in force stay.
-            _log.error('Stored configuration is not usable: {}', exc)
+            # The document was written without the editor. The rules in
+            # force stay.
+            _log.error('The stored configuration is invalid: {}.', exc)
             return
         self.config_replica.offer(decoded, time.monotonic())
--- a/catkinshunt/configuration/_updates.py
+++ b/catkinshunt/configuration/_updates.py
@@ -1,4 +1,4 @@
-"""What one process sends another to bring its configuration up to date."""
+"""Configuration updates sent from one process to another."""
 
 import zlib
 
@@ -8,19 +8,19 @@
 from catkinshunt.dissemination import base
 from catkinshunt import errors
 
-#: Name of the document among those that processes hand on.
+#: Topic of the configuration among the replicated documents.
 TOPIC = 'configuration'
-#: Documents of rules deflate to no less than this part of their size.
+#: Upper bound of the ratio by which a rules document can be compressed.
 MAX_COMPRESSION_RATIO = 25
-#: Guards against a small message that unfolds into a huge document.
+#: Protects against decompression bombs.
 MAX_DOCUMENT_BYTES = 2 * _configuration.MAX_BYTES
 
 
 def make_update(configuration, after_revision):
-    """Return what brings a process at `after_revision` up to date.
+    """Return the update for a process at `after_revision`.
 
-    The edits are smaller by far for a process that is a few revisions
-    behind; the whole document serves one that has just started.
+    It contains the edits, which are much smaller, if the process is a few
+    revisions behind, and the complete document if it has just started.
     """
     if configuration.revision <= after_revision:
         return base.Update(TOPIC, configuration.revision)
@@ -29,8 +29,9 @@
         edits = configuration.edits_after(after_revision)
     if edits is not None:
         lines = tuple(edit.encoded for edit in edits)
-        # Deflating is left out where edits are sure to be smaller; a
-        # document of 1,000 rules takes 10 ms, and every process hands on.
+        # The document is not compressed where the edits are certainly
+        # smaller: compressing 1,000 rules takes 10 ms, in each process that
+        # forwards the update.
         size = sum(map(len, lines))
         small = MAX_COMPRESSION_RATIO * size <= len(configuration.document)
         if small or size <= len(configuration.deflated):
@@ -51,17 +52,17 @@
 
 
 def apply_update(configuration, update):
-    """Return the configuration that `update` leads to.
+    """Return the configuration after `update`.
 
-    An update that is not newer leads to `configuration` itself.
+    An update that is not newer yields `configuration` itself.
 
     Args:
-        configuration: the one in force.
-        update: from another process.
+        configuration: `Configuration` in force.
+        update: `dissemination.base.Update` from another process.
 
     Raises:
-        errors.PeerError: the update does not fit `configuration`, or does
-            not lead to the document that its digest names.
+        errors.PeerError: the update does not apply to `configuration`, or
+            the result does not match its digest.
     """
     if update.revision <= configuration.revision:
         return configuration
@@ -75,11 +76,11 @@
             f'update {update.revision} cannot be applied: {exc}',
             step='apply-update',
         ) from exc
-    # A process of another build may replay an edit differently. It would go
-    # on with other rules than everybody else, and nobody would notice.
+    # A process of another build may replay an edit differently. Without the
+    # check it would silently use different rules from the other processes.
     if (updated.revision, updated.digest) != (update.revision, update.digest):
         raise errors.PeerError(
-            f'update {update.revision} leads to another document',
+            f'update {update.revision} does not match its digest',
             step='apply-update',
         )
     return updated
--- a/catkinshunt/configuration/tests/fakes.py
+++ b/catkinshunt/configuration/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with faults on demand."""
+"""In-memory key-value service with fault injection."""
 
 import threading
 
@@ -10,11 +10,12 @@
     """Compare-and-swap and watches in memory.
 
     Attributes:
-        down: every call fails and does nothing.
-        lose_answers: number of coming writes whose answer is lost after
-            the write took effect.
-        lose_writes: number of coming writes lost on their way.
-        calls: how many calls were made, by name.
+        down: calls fail without effect.
+        lose_answers: number of next writes whose response is lost after
+            they took effect.
+        lose_writes: number of next writes that are lost without effect.
+        before_put: called once before the next write.
+        calls: number of calls by method.
     """
 
     def __init__(self):
@@ -67,7 +68,7 @@
         return self.values[key]
 
     def set_down(self, down):
-        """Begin or end an outage; waiting watches notice it."""
+        """Begin or end an outage; pending watches return."""
         with self._changed:
             self.down = down
             self._changed.notify_all()
@@ -87,7 +88,7 @@
 
 
 def make_rule(name, path=None, reason='closed'):
-    """Return a rule's document that no other such rule covers."""
+    """Return the document of a rule that covers no other such rule."""
     return {
         'name': name,
         'when': {'request': {'path': path or f'/{name}'}},
--- a/catkinshunt/configuration/tests/test_configuration.py
+++ b/catkinshunt/configuration/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of reading the document of a configuration."""
+"""Tests of decoding the document of a configuration."""
 
 import json
 
@@ -17,11 +17,11 @@
 
 
 @pytest.mark.parametrize('behind', [1, 3])
-def test_rules_known_already_are_not_read_again(behind):
+def test_unchanged_rules_are_not_decoded_again(behind):
     """Thousands of rules are in force, and one is added every few seconds.
 
-    A watcher read all of them at each change: 52 ms of processor time for
-    1,000 rules, of which one had changed.
+    Decoding all of them at each change takes a watcher 52 ms of processor
+    time for 1,000 rules, of which one changed.
     """
     history = _history(8)
     previous = history[8 - behind]
@@ -29,17 +29,19 @@
         history[8].document, previous=previous
     )
     assert found.document == history[8].document
-    for ours, theirs in zip(
+    for decoded_rule, previous_rule in zip(
         found.encoded_rules, previous.encoded_rules, strict=False
     ):
-        assert ours is theirs
+        assert decoded_rule is previous_rule
 
 
 @pytest.mark.parametrize('previous', [None, 0, 6])
-def test_a_document_that_its_edits_do_not_lead_to_is_read_whole(previous):
-    """Somebody writes the document past the editor and leaves old edits.
+def test_a_document_that_differs_from_its_edits_is_decoded_completely(
+    previous,
+):
+    """The document is written without the editor and keeps old edits.
 
-    A process that only replayed those would keep rules that nobody accepted.
+    A process that only replayed these would use rules that were replaced.
     """
     history = _history(6)
     document = json.loads(history[6].document)
--- a/catkinshunt/configuration/tests/test_editor.py
+++ b/catkinshunt/configuration/tests/test_editor.py
@@ -1,4 +1,4 @@
-"""Tests of operators' edits and of their races."""
+"""Tests of edits, concurrent ones among them."""
 
 import concurrent.futures
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     ('edit', 'text'),
     [
-        (lambda e: e.add(make_rule('a', '/x')), "'a' exists already"),
+        (lambda e: e.add(make_rule('a', '/x')), "'a' already exists"),
         (lambda e: e.add(make_rule('b'), position=9), 'position must be'),
         (lambda e: e.add(make_rule('b', '/a')), 'cannot be reached'),
         (lambda e: e.add({'name': 'b'}), 'field when'),
@@ -70,9 +70,10 @@
 
 
 def test_a_conflict_names_what_changed(editor):
-    """Two operators look at the same rules and both edit them.
+    """Two operators edit the same revision of the rules.
 
-    The second one must learn what the first one did instead of undoing it.
+    The second edit is rejected with a description of the first instead of
+    undoing it.
     """
     seen = editor.add(make_rule('a')).revision
     editor.add(make_rule('b'))
@@ -90,8 +91,8 @@
         editor.retire('b', expected_revision=9)
 
 
-def test_an_edit_that_slips_in_between_read_and_write_is_named(editor, store):
-    """Another operator's write lands while ours is on its way."""
+def test_an_edit_between_read_and_write_is_reported_as_conflict(editor, store):
+    """Another edit is written between the read and the write of an edit."""
     editor.add(make_rule('a'))
     other = configuration.Editor(store)
     store.before_put = lambda: other.add(make_rule('b'))
@@ -100,11 +101,11 @@
     assert _names(editor.read()) == ['a', 'b']
 
 
-@pytest.mark.parametrize('later', [0, 3])
-def test_a_lost_answer_is_resolved_by_reading_back(editor, store, later):
-    """The write takes effect, its answer is lost, and others edit at once.
+@pytest.mark.parametrize('later_edits', [0, 3])
+def test_a_lost_answer_is_resolved_by_reading_back(editor, store, later_edits):
+    """The write takes effect, its response is lost, other edits follow.
 
-    An operator who were told of a failure would add the rule twice.
+    After an error the operator would add the rule a second time.
     """
     editor.add(make_rule('a'))
     other = configuration.Editor(store)
@@ -112,7 +113,7 @@
 
     def get(key):
         store.get = read
-        for number in range(later):
+        for number in range(later_edits):
             other.add(make_rule(f'later-{number}'))
         return read(key)
 
@@ -127,20 +128,20 @@
     store.put = lose
     assert editor.add(make_rule('b')).revision == 2
     assert _names(editor.read())[:2] == ['a', 'b']
-    assert editor.read().revision == 2 + later
+    assert editor.read().revision == 2 + later_edits
 
 
-def test_a_write_lost_on_its_way_is_tried_again(editor, store):
-    """The connection breaks before the service has seen the write."""
+def test_a_lost_write_is_retried(editor, store):
+    """The connection breaks before the service receives the write."""
     store.lose_writes = 2
     assert editor.add(make_rule('a')).revision == 1
     assert _names(editor.read()) == ['a']
 
 
 def test_an_outage_after_a_lost_answer_is_reported_as_unknown(editor, store):
-    """The answer is lost and the service goes down before it is read back.
+    """The response is lost and the service goes down before the read back.
 
-    The edit may be in force later, so the operator is told to look for it.
+    The edit may come into force later, so the error asks to look for it.
     """
     put = store.put
 
@@ -156,26 +157,26 @@
     assert _names(editor.read()) == ['a']
 
 
-def test_an_outage_before_the_write_is_reported_as_not_done(editor, store):
+def test_an_outage_before_the_write_is_reported_as_not_written(editor, store):
     """The service is down when the operator edits; nothing is written."""
     store.down = True
     with pytest.raises(errors.StoreUnavailableError):
         editor.add(make_rule('a'))
 
 
-def test_racing_operators_lose_no_accepted_edit(store):
-    """Four operators edit at once, and some answers are lost on the way.
+def test_concurrent_editors_lose_no_accepted_edit(store):
+    """Four operators edit concurrently, and some responses are lost.
 
-    Each edit told as accepted must be in the rules at its own revision; the
-    history of accepted revisions must be one line without gaps.
+    Each edit reported as accepted must be in the rules at its own revision;
+    the accepted revisions must be consecutive.
     """
     store.lose_answers = 3
 
-    def work(who):
+    def work(prefix):
         editor = configuration.Editor(store, pause_s=0, tries=20)
         accepted = {}
         for number in range(8):
-            name = f'{who}-{number}'
+            name = f'{prefix}-{number}'
             while name not in accepted:
                 try:
                     accepted[name] = editor.add(make_rule(name)).revision
@@ -208,7 +209,7 @@
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None)
 @hypothesis.given(_RULES, _RULES)
-def test_apply_leads_to_just_the_wanted_rules(before, after):
+def test_apply_yields_exactly_the_wanted_rules(before, after):
     editor = configuration.Editor(fakes.FakeStore())
     editor.apply(_load(before))
     found = editor.apply(_load(after))
--- a/catkinshunt/configuration/tests/test_updates.py
+++ b/catkinshunt/configuration/tests/test_updates.py
@@ -1,4 +1,4 @@
-"""Tests of the keeper and of updates between processes."""
+"""Tests of the configuration replica and of updates between processes."""
 
 import threading
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize('first', [0, 1, 3, 5])
-def test_an_update_leads_to_the_same_document(first):
+def test_an_update_yields_the_same_document(first):
     history = _history(5)
     update = configuration.make_update(history[5], first)
     found = configuration.apply_update(history[first], update)
@@ -30,14 +30,14 @@
     assert found.rule_set == history[5].rule_set
 
 
-def test_a_process_few_revisions_behind_gets_the_edits_only():
+def test_a_process_few_revisions_behind_gets_only_the_edits():
     history = _history(50)
     update = configuration.make_update(history[50], 49)
     assert update.document == b''
     assert update.size < len(history[50].deflated) / 3
 
 
-def test_a_process_far_behind_gets_the_whole_document():
+def test_a_process_far_behind_gets_the_complete_document():
     history = _history(70)
     assert len(history[70].edits) < 70
     update = configuration.make_update(history[70], 1)
@@ -55,10 +55,10 @@
         {'edits': (b'{"revision": 3, "edit_id": "x", "operations": 1}',)},
     ],
 )
-def test_an_update_that_does_not_fit_is_refused(change):
-    """A message is damaged, or a process of another build sends it.
+def test_an_invalid_update_is_rejected(change):
+    """A message is corrupt or comes from a process of another build.
 
-    Without the check two processes would decide by different rules.
+    Without the check two processes would use different rules.
     """
     history = _history(3)
     good = configuration.make_update(history[3], 2)
@@ -79,21 +79,21 @@
 @hypothesis.settings(derandomize=True, database=None, deadline=None)
 @hypothesis.given(st.lists(st.integers(0, 6), max_size=30))
 def test_the_configuration_in_force_never_reverts(order):
-    """Old reads, pushes and pulls arrive in any order and more than once."""
+    """Stale reads, pushes and pulls arrive repeatedly and in any order."""
     history = _history(6)
     config_replica = configuration.ConfigurationReplica()
-    told = []
-    config_replica.subscribe(lambda found: told.append(found.revision))
+    revisions = []
+    config_replica.subscribe(lambda found: revisions.append(found.revision))
     highest = 0
     for now, revision in enumerate(order):
-        taken = config_replica.offer(history[revision], float(now))
-        assert taken == (revision > highest)
+        replaced = config_replica.offer(history[revision], float(now))
+        assert replaced == (revision > highest)
         highest = max(highest, revision)
         assert config_replica.current is history[highest]
-    assert told == sorted(set(told))
+    assert revisions == sorted(set(revisions))
 
 
-def test_wait_returns_when_a_newer_one_is_in_force():
+def test_wait_returns_a_newer_revision():
     history = _history(1)
     config_replica = configuration.ConfigurationReplica()
     thread = threading.Thread(
@@ -104,10 +104,10 @@
     thread.join()
 
 
-def test_the_rules_stay_when_the_stored_document_is_broken():
-    """Somebody writes to the key past the editor.
+def test_the_rules_stay_if_the_stored_document_is_invalid():
+    """An invalid document is written without the editor.
 
-    The rules in force must stay, and the next good edit be taken.
+    The rules in force must stay, and the next valid edit must be accepted.
     """
     store = fakes.FakeStore()
     config_replica = configuration.ConfigurationReplica()
