--- a/catkinshunt/rules/__init__.py
+++ b/catkinshunt/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Ordered when-then rules: the first that matches decides."""
+"""Ordered when-then rules; the first matching rule applies."""
 
 from catkinshunt.rules._actions import Place
 from catkinshunt.rules._actions import Refuse
--- a/catkinshunt/rules/_actions.py
+++ b/catkinshunt/rules/_actions.py
@@ -1,4 +1,4 @@
-"""What a rule may decide for a request or an event."""
+"""Actions of rules for requests and events."""
 
 import attrs
 
@@ -17,14 +17,15 @@
     """Send the request to an upstream of a service.
 
     Args:
-        service: name of the service whose upstreams take the request.
-        model: model that must answer; None for a plain service.
-        version: version of the model; None for the version placed there.
-        policy: name of the routing policy; None for the entry's own.
-        deadline_s: seconds within which the answer must be whole; None for
-            the entry's own.
-        priority: higher goes first in the engine's queue.
-        account_weight: share of the account when accounts compete.
+        service: name of the service whose upstreams receive the request.
+        model: model that must serve the request; None for a plain service.
+        version: version of the model; None for any version placed there.
+        policy: name of the routing policy; None for the default of the
+            entry.
+        deadline_s: time until the response must be complete, seconds; None
+            for the default of the entry.
+        priority: requests of higher priority leave the engine's queue first.
+        account_weight: weight of the account when accounts compete.
     """
 
     keyword = 'route'
@@ -42,11 +43,11 @@
 
 @attrs.frozen
 class Refuse(base.BaseAction):
-    """Refuse the request as not run, or hold no model on the instance.
+    """Reject the request unexecuted, or place no model on the instance.
 
     Args:
-        reason: what the caller is told.
-        retry_after_s: seconds after which the caller may come back.
+        reason: reason given to the client.
+        retry_after_s: seconds after which the client may retry.
     """
 
     keyword = 'refuse'
@@ -59,15 +60,15 @@
 
 @attrs.frozen
 class Place(base.BaseAction):
-    """Hold a model version on the instances that the rule matches.
+    """Place a model version on the instances that match the rule.
 
     Args:
         model: name of the model.
         version: version of its weights.
-        replicas: how many of the instances hold it; None means all.
-        lean: ``'time'`` favours time to N replicas, ``'origin'`` favours
-            few bytes from the origin, a number from 0 (origin) to 1 (time)
-            lies between.
+        replicas: number of instances that hold it; None for all.
+        lean: objective of the transfer. ``'time'`` minimizes the time to N
+            replicas, ``'origin'`` the bytes from the origin; a number from
+            0 (origin) to 1 (time) weighs the two.
 
     Examples:
         >>> Place('tools', '7', lean='origin').time_preference
@@ -83,13 +84,13 @@
 
     @property
     def time_preference(self):
-        """The leaning as a number from 0 (origin) to 1 (time)."""
+        """`lean` as a number from 0 (origin) to 1 (time)."""
         if isinstance(self.lean, str):
             return _fields.NAMED_LEANS[self.lean]
         return float(self.lean)
 
 
-#: Actions allowed for each subject, by the words of the rules file.
+#: Allowed actions by subject and keyword of the rules file.
 ACTIONS = {
     'request': {cls.keyword: cls for cls in (Route, Refuse)},
     'event': {cls.keyword: cls for cls in (Place, Refuse)},
--- a/catkinshunt/rules/_conditions.py
+++ b/catkinshunt/rules/_conditions.py
@@ -1,4 +1,4 @@
-"""Structured conditions on one field."""
+"""Conditions on one field."""
 
 import attrs
 
@@ -6,7 +6,7 @@
 
 
 def _disjoint(first, second):
-    """Return whether it is certain that no value matches both."""
+    """Return whether certainly no value matches both conditions."""
     for one, other in ((first, second), (second, first)):
         values = one.values()
         if values is not None:
@@ -19,7 +19,7 @@
 
 
 class _FiniteMixin:
-    """Conditions that allow a known, finite set of values."""
+    """Mixin of conditions that match a finite set of values."""
 
     def implies(self, other):
         """See `base.BaseCondition.implies`."""
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Equal(_FiniteMixin, base.BaseCondition):
-    """The field has just this value.
+    """The field equals a value.
 
     Examples:
         >>> Equal('GET').matches('GET')
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class OneOf(_FiniteMixin, base.BaseCondition):
-    """The field has one of these values."""
+    """The field equals one of several values."""
 
     choices: tuple = attrs.field(converter=tuple)
     _choice_set: frozenset = attrs.field(init=False, eq=False, repr=False)
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class Prefix(base.BaseCondition):
-    """The field begins with this text.
+    """The field starts with a prefix.
 
     Examples:
         >>> Prefix('/v1/').matches('/v1/chat')
--- a/catkinshunt/rules/_documents.py
+++ b/catkinshunt/rules/_documents.py
@@ -1,4 +1,4 @@
-"""Rules files into checked rule sets, and back."""
+"""Conversion between rules documents and checked rule sets."""
 
 import attrs
 
@@ -14,16 +14,16 @@
 
 
 def load_rule_set(document, services=None):
-    """Check a rules document and return it as a `RuleSet`.
+    """Validate a rules document and return it as a `RuleSet`.
 
     Args:
-        document: mapping with one key ``rules``, a list of mappings with
-            ``name``, ``when`` and ``then``.
-        services: names of the known services; None leaves them unchecked.
+        document: mapping with the single key ``rules``, a list of mappings
+            with ``name``, ``when`` and ``then``.
+        services: names of the known services; None disables the check.
 
     Raises:
-        errors.RuleError: the document cannot be accepted; the message lists
-            all problems, ``problems`` holds them one by one.
+        errors.RuleError: the document is invalid; the message lists all
+            problems, ``problems`` contains them as `Problem`.
 
     Examples:
         >>> load_rule_set({'rules': [{'name': 'a', 'then': {}}]})
@@ -31,14 +31,15 @@
             ...
         catkinshunt.errors.RuleError: rules cannot be accepted:
           rule 'a', field when: is missing
-          rule 'a', field then: must hold an action, one of place, refuse, \
+          rule 'a', field then: must contain one action of place, refuse, \
 route [step check-rules]
     """
     collector = _problems.ProblemCollector()
     rules = _load_rules(document, collector)
     if services is not None:
         _check_services(rules, frozenset(services), collector)
-    # A clause that did not load would make its rule look like a catch-all.
+    # Without its invalid clauses a rule would seem to match more than it does
+    # and to cover later rules.
     invalid = {problem.rule for problem in collector.problems}
     valid_rules = [rule for rule in rules if rule.name not in invalid]
     _reachability.check_reachable(valid_rules, collector)
@@ -47,10 +48,10 @@
 
 
 def load_rule(document):
-    """Return one rule, checked by itself but not against others.
+    """Validate one rule without comparing it with others.
 
     Raises:
-        errors.RuleError: the rule cannot be accepted.
+        errors.RuleError: the rule is invalid.
     """
     collector = _problems.ProblemCollector()
     rule = _load_rule(0, document, collector)
@@ -59,12 +60,12 @@
 
 
 def dump_rule_set(rule_set):
-    """Return `rule_set` as a document that `load_rule_set` takes."""
+    """Return `rule_set` as a document for `load_rule_set`."""
     return {'rules': [dump_rule(rule) for rule in rule_set.rules]}
 
 
 def dump_rule(rule):
-    """Return one rule as it is written in a rules file."""
+    """Return one rule as written in a rules file."""
     clauses = {
         clause.field: clause.condition.to_document()
         for clause in rule.when.clauses
@@ -83,7 +84,7 @@
 
 def _load_rules(document, collector):
     if not isinstance(document, dict) or 'rules' not in document:
-        collector.add('', 'rules', "the document must hold a list 'rules'")
+        collector.add('', 'rules', "the document must contain a list 'rules'")
         return []
     for key in document:
         if key != 'rules':
@@ -125,7 +126,7 @@
     when = item['when']
     known = ' or '.join(_subjects.SUBJECTS)
     if not isinstance(when, dict) or len(when) != 1:
-        collector.add(rule, 'when', f'must hold just one of {known}')
+        collector.add(rule, 'when', f'must contain exactly one of {known}')
         return None
     [(subject, fields)] = when.items()
     if subject not in _subjects.SUBJECTS:
@@ -161,7 +162,7 @@
         return _load_equal(rule, path, value_type, value, collector)
     if len(value) != 1 or next(iter(value)) not in _OPERATORS:
         allowed = ', '.join(_OPERATORS)
-        collector.add(rule, path, f'must hold just one of {allowed}')
+        collector.add(rule, path, f'must contain exactly one of {allowed}')
         return None
     [(operator, operand)] = value.items()
     path = f'{path}.{operator}'
@@ -214,7 +215,7 @@
     then = item.get('then')
     if not isinstance(then, dict) or len(then) != 1:
         known = ', '.join(sorted(actions))
-        collector.add(rule, 'then', f'must hold an action, one of {known}')
+        collector.add(rule, 'then', f'must contain one action of {known}')
         return None
     [(keyword, fields)] = then.items()
     path = f'then.{keyword}'
@@ -267,7 +268,7 @@
         if not isinstance(name, str):
             continue
         if name in seen:
-            collector.add(name, 'name', 'stands twice')
+            collector.add(name, 'name', 'is used twice')
         seen.add(name)
 
 
--- a/catkinshunt/rules/_fields.py
+++ b/catkinshunt/rules/_fields.py
@@ -1,8 +1,8 @@
-"""Validators of the fields of actions; each says what is allowed."""
+"""Validators of action fields; their errors name the allowed values."""
 
 import math
 
-#: Leanings with a name: towards time to N replicas, or few origin bytes.
+#: Named values of `lean`: minimal time to N replicas or origin bytes.
 NAMED_LEANS = {'time': 1.0, 'origin': 0.0}
 
 
@@ -17,7 +17,7 @@
 
 
 def nonempty_text(_instance, _attribute, value):
-    """Allow text that is not empty."""
+    """Allow a non-empty string."""
     if not isinstance(value, str) or not value:
         _raise_value_error('text that is not empty', value)
 
@@ -29,13 +29,13 @@
 
 
 def integer(_instance, _attribute, value):
-    """Allow a whole number."""
+    """Allow an integer."""
     if isinstance(value, bool) or not isinstance(value, int):
         _raise_value_error('a whole number', value)
 
 
 def positive_integer(_instance, _attribute, value):
-    """Allow a whole number of at least 1."""
+    """Allow an integer of at least 1."""
     wrong = isinstance(value, bool) or not isinstance(value, int)
     if wrong or value < 1:
         _raise_value_error('a whole number of at least 1', value)
--- a/catkinshunt/rules/_problems.py
+++ b/catkinshunt/rules/_problems.py
@@ -1,4 +1,4 @@
-"""Problems found in a rules document, collected before any is raised."""
+"""Problems of a rules document, collected and raised together."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class Problem:
-    """One reason why a rules document cannot be accepted.
+    """One reason why a rules document is invalid.
 
     Args:
         rule: name of the rule, or its position such as ``'#2'``; empty for
-            the document itself.
+            the document.
         field: path of the field, such as ``'when.request.path'``.
-        text: what is wrong and what is allowed.
+        text: description of the problem and the allowed values.
     """
 
     rule: str
@@ -28,13 +28,13 @@
 
 
 class ProblemCollector:
-    """Gathers problems so that an author sees all of them at once."""
+    """Collects problems to report all of them in one error."""
 
     def __init__(self):
         self.problems = []
 
     def add(self, rule, field, text):
-        """Note one problem."""
+        """Add a problem."""
         self.problems.append(Problem(rule, field, text))
 
     def raise_any(self):
--- a/catkinshunt/rules/_reachability.py
+++ b/catkinshunt/rules/_reachability.py
@@ -1,16 +1,17 @@
-"""Finds rules that can never decide because an earlier one covers them."""
+"""Detection of rules that an earlier rule makes unreachable."""
 
 import collections
 
 
 def check_reachable(rules, collector):
-    """Add a problem for each rule that one earlier rule covers wholly.
+    """Add a problem for each rule that a single earlier rule covers.
 
-    A rule that several earlier ones cover only together is not found.
+    Rules that are covered only by several earlier rules together are not
+    detected.
 
     Args:
         rules: the rules in order.
-        found: the `ProblemCollector` that takes the problems.
+        collector: `ProblemCollector` of the problems.
     """
     by_service = collections.defaultdict(list)
     for rule in rules:
@@ -24,10 +25,11 @@
 
 
 def _cover_candidates(rule, by_service):
-    """Yield the earlier rules that are worth comparing with `rule`.
+    """Yield the earlier rules that may cover `rule`.
 
-    A rule for some services covers only rules for some of these, so most
-    pairs need no comparison; all pairs of 1,000 rules took a second.
+    A rule for certain services can only cover rules for the same services,
+    so most pairs are skipped; comparing all pairs of 1,000 rules takes a
+    second.
     """
     yield from by_service[rule.when.subject, None]
     services = _services(rule)
@@ -41,7 +43,7 @@
 
 
 def covers(earlier, later):
-    """Return whether `earlier` surely matches all that `later` matches."""
+    """Return whether `earlier` certainly matches whatever `later` does."""
     if earlier.subject != later.subject:
         return False
     for clause in earlier.clauses:
@@ -53,5 +55,5 @@
 
 def _describe_cover(earlier):
     if not earlier.when.clauses:
-        return f'rule {earlier.name!r} before it matches everything'
-    return f'rule {earlier.name!r} before it matches all that it matches'
+        return f'the earlier rule {earlier.name!r} matches everything'
+    return f'the earlier rule {earlier.name!r} matches all that it matches'
--- a/catkinshunt/rules/_rules.py
+++ b/catkinshunt/rules/_rules.py
@@ -1,4 +1,4 @@
-"""Rules, their order, and which one decides."""
+"""Rules and ordered rule sets."""
 
 import attrs
 
@@ -16,20 +16,20 @@
 
 @attrs.frozen
 class When:
-    """The subject of a rule and all clauses that it must meet."""
+    """Kind of subject and the clauses that a subject must all meet."""
 
     subject: str
     clauses: tuple[Clause, ...] = attrs.field(default=(), converter=tuple)
 
     def condition(self, field):
-        """Return the condition on `field`, or None if it is free."""
+        """Return the condition on `field`, or None if there is none."""
         for clause in self.clauses:
             if clause.field == field:
                 return clause.condition
         return None
 
     def matches(self, subject):
-        """Return whether `subject`, of the right class, meets all clauses."""
+        """Return whether `subject` meets all clauses; its class must fit."""
         for clause in self.clauses:
             if not clause.condition.matches(getattr(subject, clause.field)):
                 return False
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Rule:
-    """When a subject matches `when`, `then` decides."""
+    """An action `then` for the subjects that match `when`."""
 
     name: str
     when: When
@@ -47,12 +47,12 @@
 
 @attrs.frozen
 class Explanation:
-    """Whether one rule matches a subject, and if not, why.
+    """Whether a rule matches a subject, and why not.
 
     Args:
         rule: name of the rule.
-        matched: whether all its clauses hold.
-        reasons: one sentence for each clause that does not hold.
+        matched: whether the subject meets all clauses.
+        reasons: one sentence for each clause that is not met.
     """
 
     rule: str
@@ -61,12 +61,12 @@
 
 
 class _Index:
-    """Rules of one subject by the value of one field, each list in order.
+    """Rules of one subject by the value of one field, in order.
 
-    A list is made when its value is first asked for, so that a process
-    that takes many revisions pays only for the values it meets. Only
-    values that some rule names get a list: a caller who sends invented
-    names cannot make the index grow.
+    The list of a value is built at its first lookup, since a process that
+    applies many revisions looks up only some of the values. Only values
+    named by a rule get a list, so that clients which send arbitrary values
+    cannot make the index grow.
     """
 
     def __init__(self, rules, field):
@@ -88,7 +88,7 @@
         return bool(self._named_values)
 
     def candidates(self, value):
-        """Return the rules that may match a subject with this value."""
+        """Return the rules that may match a subject with this `value`."""
         candidates = self._by_value.get(value)
         if candidates is not None:
             return candidates
@@ -111,7 +111,7 @@
 
 @attrs.frozen(slots=False)
 class RuleSet:
-    """Ordered rules; the first that matches decides.
+    """Ordered rules; the first matching rule applies.
 
     Examples:
         >>> from catkinshunt import rules
@@ -133,7 +133,7 @@
         }
 
     def _index(self, keyword, fields):
-        """Return the first useful index of a subject, with its field."""
+        """Return the first useful index of a subject and its field."""
         rules = [rule for rule in self.rules if keyword == _subject(rule)]
         for field in fields:
             index = _Index(rules, field)
--- a/catkinshunt/rules/_subjects.py
+++ b/catkinshunt/rules/_subjects.py
@@ -1,4 +1,4 @@
-"""The two subjects of rules."""
+"""Subjects that rules are matched against."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Request(base.BaseSubject):
-    """A caller's request, as far as rules may look at it."""
+    """Properties of a client request that rules can match."""
 
     keyword = 'request'
     indexed_fields = ('service', 'host')
@@ -25,10 +25,10 @@
 
 @attrs.frozen
 class Event(base.BaseSubject):
-    """Something that happens to an instance.
+    """Properties of an event at an instance that rules can match.
 
-    The kind ``'placement'`` asks which model version the instance should
-    hold.
+    The kind ``'placement'`` selects the model version that the instance
+    should hold.
     """
 
     keyword = 'event'
--- a/catkinshunt/rules/base.py
+++ b/catkinshunt/rules/base.py
@@ -1,10 +1,10 @@
-"""Abstract classes of conditions, actions and subjects."""
+"""Base classes of conditions, actions and subjects."""
 
 import abc
 
 
 class BaseCondition(abc.ABC):
-    """A test of one field of a subject."""
+    """Condition on one field of a subject."""
 
     @abc.abstractmethod
     def matches(self, value):
@@ -12,35 +12,35 @@
 
     @abc.abstractmethod
     def describe(self):
-        """Return what is allowed, in a few words."""
+        """Return a short description of the allowed values."""
 
     @abc.abstractmethod
     def to_document(self):
-        """Return the condition as it is written in a rules file."""
+        """Return the condition as written in a rules file."""
 
     def values(self):
-        """Return the finite set of values that match, or None."""
+        """Return all matching values, or None if they are not finite."""
         return None
 
     @abc.abstractmethod
     def implies(self, other):
-        """Return whether each value matching this also matches `other`.
+        """Return whether every value that matches also matches `other`.
 
-        False also stands for 'not known': callers only conclude from True.
+        False may also mean that this cannot be determined.
         """
 
 
 class BaseAction:
-    """What a rule decides."""
+    """Action of a rule."""
 
-    #: Word under which the action stands in a rules file.
+    #: Key of the action in a rules file.
     keyword = ''
 
 
 class BaseSubject:
-    """What rules are matched against: a request or an event."""
+    """Subject that rules are matched against: a request or an event."""
 
-    #: Word under which conditions on it stand in a rules file.
+    #: Key of conditions on the subject in a rules file.
     keyword = ''
-    #: Fields by which rules can be looked up, the likeliest one first.
+    #: Fields by which rules can be indexed, in order of preference.
     indexed_fields = ()
--- a/catkinshunt/rules/tests/test_documents.py
+++ b/catkinshunt/rules/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of loading, checking and writing rules documents."""
+"""Tests of loading, validating and dumping rules documents."""
 
 import pytest
 
@@ -80,11 +80,11 @@
         ({**_rule(), 'if': 1}, 'if'),
     ],
 )
-def test_a_wrong_rule_is_named_with_its_field(item, field):
+def test_a_problem_names_the_rule_and_the_field(item, field):
     assert _problems(item) == [('a', field)]
 
 
-def test_all_problems_come_at_once():
+def test_all_problems_are_reported_together():
     found = _problems(
         _rule('a', when={'request': {'path': 3}}),
         _rule('b', then={}),
@@ -99,7 +99,7 @@
     ]
 
 
-def test_a_name_that_stands_twice_is_refused():
+def test_a_duplicate_name_is_rejected():
     narrow = {'request': {'path': '/x'}}
     assert _problems(_rule('a', narrow), _rule('a')) == [('a', 'name')]
 
@@ -120,7 +120,7 @@
         ({'path': '/x'}, {'path': '/x', 'method': 'GET'}),
     ],
 )
-def test_a_rule_that_an_earlier_one_covers_is_refused(earlier, later):
+def test_a_rule_that_an_earlier_one_covers_is_rejected(earlier, later):
     first = _rule('first', {'request': earlier})
     second = _rule('second', {'request': later})
     assert _problems(first, second) == [('second', 'when')]
@@ -129,12 +129,12 @@
 
 
 @pytest.mark.parametrize('document', [None, [], {}, {'rules': {}}])
-def test_a_document_of_another_shape_is_refused(document):
+def test_a_document_without_a_list_of_rules_is_rejected(document):
     with pytest.raises(errors.RuleError, match='rules'):
         rules.load_rule_set(document)
 
 
-def test_a_written_rule_set_loads_as_the_same():
+def test_a_dumped_rule_set_equals_its_document():
     when = {
         'request': {
             'path': {'prefix': '/v1'},
--- a/catkinshunt/rules/tests/test_rules.py
+++ b/catkinshunt/rules/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Tests of matching and explaining."""
+"""Tests of matching rules and of explanations."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -45,12 +45,12 @@
         (rules.Event(kind='other'), None),
     ],
 )
-def test_the_first_rule_that_matches_decides(subject, name):
+def test_the_first_matching_rule_applies(subject, name):
     rule = RULE_SET.match(subject)
     assert (rule and rule.name) == name
 
 
-def test_an_explanation_names_each_clause_that_does_not_hold():
+def test_an_explanation_names_each_clause_that_is_not_met():
     request = rules.Request(service='order-desk', method='GET')
     found = RULE_SET.explain(request)
     assert [item.matched for item in found] == [False, False, False]
@@ -82,7 +82,7 @@
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None)
 @hypothesis.given(st.lists(_RULES, max_size=6), _VALUES, _VALUES)
-def test_the_index_finds_what_a_plain_scan_finds(items, service, path):
+def test_the_index_finds_the_same_rule_as_a_scan(items, service, path):
     request = rules.Request(service=service, path=path)
     scan = (rule for rule in items if rule.when.matches(request))
     assert rules.RuleSet(items).match(request) is next(scan, None)
@@ -90,21 +90,23 @@
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None)
 @hypothesis.given(_CONDITIONS, _CONDITIONS, _VALUES)
-def test_an_implied_condition_holds_wherever_the_first_does(one, two, value):
+def test_an_implied_condition_matches_whatever_the_first_matches(
+    one, two, value
+):
     if one.implies(two) and one.matches(value):
         assert two.matches(value)
 
 
 @hypothesis.settings(derandomize=True, database=None, deadline=None)
 @hypothesis.given(st.lists(_RULES, max_size=5))
-def test_only_rules_that_never_decide_are_called_unreachable(items):
+def test_only_rules_that_never_apply_are_reported_as_unreachable(items):
     named = [
-        rules.Rule(f'r{place}', rule.when, rules.Refuse('closed'))
-        for place, rule in enumerate(items)
+        rules.Rule(f'r{index}', rule.when, rules.Refuse('closed'))
+        for index, rule in enumerate(items)
     ]
     rule_set = rules.RuleSet(named)
     values = ['', 'a', 'ab', 'b', 'ba', 'c']
-    deciding = {
+    applied_rules = {
         rule_set.match(rules.Request(service=service, path=path))
         for service in values
         for path in values
@@ -113,4 +115,4 @@
         rules.load_rule_set(rules.dump_rule_set(rule_set))
     except errors.RuleError as exc:
         unreachable = {problem.rule for problem in exc.problems}
-        assert not unreachable & {rule.name for rule in deciding if rule}
+        assert not unreachable & {rule.name for rule in applied_rules if rule}
