--- a/catkinshunt/configuration/_announcing.py
+++ b/catkinshunt/configuration/_announcing.py
@@ -14,7 +14,7 @@
 
 def announce(
     configuration,
-    peering,
+    transport,
     members,
     random_state=None,
     min_accepted=MIN_ACCEPTED,
@@ -27,7 +27,7 @@
 
     Args:
         configuration: `Configuration` just accepted.
-        peering: a `dissemination.BasePeering`.
+        peering: a `dissemination.BasePeerTransport`.
         members: instances with a control address.
         random_state: seed or `random.Random`.
         min_accepted: number of processes that should accept it.
@@ -44,7 +44,7 @@
             chosen[: min_accepted - n_accepted],
             chosen[min_accepted - n_accepted :],
         )
-        futs = [peering.offer(peer, update) for peer in batch]
+        futs = [transport.offer(peer, update) for peer in batch]
         concurrent.futures.wait(futs, TIMEOUT_S)
         n_accepted += sum(_has_accepted(fut, update) for fut in futs)
     return n_accepted
