--- a/catkinshunt/tests/test_fuzz.py
+++ b/catkinshunt/tests/test_fuzz.py
@@ -190,7 +190,7 @@
 
 def read_claims(data):
     document = _document.Document.decode(data, 10000)
-    document.trim(1e9, 60.0, 30.0)
+    document.compact(1e9, 60.0, 30.0)
     json.loads(document.encode())
 
 
