--- a/catkinshunt/claims/_ledger.py
+++ b/catkinshunt/claims/_ledger.py
@@ -81,7 +81,7 @@
         self._cached_entries = {}
 
     def start(self):
-        """Check the parameters and start the committing threads."""
+        """Check the parameters and start the committer threads."""
         for name in ('shards', 'writes_per_s', 'committers'):
             checks.check_positive(getattr(self, name), name)
         for name in ('retention_s', 'commit_timeout_s', 'outage_pause_s'):
--- a/catkinshunt/claims/tests/test_ledger.py
+++ b/catkinshunt/claims/tests/test_ledger.py
@@ -117,10 +117,10 @@
     with make_ledger(store) as ledger:
         stale = try_claim(ledger, 'a1')
         ledger.release(stale, NOW)
-        held = claim_until(ledger, 'a2', claims.State.GRANTED)
+        current = claim_until(ledger, 'a2', claims.State.GRANTED)
         ledger.release(stale, NOW)
         ledger.finish(stale, claims.Outcome(500), NOW)
-        ledger.finish(held, OUTCOME, NOW)
+        ledger.finish(current, OUTCOME, NOW)
         done = claim_until(ledger, 'a3', claims.State.FINISHED)
     assert done.outcome == OUTCOME
 
