--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -190,7 +190,7 @@
     # Queues past capacity.
     Mutation(
         'various-deadlines-are-no-return',
-        'catkinshunt/dispatch/_returning.py',
+        'catkinshunt/dispatch/_client_retry.py',
         'timeouts.max_share >= self.constant_share',
         'True',
     ),
