--- a/catkinshunt/configuration/_announcing.py
+++ b/catkinshunt/configuration/_announcing.py
@@ -1,4 +1,4 @@
-"""Hands a revision just accepted to a few processes directly."""
+"""Pushes a newly accepted revision to a few processes."""
 
 import concurrent.futures
 
@@ -6,42 +6,51 @@
 from catkinshunt.configuration import _updates
 from catkinshunt import errors
 
-TOLD = 3
-#: Peers called at most; some that the list shows may be gone.
+MIN_ACCEPTED = 3
+#: Maximum number of peers called; some listed peers may have stopped.
 MAX_CALLS = 12
 TIMEOUT_S = 3.0
 
 
-def announce(configuration, transport, members, random_state=None, told=TOLD):
-    """Offer `configuration` to random processes until a few have taken it.
+def announce(
+    configuration,
+    transport,
+    members,
+    random_state=None,
+    min_accepted=MIN_ACCEPTED,
+):
+    """Push `configuration` to random processes until a few accepted it.
 
-    The watchers learn it from the key-value service. If that goes down right
-    after it accepted the edit, nobody would have it before it is back; these
-    few then hand it on.
+    Watchers read it from the key-value service. If the service goes down
+    right after accepting the edit, no process would get it until the service
+    is back; the few that accepted the push disseminate it meanwhile.
 
     Args:
-        configuration: the revision just accepted.
+        configuration: `Configuration` just accepted.
         peering: a `dissemination.BasePeerTransport`.
         members: instances with a control address.
         random_state: seed or `random.Random`.
-        told: how many should have taken it.
+        min_accepted: number of processes that should accept it.
 
     Returns:
-        How many took it.
+        The number of processes that accepted it.
     """
     rng = checks.check_random_state(random_state)
     chosen = rng.sample(members, min(MAX_CALLS, len(members)))
     update = _updates.make_update(configuration, configuration.revision - 1)
-    taken = 0
-    while chosen and taken < told:
-        batch, chosen = chosen[: told - taken], chosen[told - taken :]
+    n_accepted = 0
+    while chosen and n_accepted < min_accepted:
+        batch, chosen = (
+            chosen[: min_accepted - n_accepted],
+            chosen[min_accepted - n_accepted :],
+        )
         futs = [transport.offer(peer, update) for peer in batch]
         concurrent.futures.wait(futs, TIMEOUT_S)
-        taken += sum(_took(fut, update) for fut in futs)
-    return taken
+        n_accepted += sum(_has_accepted(fut, update) for fut in futs)
+    return n_accepted
 
 
-def _took(fut, update):
+def _has_accepted(fut, update):
     try:
         return fut.result(timeout=0) >= update.revision
     except (errors.PeerError, TimeoutError):
--- a/catkinshunt/configuration/_editor.py
+++ b/catkinshunt/configuration/_editor.py
@@ -1,4 +1,4 @@
-"""Operators' edits of the configuration in the key-value service."""
+"""Edits of the configuration in the key-value service."""
 
 import threading
 import uuid
@@ -18,23 +18,23 @@
 class Editor(base.ParamsMixin):
     """Edits the configuration by compare-and-swap.
 
-    Each edit returns the `Configuration` that was accepted, or with
-    ``dry_run`` the one that would be, and raises
+    Each edit returns the accepted `Configuration`, or with ``dry_run`` the
+    one that would be accepted, and raises
 
-    * `errors.RuleError` where the rules after the edit cannot be accepted,
-    * `errors.ConflictError` where somebody else's edit came first; its
-      ``changes`` name what that did,
-    * `errors.StoreUnavailableError` where nothing was written,
-    * `errors.StoreUnknownError` where it is not known whether the edit was
+    * `errors.RuleError` if the rules after the edit are invalid,
+    * `errors.ConflictError` if another edit was accepted first; its
+      ``changes`` describe that edit,
+    * `errors.StoreUnavailableError` if nothing was written,
+    * `errors.StoreUnknownError` if it is unknown whether the edit was
       accepted.
 
     Args:
         store: a `kvstore.BaseKeyValueStore`.
-        services: names of the known services; None leaves them unchecked.
-        tries: how often a write is tried while its outcome is not known.
-        pause_s: seconds between tries.
-        announce: called with each accepted `Configuration`, to hand it to
-            some processes at once; see `announce`.
+        services: names of the known services; None disables the check.
+        tries: maximum attempts at a write whose outcome is unknown.
+        pause_s: seconds between attempts.
+        announce: called with each accepted `Configuration` to push it to
+            some processes; see `announce`.
     """
 
     def __init__(
@@ -52,31 +52,31 @@
         self.announce = announce
 
     def read(self):
-        """Return the `Configuration` accepted last."""
+        """Return the latest accepted `Configuration`."""
         current, _ = self._read()
         return current
 
     def add(self, rule, position=None, expected_revision=None, dry_run=False):
-        """Insert `rule`, as written in a rules file; by default at the end.
+        """Insert a rule as written in a rules file, by default at the end.
 
         Args:
             rule: mapping with ``name``, ``when`` and ``then``.
-            position: place in the order, 0 for the first.
-            expected_revision: revision that the operator saw; None for
-                whichever is read now.
-            dry_run: check only, and write nothing.
+            position: index in the order, 0 for the first.
+            expected_revision: revision that the edit is based on; None for
+                the one read now.
+            dry_run: only check; write nothing.
         """
 
         def steps(current):
-            place = (
+            index = (
                 len(current.encoded_rules) if position is None else position
             )
-            return (_edits.Add(rule, place),)
+            return (_edits.Add(rule, index),)
 
         return self._edit(steps, expected_revision, dry_run)
 
     def move(self, name, position, expected_revision=None, dry_run=False):
-        """Move the rule `name`; the other arguments are as in `add`."""
+        """Move the rule `name`; for the other arguments see `add`."""
         return self._edit(
             lambda current: (_edits.Move(name, position),),
             expected_revision,
@@ -84,28 +84,28 @@
         )
 
     def retire(self, name, expected_revision=None, dry_run=False):
-        """Take the rule `name` away; arguments are as in `add`."""
+        """Remove the rule `name`; for the other arguments see `add`."""
         return self._edit(
             lambda current: (_edits.Retire(name),), expected_revision, dry_run
         )
 
     def apply(self, rule_set, expected_revision=None, dry_run=False):
-        """Make the rules equal to `rule_set`; arguments are as in `add`.
+        """Make the rules equal to `rule_set`; for other arguments see `add`.
 
-        Where they are equal already, nothing is written.
+        If they are equal already, nothing is written.
         """
 
         def steps(current):
             items = rules.dump_rule_set(rule_set)['rules']
             wanted = [_edits.EncodedRule.from_document(item) for item in items]
-            return _edits.plan(current.encoded_rules, wanted)
+            return _edits.plan_operations(current.encoded_rules, wanted)
 
         return self._edit(steps, expected_revision, dry_run)
 
     def _edit(self, make_steps, expected_revision, dry_run):
-        current, stored = self._read()
+        current, store_revision = self._read()
         if expected_revision not in (None, current.revision):
-            raise _conflict(expected_revision, current)
+            raise _conflict_error(expected_revision, current)
         steps = make_steps(current)
         if not steps:
             return current
@@ -113,7 +113,7 @@
         edited.check(self.services)
         if dry_run:
             return edited
-        accepted = self._write(current, edited, stored)
+        accepted = self._write(current, edited, store_revision)
         if self.announce is not None:
             self.announce(accepted)
         return accepted
@@ -125,65 +125,68 @@
         current = _configuration.Configuration.from_bytes(entry.value)
         return current, entry.revision
 
-    def _write(self, before, edited, stored):
+    def _write(self, before, edited, store_revision):
         """Write until it is known whether `edited` was accepted.
 
-        An answer can be lost after its write took effect, and the write can
-        even take effect later. Trying again with the same expected revision
-        is safe: the service lets only one such write through. Which one won
-        is told by the edit's id in what is read back.
+        A response can be lost after the write took effect, and the write can
+        even take effect later. A retry with the same expected revision is
+        safe, since at most one such write succeeds. Reading the document back
+        shows by the id of the edit whether it was accepted.
         """
-        in_doubt = False
+        outcome_unknown = False
         for attempt in range(self.tries):
             if attempt:
                 threading.Event().wait(self.pause_s)
             try:
-                self.store.put(_configuration.KEY, edited.document, stored)
+                self.store.put(
+                    _configuration.KEY, edited.document, store_revision
+                )
                 return edited
             except errors.ConflictError:
-                found = self._settle(before, edited, in_doubt)
+                result = self._resolve(before, edited, outcome_unknown)
             except errors.StoreUnknownError as exc:
-                in_doubt = True
-                _log.warning('Answer to edit lost: {}', exc)
-                found = self._settle(before, edited, in_doubt)
+                outcome_unknown = True
+                _log.warning('The response to the edit was lost: {}.', exc)
+                result = self._resolve(before, edited, outcome_unknown)
             except errors.StoreUnavailableError:
-                if not in_doubt:
+                if not outcome_unknown:
                     raise
-                found = None
-            if found is not None:
-                return found
-        raise _unknown(edited)
+                result = None
+            if result is not None:
+                return result
+        raise _unknown_outcome_error(edited)
 
-    def _settle(self, before, edited, in_doubt):
-        """Return `edited` if it was accepted, None if that is still open.
+    def _resolve(self, before, edited, outcome_unknown):
+        """Return `edited` if it was accepted, None if still unknown.
 
         Raises:
-            errors.ConflictError: another edit came first.
+            errors.ConflictError: another edit was accepted first.
+            errors.StoreUnknownError: the edit may have been dropped from the
+                document.
         """
         try:
             current, _ = self._read()
         except errors.StoreError as exc:
-            _log.warning('Edit not read back: {}', exc)
+            _log.warning('Could not read back the edit: {}.', exc)
             return None
         if current.find_edit(edited.edits[-1].edit_id) is not None:
             return edited
         if current.revision <= before.revision:
             return None
-        # Where the edits since then are not all kept, ours may be among
-        # those dropped.
-        if in_doubt and current.edits_after(before.revision) is None:
-            raise _unknown(edited)
-        raise _conflict(before.revision, current)
+        # If some edits since then were dropped, this one may be among them.
+        if outcome_unknown and current.edits_after(before.revision) is None:
+            raise _unknown_outcome_error(edited)
+        raise _conflict_error(before.revision, current)
 
 
-def _conflict(expected_revision, current):
+def _conflict_error(expected_revision, current):
     edits = current.edits_after(expected_revision)
     if current.revision < expected_revision:
         changes = ()
         text = 'which was never accepted'
     elif edits is None:
         kept = tuple(edit.describe() for edit in current.edits)
-        changes = ('earlier changes are not kept any more', *kept)
+        changes = ('earlier edits are no longer stored', *kept)
         text = '; '.join(changes)
     else:
         changes = tuple(edit.describe() for edit in edits)
@@ -196,10 +199,10 @@
     )
 
 
-def _unknown(edited):
+def _unknown_outcome_error(edited):
     edit_id = edited.edits[-1].edit_id
     return errors.StoreUnknownError(
-        f'it is not known whether the edit was accepted; look for edit '
-        f'{edit_id} at revision {edited.revision} before trying again',
+        f'it is unknown whether the edit was accepted; look for edit '
+        f'{edit_id} at revision {edited.revision} before retrying',
         step='edit-rules',
     )
--- a/catkinshunt/configuration/_edits.py
+++ b/catkinshunt/configuration/_edits.py
@@ -1,4 +1,4 @@
-"""Edits of the ordered rules, as operations that can be replayed."""
+"""Edits of the ordered rules as operations that can be replayed."""
 
 import abc
 import functools
@@ -19,34 +19,34 @@
 
 @attrs.frozen
 class EncodedRule:
-    """A rule with its canonical JSON, so that neither is made twice."""
+    """A rule with its canonical JSON, to decode and encode it only once."""
 
     rule: rules.Rule
-    line: bytes
+    encoded: bytes
 
     @classmethod
     def from_document(cls, document):
-        """Check one rule as it is written in a rules file."""
+        """Check and encode one rule as written in a rules file."""
         rule = rules.load_rule(document)
         return cls(rule, encode(rules.dump_rule(rule)))
 
 
 class BaseOperation(abc.ABC):
-    """One step of an edit."""
+    """One operation of an edit."""
 
-    #: Word under which the operation stands in a document.
+    #: Key of the operation in a document.
     keyword = ''
 
     @abc.abstractmethod
-    def apply(self, held):
-        """Carry the step out on the list `encoded_rules` of `EncodedRule`, in place."""
+    def apply(self, encoded_rules):
+        """Apply the operation in place to a list of `EncodedRule`."""
 
     @abc.abstractmethod
     def describe(self):
-        """Return what the step does, in a few words."""
+        """Return a short description of the operation."""
 
     def to_document(self):
-        """Return the step as JSON values."""
+        """Return the operation as JSON values."""
         fields = attrs.asdict(self, recurse=False)
         return {self.keyword: fields}
 
@@ -60,13 +60,13 @@
     rule: dict
     position: int
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
         new = EncodedRule.from_document(self.rule)
-        if _names(held).count(new.rule.name):
-            _fail(f'rule {new.rule.name!r} exists already')
-        _check_position(self.position, len(held))
-        held.insert(self.position, new)
+        if _rule_names(encoded_rules).count(new.rule.name):
+            _raise_rule_error(f'rule {new.rule.name!r} already exists')
+        _check_position(self.position, len(encoded_rules))
+        encoded_rules.insert(self.position, new)
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -75,16 +75,16 @@
 
 @attrs.frozen
 class Replace(BaseOperation):
-    """Put a rule in the place of the one with its name."""
+    """Replace the rule of the same name."""
 
     keyword = 'replace'
 
     rule: dict
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
         new = EncodedRule.from_document(self.rule)
-        held[_find(held, new.rule.name)] = new
+        encoded_rules[_find_position(encoded_rules, new.rule.name)] = new
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -93,18 +93,18 @@
 
 @attrs.frozen
 class Move(BaseOperation):
-    """Move a rule; the position counts without the rule itself."""
+    """Move a rule; `position` is its index in the other rules."""
 
     keyword = 'move'
 
     name: str
     position: int
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
-        moved = held.pop(_find(held, self.name))
-        _check_position(self.position, len(held))
-        held.insert(self.position, moved)
+        moved = encoded_rules.pop(_find_position(encoded_rules, self.name))
+        _check_position(self.position, len(encoded_rules))
+        encoded_rules.insert(self.position, moved)
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -113,15 +113,15 @@
 
 @attrs.frozen
 class Retire(BaseOperation):
-    """Take a rule away."""
+    """Remove a rule."""
 
     keyword = 'retire'
 
     name: str
 
-    def apply(self, held):
+    def apply(self, encoded_rules):
         """See `BaseOperation.apply`."""
-        del held[_find(held, self.name)]
+        del encoded_rules[_find_position(encoded_rules, self.name)]
 
     def describe(self):
         """See `BaseOperation.describe`."""
@@ -133,13 +133,13 @@
 
 @attrs.frozen(slots=False)
 class Edit:
-    """An accepted edit, kept with the configuration it led to.
+    """An accepted edit, stored with the configuration that it produced.
 
     Args:
-        edit_id: unique; by it an operator whose answer was lost finds out
-            whether the edit was accepted, also after later edits.
-        revision: the configuration's revision that the edit led to.
-        operations: its steps in order.
+        edit_id: unique id. It shows whether the edit was accepted when the
+            response was lost, even after later edits.
+        revision: revision of the configuration that the edit produced.
+        operations: operations in order.
     """
 
     edit_id: str
@@ -148,10 +148,10 @@
 
     @classmethod
     def from_document(cls, document):
-        """Read what `to_document` wrote.
+        """Decode the output of `to_document`.
 
         Raises:
-            errors.RuleError: the values are no edit.
+            errors.RuleError: the values are not an edit.
         """
         try:
             operations = []
@@ -174,66 +174,68 @@
         }
 
     @functools.cached_property
-    def line(self):
+    def encoded(self):
         """The edit as canonical JSON bytes."""
         return encode(self.to_document())
 
     def describe(self):
-        """Return what the edit did, in a few words."""
+        """Return a short description of the edit."""
         steps = ', '.join(step.describe() for step in self.operations)
         return f'revision {self.revision} {steps}'
 
 
-def plan(current, wanted):
-    """Return the operations that lead from one list of rules to another.
+def plan_operations(current, wanted):
+    """Return the operations that turn one list of rules into another.
 
     Args:
         current: list of `EncodedRule` in force.
-        wanted: list of `EncodedRule` to be in force.
+        wanted: list of `EncodedRule` to put in force.
 
     Returns:
-        A tuple of operations; empty where the lists are equal.
+        A tuple of operations; empty if the lists are equal.
     """
     steps = []
-    names = set(_names(wanted))
-    for held in current:
-        if held.rule.name not in names:
-            steps.append(Retire(held.rule.name))
-    lines = {held.rule.name: held.line for held in current}
-    for held in wanted:
-        known = lines.get(held.rule.name)
-        if known is not None and known != held.line:
-            steps.append(Replace(rules.dump_rule(held.rule)))
-    order = [held.rule.name for held in current if held.rule.name in names]
-    for position, held in enumerate(wanted):
-        name = held.rule.name
+    names = set(_rule_names(wanted))
+    for item in current:
+        if item.rule.name not in names:
+            steps.append(Retire(item.rule.name))
+    encoded_by_name = {item.rule.name: item.encoded for item in current}
+    for item in wanted:
+        known = encoded_by_name.get(item.rule.name)
+        if known is not None and known != item.encoded:
+            steps.append(Replace(rules.dump_rule(item.rule)))
+    order = [item.rule.name for item in current if item.rule.name in names]
+    for position, item in enumerate(wanted):
+        name = item.rule.name
         if position < len(order) and order[position] == name:
             continue
-        if name in lines:
+        if name in encoded_by_name:
             order.remove(name)
             steps.append(Move(name, position))
         else:
-            steps.append(Add(rules.dump_rule(held.rule), position))
+            steps.append(Add(rules.dump_rule(item.rule), position))
         order.insert(position, name)
     return tuple(steps)
 
 
-def _names(held):
-    return [item.rule.name for item in held]
+def _rule_names(encoded_rules):
+    return [item.rule.name for item in encoded_rules]
 
 
-def _find(held, name):
-    for position, item in enumerate(held):
+def _find_position(encoded_rules, name):
+    for position, item in enumerate(encoded_rules):
         if item.rule.name == name:
             return position
-    return _fail(f'there is no rule {name!r}')
+    return _raise_rule_error(f'there is no rule {name!r}')
 
 
 def _check_position(position, last):
     wrong = isinstance(position, bool) or not isinstance(position, int)
     if wrong or not 0 <= position <= last:
-        _fail(f'position must be from 0 to {last}, got {position!r}')
+        _raise_rule_error(
+            f'position must be from 0 to {last}, got {position!r}'
+        )
 
 
-def _fail(text):
+def _raise_rule_error(text):
     raise errors.RuleError(text, step='edit-rules')
--- a/catkinshunt/configuration/_replica.py
+++ b/catkinshunt/configuration/_replica.py
@@ -1,4 +1,4 @@
-"""The one configuration in force in a process."""
+"""Replica of the configuration that is in force in a process."""
 
 import threading
 
@@ -7,23 +7,23 @@
 from catkinshunt.dissemination import base
 from catkinshunt import logs
 
-#: Longest revision that is believed.
-MAX_DIGITS = 15
+#: Longer values of the revision header are ignored.
+MAX_REVISION_DIGITS = 15
 _log = logs.get_logger('configuration')
 
 
 class ConfigurationReplica(base.BaseReplica):
-    """Holds the newest configuration that the process has learnt of.
+    """Holds the newest configuration that the process has received.
 
-    However it is learnt - by a watch, a push, a pull, an old read - only a
-    higher revision takes the place of the one in force, so it never reverts.
+    Whether by a watch, a push, a pull or a stale read: only a higher revision
+    replaces the one in force, so the configuration never reverts.
 
     Examples:
-        >>> config_replica = ConfigurationReplica()
+        >>> replica = ConfigurationReplica()
         >>> first = _configuration.Configuration(revision=1)
-        >>> config_replica.offer(first, now=0.0), config_replica.offer(first, now=1.0)
+        >>> replica.offer(first, now=0.0), replica.offer(first, now=1.0)
         (True, False)
-        >>> config_replica.current
+        >>> replica.current
         Configuration(revision=1)
     """
 
@@ -32,11 +32,11 @@
     def __init__(self):
         self._current = _configuration.EMPTY
         self._since = None
-        self._callbacks = []
-        self._listeners = []
+        self._subscribers = []
+        self._newer_callbacks = []
         self._changed = threading.Condition()
-        self._telling = threading.Lock()
-        self._told = 0
+        self._notify_lock = threading.Lock()
+        self._notified_revision = 0
 
     @property
     def current(self):
@@ -45,7 +45,7 @@
 
     @property
     def since(self):
-        """Time since when it is in force, or None before the first."""
+        """Time at which it came into force, or None before the first."""
         return self._since
 
     @property
@@ -59,14 +59,14 @@
 
     def apply_update(self, update, now):
         """See `base.BaseReplica.apply_update`."""
-        found = _updates.apply_update(self._current, update)
-        return self.offer(found, now)
+        updated = _updates.apply_update(self._current, update)
+        return self.offer(updated, now)
 
     def offer(self, configuration, now):
-        """Put `configuration` in force if its revision is higher.
+        """Replace the configuration in force if the revision is higher.
 
         Returns:
-            Whether it was put in force.
+            Whether it was replaced.
         """
         with self._changed:
             if configuration.revision <= self._current.revision:
@@ -75,54 +75,55 @@
             self._since = now
             self._changed.notify_all()
         _log.info('Revision {} is in force.', configuration.revision)
-        self._tell()
+        self._notify_subscribers()
         return True
 
     def subscribe(self, callback):
-        """Call ``callback(configuration)`` for each one put in force.
+        """Call ``callback(configuration)`` after each change.
 
-        Calls come one at a time and in rising order; where revisions follow
-        fast, those in between are left out.
+        Calls are serialized, in ascending order of revision; intermediate
+        revisions may be skipped.
         """
         with self._changed:
-            self._callbacks.append(callback)
+            self._subscribers.append(callback)
 
     def on_newer_revision(self, callback):
-        """Call ``callback(revision, now)`` where others have a newer one."""
+        """Call ``callback(revision, now)`` if a peer has a newer one."""
         with self._changed:
-            self._listeners.append(callback)
+            self._newer_callbacks.append(callback)
 
     def observe_revision(self, text, now):
-        """Note the revision that a message of another process carries.
+        """Process the revision in a message from another process.
 
         Args:
-            text: value of its header; what is no revision is ignored.
-            now: seconds, monotonic.
+            text: value of the revision header; invalid values are ignored.
+            now: monotonic time, seconds.
         """
         if not text or not text.isascii() or not text.isdigit():
             return
-        if len(text) > MAX_DIGITS or int(text) <= self.revision:
+        if len(text) > MAX_REVISION_DIGITS or int(text) <= self.revision:
             return
-        for callback in tuple(self._listeners):
+        for callback in tuple(self._newer_callbacks):
             callback(int(text), now)
 
     def wait(self, after_revision, timeout_s):
-        """Wait for a revision above `after_revision`; return the current."""
+        """Wait for a revision above `after_revision`; return the latest."""
         with self._changed:
             self._changed.wait_for(
                 lambda: self._current.revision > after_revision, timeout_s
             )
             return self._current
 
-    def _tell(self):
-        # Two threads may offer at a time. Without the lock a callback could
-        # see the newer revision first and the older one last, and act on it.
-        with self._telling:
+    def _notify_subscribers(self):
+        # Two threads may call `offer` at the same time. Without the lock a
+        # callback could get the newer revision first and then act on the
+        # older one.
+        with self._notify_lock:
             with self._changed:
                 current = self._current
-                callbacks = tuple(self._callbacks)
-            if current.revision <= self._told:
+                callbacks = tuple(self._subscribers)
+            if current.revision <= self._notified_revision:
                 return
-            self._told = current.revision
+            self._notified_revision = current.revision
             for callback in callbacks:
                 callback(current)
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -96,7 +96,8 @@
         pool: `httpio.ConnectionPool`.
         deployment_key: secret that sidecars ask for.
         stall_s: longest wait for the next piece of an answer.
-        keeper: `configuration.ConfigurationReplica` whose revision rides along.
+        config_replica: `configuration.ConfigurationReplica`; its revision
+            is sent with each request.
     """
 
     def __init__(
--- a/catkinshunt/rules/_reachability.py
+++ b/catkinshunt/rules/_reachability.py
@@ -1,33 +1,35 @@
-"""Finds rules that can never decide because an earlier one covers them."""
+"""Detection of rules that an earlier rule makes unreachable."""
 
 import collections
 
 
-def check_reachable(rules, found):
-    """Add a problem for each rule that one earlier rule covers wholly.
+def check_reachable(rules, collector):
+    """Add a problem for each rule that a single earlier rule covers.
 
-    A rule that several earlier ones cover only together is not found.
+    Rules that are covered only by several earlier rules together are not
+    detected.
 
     Args:
         rules: the rules in order.
-        found: the `Collector` that takes the problems.
+        collector: `ProblemCollector` of the problems.
     """
     by_service = collections.defaultdict(list)
     for rule in rules:
-        for earlier in _may_cover(rule, by_service):
+        for earlier in _cover_candidates(rule, by_service):
             if covers(earlier.when, rule.when):
-                text = f'cannot be reached: {_why(earlier)}'
-                found.add(rule.name, 'when', text)
+                text = f'cannot be reached: {_describe_cover(earlier)}'
+                collector.add(rule.name, 'when', text)
                 break
         for service in _services(rule) or (None,):
             by_service[rule.when.subject, service].append(rule)
 
 
-def _may_cover(rule, by_service):
-    """Yield the earlier rules that are worth comparing with `rule`.
+def _cover_candidates(rule, by_service):
+    """Yield the earlier rules that may cover `rule`.
 
-    A rule for some services covers only rules for some of these, so most
-    pairs need no comparison; all pairs of 1,000 rules took a second.
+    A rule for certain services can only cover rules for the same services,
+    so most pairs are skipped; comparing all pairs of 1,000 rules takes a
+    second.
     """
     yield from by_service[rule.when.subject, None]
     services = _services(rule)
@@ -41,7 +43,7 @@
 
 
 def covers(earlier, later):
-    """Return whether `earlier` surely matches all that `later` matches."""
+    """Return whether `earlier` certainly matches whatever `later` does."""
     if earlier.subject != later.subject:
         return False
     for clause in earlier.clauses:
@@ -51,7 +53,7 @@
     return True
 
 
-def _why(earlier):
+def _describe_cover(earlier):
     if not earlier.when.clauses:
-        return f'rule {earlier.name!r} before it matches everything'
-    return f'rule {earlier.name!r} before it matches all that it matches'
+        return f'the earlier rule {earlier.name!r} matches everything'
+    return f'the earlier rule {earlier.name!r} matches all that it matches'
