--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -35,7 +35,7 @@
 _FORWARD = 'catkinshunt/sidecar/_forward.py'
 _SIDECAR = 'catkinshunt/sidecar/_app.py'
 _STORE = 'catkinshunt/weights/_store.py'
-_SLOT = 'catkinshunt/engines/_slot.py'
+_SLOT = 'catkinshunt/engines/_weights_endpoint.py'
 
 MUTATIONS = (
     # At most once.
@@ -573,15 +573,15 @@
     ),
     Mutation(
         'several-peers-at-start',
-        'catkinshunt/dissemination/_spreader.py',
+        'catkinshunt/dissemination/_disseminator.py',
         'START_PEERS = 3',
         'START_PEERS = 1',
     ),
     Mutation(
         'deputy-takes-over',
-        'catkinshunt/dissemination/_duty.py',
-        'if not self.contacts.lost(name)]',
-        'if True]',
+        'catkinshunt/dissemination/_watch_election.py',
+        'if not self.peer_health.is_unresponsive(name)',
+        'if True',
     ),
     # Requests that crash their upstreams.
     Mutation(
--- a/catkinshunt/control/_headers.py
+++ b/catkinshunt/control/_headers.py
@@ -7,7 +7,7 @@
 from catkinshunt.httpio import headers
 
 
-class RevisionApp(base.ParamsMixin):
+class RevisionMiddleware(base.ParamsMixin):
     """Wraps a WSGI application that other processes of the system call.
 
     It notes the revision that a request names and names its own in the
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -54,7 +54,7 @@
                 instance_list_period_s=0.1,
             ),
         )
-        return control.ControlPlane(cfg, pull_period_s=0.1, watch_s=1.0)
+        return control.ControlPlane(cfg, pull_period_s=0.1, watch_wait_s=1.0)
 
     def list_plane(self, plane):
         """Show a started plane in the list."""
@@ -237,7 +237,7 @@
     keeper = configuration.Keeper()
     noted = []
     keeper.listen(lambda number, now: noted.append(number))
-    app = control.RevisionApp(FakeApp(), keeper, KEY)
+    app = control.RevisionMiddleware(FakeApp(), keeper, KEY)
     environ = {
         'HTTP_CATKINSHUNT_REVISION': revision,
         'HTTP_CATKINSHUNT_KEY': key,
--- a/catkinshunt/dissemination/tests/test_history.py
+++ b/catkinshunt/dissemination/tests/test_history.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from catkinshunt.dissemination.tests import fakes
-from catkinshunt.dissemination.tests import test_spreader
+from catkinshunt.dissemination.tests import test_disseminator
 
 SIZE = 8
 _NUMBERS = st.integers(0, SIZE - 1)
@@ -34,7 +34,7 @@
         self.now += 1.0
         name = f'i{number}'
         network = self.fleet.network
-        history = test_spreader.HISTORY
+        history = test_disseminator.HISTORY
         if kind == 'accept' and self.accepted < len(history) - 1:
             self.accepted += 1
             self.fleet.accept(history[self.accepted], [name], self.now)
@@ -62,7 +62,7 @@
             revision = keeper.revision
             assert revision >= self.seen[name]
             self.seen[name] = revision
-            expected = test_spreader.HISTORY[revision]
+            expected = test_disseminator.HISTORY[revision]
             assert keeper.current.document == expected.document
 
 
@@ -83,6 +83,6 @@
     run.fleet.network.groups = {}
     run.fleet.network.dead = set()
     highest = max(run.seen.values())
-    test_spreader.settle(run.fleet, highest, rounds=40, now=10_000.0)
+    test_disseminator.settle(run.fleet, highest, rounds=40, now=10_000.0)
     run.check()
     assert not run.fleet.behind(highest)
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -58,7 +58,7 @@
         self._chunks = weights.ChunkApp(
             self._agent, self.cfg.deployment_key, self._agent.upload_share
         )
-        self._slot = engines.WeightsSlot(
+        self._slot = engines.WeightsEndpoint(
             self.cfg.host, self.port, self._agent.transfer
         )
         thread = threading.Thread(
@@ -188,7 +188,7 @@
 
     def _list_members(self, wanted):
         """Return the instances that want the same version."""
-        names = control.find_holders(
+        names = control.find_replica_names(
             self.follower.current.rule_set,
             self._instance(),
             self.directory.instances,
--- a/catkinshunt/sidecar/_process.py
+++ b/catkinshunt/sidecar/_process.py
@@ -27,7 +27,7 @@
         )
         self._app = _app.SidecarApp(self.cfg, self._placement)
         registry = metrics.Registry()
-        app = control.RevisionApp(
+        app = control.RevisionMiddleware(
             self._app, self._control.keeper, self.cfg.deployment_key
         )
         app = weights.LiveTrafficApp(app, self._placement.observe)
