--- a/benchmarks/bench_configuration.py
+++ b/benchmarks/bench_configuration.py
@@ -68,7 +68,7 @@
     def __init__(self, size, fanout, dead_share):
         self.rng = random.Random(size)
         self.fleet = fakes.Fleet(size, 3, fanout, random_state=1)
-        self.names = list(self.fleet.keepers)
+        self.names = list(self.fleet.config_replicas)
         self.fleet.accept(HISTORY[0], self.names)
         self.fleet.push(0.0)
         dead = self.rng.sample(self.names, round(dead_share * size))
@@ -139,7 +139,7 @@
 class Node:
     """The control parts of one process over real sockets."""
 
-    keeper: configuration.Keeper
+    config_replica: configuration.ConfigurationReplica
     disseminator: dissemination.Disseminator
     server: peers.PeerServer
     pool: peers.PeerPool
@@ -180,18 +180,18 @@
     def _make_node(self, number):
         name, place = f'i{number}', f'dc{number % 3}'
         loop = self.loops[number % len(self.loops)]
-        keeper = configuration.Keeper()
+        config_replica = configuration.ConfigurationReplica()
         pool = peers.PeerPool(KEY, loop)
         disseminator = dissemination.Disseminator(
             name,
             place,
-            (keeper,),
+            (config_replica,),
             grpc_transport.GrpcPeerTransport(name, pool),
             lambda: self.members,
             pull_period_s=self.period_s,
             random_state=number,
         )
-        source = configuration.StoreSource(self.store, keeper)
+        source = configuration.StoreSource(self.store, config_replica)
         election = dissemination.WatchElection(
             source.topic, name, place, disseminator.peer_health
         )
@@ -199,15 +199,17 @@
         watcher = dissemination.Watcher(
             source, election, lambda: self.members, wait_s=10.0
         )
-        keeper.subscribe(disseminator.wake)
+        config_replica.subscribe(disseminator.wake)
         handler = grpc_transport.Handler(disseminator)
         server = peers.PeerServer([handler], '127.0.0.1', 0, KEY, loop)
-        return Node(keeper, disseminator, server.start(), pool, watcher)
+        return Node(
+            config_replica, disseminator, server.start(), pool, watcher
+        )
 
     def wait(self, revision):
         """Wait until every live node has `revision`."""
         for node in self.alive:
-            if node.keeper.wait(revision - 1, 30).revision < revision:
+            if node.config_replica.wait(revision - 1, 30).revision < revision:
                 raise SystemExit(f'revision {revision} did not arrive')
 
     def stop(self):
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -96,7 +96,7 @@
     written = CountedWrites()
     history = bench_configuration.HISTORY
     fleet = bench_configuration.SocketFleet(2, period_s=NEVER_S)
-    fleet.nodes[0].keeper.offer(history[1], 0.0)
+    fleet.nodes[0].config_replica.offer(history[1], 0.0)
     pool = peers.PeerPool(bench_configuration.KEY, fleet.loops[0])
     calls = grpc_transport.GrpcPeerTransport('other', pool)
     peer = fleet.members[0]
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -518,7 +518,7 @@
     # Configuration and instance list.
     Mutation(
         'revision-only-rises',
-        'catkinshunt/configuration/_keeper.py',
+        'catkinshunt/configuration/_replica.py',
         'if configuration.revision <= self._current.revision:',
         'if False:',
     ),
--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -23,7 +23,7 @@
         watch_wait_s: seconds that a watch of the key-value service waits.
 
     Attributes:
-        keeper: `configuration.Keeper`, the rules in force.
+        keeper: `configuration.ConfigurationReplica`, the rules in force.
         directory: `instances.Directory`, the instances known.
         loop: `peers.LoopThread` of the process.
         pool: `peers.PeerPool` for calls to other processes.
@@ -38,7 +38,7 @@
         self.cfg = cfg
         self.pull_period_s = pull_period_s
         self.watch_wait_s = watch_wait_s
-        self.keeper = configuration.Keeper()
+        self.config_replica = configuration.ConfigurationReplica()
         self.directory = instances.Directory()
         self.loop = peers.LoopThread()
         self.pool = peers.PeerPool(cfg.deployment_key, self.loop)
@@ -71,7 +71,10 @@
         ).start()
         self._fetch(self._list_source)
         self._disseminator.start()
-        if self.keeper.revision == 0 and not self._disseminator.answered:
+        if (
+            self.config_replica.revision == 0
+            and not self._disseminator.answered
+        ):
             # Nobody to ask. One read brings the rules, if the service is up.
             self._fetch(self._store_source)
         for watcher in self._watchers:
@@ -95,7 +98,9 @@
         store = kvstore.HttpKeyValueStore(
             httpio.Address.parse(platform.key_value)
         )
-        self._store_source = configuration.StoreSource(store, self.keeper)
+        self._store_source = configuration.StoreSource(
+            store, self.config_replica
+        )
         self._list_source = instances.ListSource(
             httpio.Address.parse(platform.instance_list),
             self.directory,
@@ -104,7 +109,7 @@
         self._disseminator = dissemination.Disseminator(
             cfg.name,
             cfg.data_centre,
-            (self.keeper, self.directory),
+            (self.config_replica, self.directory),
             grpc_transport.GrpcPeerTransport(cfg.name, self.pool),
             self._members,
             pull_period_s=self.pull_period_s,
@@ -116,10 +121,10 @@
         self._disseminator.elections = [
             watcher.election for watcher in self._watchers
         ]
-        self.keeper.subscribe(self._disseminator.wake)
-        self.keeper.listen(
+        self.config_replica.subscribe(self._disseminator.wake)
+        self.config_replica.on_newer_revision(
             lambda revision, now: self._disseminator.observe_revision(
-                self.keeper.topic, revision, now
+                self.config_replica.topic, revision, now
             )
         )
 
--- a/catkinshunt/dissemination/tests/fakes.py
+++ b/catkinshunt/dissemination/tests/fakes.py
@@ -116,7 +116,7 @@
             make_instance(f'i{n}', f'dc{n % data_centres}')
             for n in range(size)
         )
-        self.keepers = {}
+        self.config_replicas = {}
         self.random = random.Random(random_state)
         for member in self.members:
             self.add(member, fanout)
@@ -128,12 +128,12 @@
 
     def add(self, member, fanout=4):
         """Make the process of one member."""
-        keeper = configuration.Keeper()
-        self.keepers[member.name] = keeper
+        config_replica = configuration.ConfigurationReplica()
+        self.config_replicas[member.name] = config_replica
         disseminator = dissemination.Disseminator(
             member.name,
             member.data_centre,
-            (keeper,),
+            (config_replica,),
             FakePeerTransport(member.name, self.network),
             lambda: self.members,
             fanout=fanout,
@@ -144,7 +144,7 @@
     def accept(self, found, names, now=0.0):
         """Let the named processes learn a configuration by their watch."""
         for name in names:
-            self.keepers[name].offer(found, now)
+            self.config_replicas[name].offer(found, now)
 
     def push(self, now):
         """Let every process push what is new to it; deliver it."""
@@ -163,6 +163,7 @@
         """Return the names of live processes below `revision`."""
         return [
             name
-            for name, keeper in self.keepers.items()
-            if keeper.revision < revision and name not in self.network.dead
+            for name, config_replica in self.config_replicas.items()
+            if config_replica.revision < revision
+            and name not in self.network.dead
         ]
--- a/catkinshunt/dissemination/tests/test_disseminator.py
+++ b/catkinshunt/dissemination/tests/test_disseminator.py
@@ -41,7 +41,7 @@
 
 def test_pushes_alone_reach_nearly_all_and_each_offers_once():
     fleet = fakes.Fleet(100)
-    fleet.accept(HISTORY[1], list(fleet.keepers))
+    fleet.accept(HISTORY[1], list(fleet.config_replicas))
     fleet.push(0.0)
     fleet.network.messages = 0
     fleet.accept(HISTORY[2], ['i0'])
@@ -86,7 +86,7 @@
     assert set(fleet.behind(79)) == inside
     fleet.network.groups = {}
     assert settle(fleet, 79, now=1000.0) < 10
-    documents = {k.current.document for k in fleet.keepers.values()}
+    documents = {k.current.document for k in fleet.config_replicas.values()}
     assert documents == {HISTORY[79].document}
 
 
@@ -102,14 +102,17 @@
     member = fakes.make_instance('new')
     fleet.members = (*fleet.members, member)
     fleet.add(member)
-    disseminator, keeper = fleet.disseminators['new'], fleet.keepers['new']
+    disseminator, config_replica = (
+        fleet.disseminators['new'],
+        fleet.config_replicas['new'],
+    )
     for number in range(3):
         disseminator.catch_up(float(number))
-    assert keeper.revision == 4
+    assert config_replica.revision == 4
     for name in ('i1', 'i2'):
-        update = fleet.keepers[name].make_update(0)
+        update = fleet.config_replicas[name].make_update(0)
         assert disseminator.handle_offer(update, name, 5.0) == 4
-    assert keeper.current.document == HISTORY[4].document
+    assert config_replica.current.document == HISTORY[4].document
 
 
 def test_an_offer_that_skips_revisions_is_completed_by_a_pull():
@@ -120,22 +123,22 @@
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i1'])
     fleet.accept(HISTORY[3], ['i0'])
-    update = fleet.keepers['i0'].make_update(2)
+    update = fleet.config_replicas['i0'].make_update(2)
     receiver = fleet.disseminators['i1']
     assert receiver.handle_offer(update, 'i0', 0.0) == 1
     receiver.pull(0.0)
-    assert fleet.keepers['i1'].current.document == HISTORY[3].document
+    assert fleet.config_replicas['i1'].current.document == HISTORY[3].document
 
 
 def test_a_header_with_a_newer_revision_leads_to_a_pull():
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i0'])
     receiver = fleet.disseminators['i1']
-    topic = configuration.Keeper.topic
+    topic = configuration.ConfigurationReplica.topic
     receiver.observe_revision(topic, 1, now=10.0)
     assert receiver._something_to_do()
     receiver.pull(10.0)
-    assert fleet.keepers['i1'].revision == 1
+    assert fleet.config_replicas['i1'].revision == 1
     receiver.observe_revision(topic, 1, now=20.0)
     assert not receiver._something_to_do()
 
@@ -147,11 +150,17 @@
     """
     fleet = fakes.Fleet(2)
     receiver = fleet.disseminators['i1']
-    receiver.observe_revision(configuration.Keeper.topic, 9, now=10.0)
+    receiver.observe_revision(
+        configuration.ConfigurationReplica.topic, 9, now=10.0
+    )
     receiver.pull(10.0)
-    receiver.observe_revision(configuration.Keeper.topic, 9, now=10.1)
+    receiver.observe_revision(
+        configuration.ConfigurationReplica.topic, 9, now=10.1
+    )
     assert not receiver._something_to_do()
-    receiver.observe_revision(configuration.Keeper.topic, 9, now=10.3)
+    receiver.observe_revision(
+        configuration.ConfigurationReplica.topic, 9, now=10.3
+    )
     assert receiver._something_to_do()
 
 
--- a/catkinshunt/dissemination/tests/test_history.py
+++ b/catkinshunt/dissemination/tests/test_history.py
@@ -27,7 +27,7 @@
         self.fleet = fakes.Fleet(SIZE)
         self.accepted = 0
         self.now = 0.0
-        self.seen = dict.fromkeys(self.fleet.keepers, 0)
+        self.seen = dict.fromkeys(self.fleet.config_replicas, 0)
 
     def do(self, kind, number):
         """Carry out one step."""
@@ -58,12 +58,12 @@
 
     def check(self):
         """Compare what is in force with the accepted history."""
-        for name, keeper in self.fleet.keepers.items():
-            revision = keeper.revision
+        for name, config_replica in self.fleet.config_replicas.items():
+            revision = config_replica.revision
             assert revision >= self.seen[name]
             self.seen[name] = revision
             expected = test_disseminator.HISTORY[revision]
-            assert keeper.current.document == expected.document
+            assert config_replica.current.document == expected.document
 
 
 @hypothesis.settings(
--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -38,7 +38,9 @@
         self.once = once
         self.gate = _gate.Gate(cfg.threads)
         self._relay = _relay.Relay(
-            httpio.ConnectionPool(), cfg.deployment_key, keeper=follower
+            httpio.ConnectionPool(),
+            cfg.deployment_key,
+            config_replica=follower,
         )
         self._retry = retries.RetryPolicy(retries.Budget())
         router = routing.Router(
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -157,7 +157,7 @@
         if self._served == self._wanted:
             return True
         wanted = weights.Wanted(
-            place.model, place.version, place.lean_fraction
+            place.model, place.version, place.time_preference
         )
         self._agent.offer(wanted)
         transfer = self._agent.wait_whole(wanted, WHOLE_WAIT_S)
