--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -644,7 +644,7 @@
     Mutation(
         'peer-shows-key',
         'catkinshunt/peers/_server.py',
-        'if not hmac.compare_digest(shown, self.key.encode()):',
+        'if not hmac.compare_digest(presented_key, self.key.encode()):',
         'if False:',
     ),
     Mutation(
--- a/catkinshunt/control/_placement.py
+++ b/catkinshunt/control/_placement.py
@@ -59,7 +59,7 @@
     rule = rule_set.match(_make_event(instance))
     if rule is None or not isinstance(rule.then, rules.Place):
         return frozenset()
-    names = _find_matched(rule_set, rule, instance, instances)
+    names = _find_matching_names(rule_set, rule, instance, instances)
     place = rule.then
     if place.replicas is not None:
         order = rendezvous.rank(f'{place.model}/{rule.name}', names)
@@ -67,7 +67,7 @@
     return frozenset(names)
 
 
-def _find_matched(rule_set, rule, instance, instances):
+def _find_matching_names(rule_set, rule, instance, instances):
     """Return the names of the instances for which `rule` decides."""
     names = {instance.name}
     for other in instances:
--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -42,7 +42,7 @@
         self.directory = instances.Directory()
         self.loop = peers.LoopThread()
         self.pool = peers.PeerPool(cfg.deployment_key, self.loop)
-        self._make_spreading()
+        self._make_dissemination()
         self._server = None
 
     @property
@@ -93,7 +93,7 @@
         self.loop.stop()
         self._server = None
 
-    def _make_spreading(self):
+    def _make_dissemination(self):
         cfg, platform = self.cfg, self.cfg.platform
         store = kvstore.HttpKeyValueStore(
             httpio.Address.parse(platform.key_value)
--- a/catkinshunt/control/_headers.py
+++ b/catkinshunt/control/_revision_middleware.py
@@ -31,8 +31,8 @@
 
     def __call__(self, environ, start_response):
         """Answer one request."""
-        revision = environ.get(_name(headers.REVISION))
-        if revision and self._is_ours(environ):
+        revision = environ.get(_environ_key(headers.REVISION))
+        if revision and self._has_valid_key(environ):
             self.config_replica.observe_revision(revision, time.monotonic())
 
         def start(status, fields, *exc_info):
@@ -41,10 +41,10 @@
 
         return self.app(environ, start)
 
-    def _is_ours(self, environ):
-        given = environ.get(_name(headers.DEPLOYMENT_KEY), '')
+    def _has_valid_key(self, environ):
+        given = environ.get(_environ_key(headers.DEPLOYMENT_KEY), '')
         return hmac.compare_digest(given.encode(), self.key.encode())
 
 
-def _name(header):
+def _environ_key(header):
     return 'HTTP_' + header.upper().replace('-', '_')
--- a/catkinshunt/control/tests/test_placement.py
+++ b/catkinshunt/control/tests/test_placement.py
@@ -59,7 +59,7 @@
     assert len(_holders(rule_set, FLEET)) == min(replicas, 12)
 
 
-def test_a_holder_that_dies_is_replaced_and_the_others_stay():
+def test_a_dead_replica_is_replaced_and_the_others_stay():
     """An instance that holds the model dies and leaves the list.
 
     Its replica must come back elsewhere, and the other ones must not move,
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -229,7 +229,7 @@
         ('', '7', []),
     ],
 )
-def test_revisions_ride_on_requests_of_our_own(key, revision, heard):
+def test_only_requests_with_the_key_carry_a_revision(key, revision, heard):
     """An entry missed a push and goes on routing by old rules.
 
     Only our own processes are believed; a caller must not make us pull.
--- a/catkinshunt/dissemination/_disseminator.py
+++ b/catkinshunt/dissemination/_disseminator.py
@@ -13,9 +13,9 @@
 FANOUT = 4
 PULL_PERIOD_S = 1.0
 START_PEERS = 3
-CALL_S = 2.0
+REPLY_TIMEOUT_S = 2.0
 #: Least seconds between pulls from any neighbour for a hint without a name.
-GUESS_S = 0.2
+ANONYMOUS_PULL_INTERVAL_S = 0.2
 _log = logs.get_logger('dissemination')
 
 
@@ -69,8 +69,8 @@
         self.answered = 0
         self._by_topic = {replica.topic: replica for replica in replicas}
         self._pushed = {replica.topic: 0 for replica in replicas}
-        self._behind = None
-        self._next_guess = 0.0
+        self._pull_from = None
+        self._next_anonymous_pull = 0.0
         self._random = None
         self._stopped = False
         self._wake = threading.Condition()
@@ -113,11 +113,11 @@
         if revision <= self._by_topic[topic].revision:
             return
         with self._wake:
-            if not name and now < self._next_guess:
+            if not name and now < self._next_anonymous_pull:
                 return
             if not name:
-                self._next_guess = now + GUESS_S
-            self._behind = name
+                self._next_anonymous_pull = now + ANONYMOUS_PULL_INTERVAL_S
+            self._pull_from = name
             self._wake.notify()
 
     def handle_offer(self, update, sender, now):
@@ -163,7 +163,7 @@
             for peer in self.neighbours.choose(members, self.fanout, now):
                 fut = self.transport.offer(peer, update)
                 fut.add_done_callback(
-                    functools.partial(self._offered, peer, topic, now)
+                    functools.partial(self._on_offer_reply, peer, topic, now)
                 )
 
     def pull(self, now):
@@ -176,8 +176,8 @@
         peer = self._choose_pull(now)
         if peer is None:
             return False
-        fut = self._ask(peer)
-        return self._take(peer, fut, now)
+        fut = self._send_pull(peer)
+        return self._apply_reply(peer, fut, now)
 
     def catch_up(self, now):
         """Ask several peers; the highest revision among them is taken.
@@ -189,40 +189,40 @@
         """
         self._prepare()
         peers = self.neighbours.choose(self.members(), START_PEERS, now)
-        asked = [(peer, self._ask(peer)) for peer in peers]
-        return sum(self._take(peer, fut, now) for peer, fut in asked)
+        asked = [(peer, self._send_pull(peer)) for peer in peers]
+        return sum(self._apply_reply(peer, fut, now) for peer, fut in asked)
 
     def _run(self):
         next_pull = time.monotonic() + self._pause_s()
         while True:
             with self._wake:
                 self._wake.wait_for(
-                    self._something_to_do, next_pull - time.monotonic()
+                    self._has_work, next_pull - time.monotonic()
                 )
                 if self._stopped:
                     return
-                behind = self._behind is not None
+                should_pull = self._pull_from is not None
             now = time.monotonic()
             self.push(now)
-            if behind or now >= next_pull:
+            if should_pull or now >= next_pull:
                 self.pull(now)
                 next_pull = time.monotonic() + self._pause_s()
 
-    def _something_to_do(self):
+    def _has_work(self):
         new = any(
             replica.revision > self._pushed[topic]
             for topic, replica in self._by_topic.items()
         )
-        return self._stopped or new or self._behind is not None
+        return self._stopped or new or self._pull_from is not None
 
     def _choose_pull(self, now):
         with self._wake:
-            behind, self._behind = self._behind, None
+            pull_from, self._pull_from = self._pull_from, None
         members = self.members()
         found = None
-        if behind:
-            found = self.neighbours.find(members, behind, now)
-        if found is None and behind is None:
+        if pull_from:
+            found = self.neighbours.find(members, pull_from, now)
+        if found is None and pull_from is None:
             found = self._choose_probe(members, now)
         if found is None:
             found = next(iter(self.neighbours.choose(members, 1, now)), None)
@@ -236,17 +236,17 @@
         name = election.choose_probe(members, self._random)
         return self.neighbours.find(members, name, now) if name else None
 
-    def _ask(self, peer):
+    def _send_pull(self, peer):
         held = {
             topic: replica.revision
             for topic, replica in self._by_topic.items()
         }
         return self.transport.pull(peer, held)
 
-    def _take(self, peer, fut, now):
+    def _apply_reply(self, peer, fut, now):
         """Wait for a peer's updates and apply them; return its success."""
         try:
-            updates = fut.result(timeout=2 * CALL_S)
+            updates = fut.result(timeout=2 * REPLY_TIMEOUT_S)
         except (errors.PeerError, TimeoutError) as exc:
             _log.debug('No pull from {}: {}', peer.name, exc)
             self.peer_health.observe(peer.name, False, now)
@@ -270,7 +270,7 @@
             # What a starting process learns, its peers know already.
             self._pushed[update.topic] = replica.revision
 
-    def _offered(self, peer, topic, now, fut):
+    def _on_offer_reply(self, peer, topic, now, fut):
         exc = fut.exception()
         self.peer_health.observe(peer.name, exc is None, now)
         if exc is None:
--- a/catkinshunt/dissemination/_neighbours.py
+++ b/catkinshunt/dissemination/_neighbours.py
@@ -4,10 +4,10 @@
 from catkinshunt import checks
 from catkinshunt.dissemination import _peer_health
 
-LOCAL = 8
-REMOTE = 2
-ROTATE_S = 60.0
-EXCHANGE_TRIES = 8
+LOCAL_PEERS = 8
+REMOTE_PEERS = 2
+ROTATION_PERIOD_S = 60.0
+MAX_REPLACE_ATTEMPTS = 8
 
 
 class Neighbours(base.ParamsMixin):
@@ -31,9 +31,9 @@
         self,
         name,
         data_centre,
-        local=LOCAL,
-        remote=REMOTE,
-        rotate_s=ROTATE_S,
+        local=LOCAL_PEERS,
+        remote=REMOTE_PEERS,
+        rotate_s=ROTATION_PERIOD_S,
         random_state=None,
     ):
         self.name = name
@@ -60,7 +60,9 @@
         """
         self._refresh(members, now)
         usable = [
-            name for name in self._chosen if self.peer_health.check(name, now)
+            name
+            for name in self._chosen
+            if self.peer_health.may_call(name, now)
         ]
         # Where all failed, calling one of them is still the only way on.
         usable = usable or self._chosen
@@ -74,21 +76,21 @@
 
     def _refresh(self, members, now):
         if members is not self._members:
-            self._take(members)
+            self._set_members(members)
         if self._rotate_at is None:
             self._rotate_at = now + self.rotate_s
-        lost = [
+        replaced = [
             name
             for name in self._chosen
             if self.peer_health.is_unresponsive(name)
         ]
         if now >= self._rotate_at and self._chosen:
             self._rotate_at = now + self.rotate_s
-            lost.append(self._random.choice(self._chosen))
-        for name in dict.fromkeys(lost):
-            self._exchange(name)
+            replaced.append(self._random.choice(self._chosen))
+        for name in dict.fromkeys(replaced):
+            self._replace(name)
 
-    def _take(self, members):
+    def _set_members(self, members):
         if self._random is None:
             self._random = checks.check_random_state(self.random_state)
         self._members = members
@@ -109,11 +111,11 @@
         local = max(self.local, room - len(self._remote_names))
         remote = max(self.remote, room - len(self._local_names))
         self._chosen = [
-            *self._keep_some(self._local_names, local),
-            *self._keep_some(self._remote_names, remote),
+            *self._sample_names(self._local_names, local),
+            *self._sample_names(self._remote_names, remote),
         ]
 
-    def _keep_some(self, names, bound):
+    def _sample_names(self, names, bound):
         """Return `bound` of `names`, those chosen before first."""
         before = set(self._chosen)
         kept = [name for name in names if name in before][:bound]
@@ -121,14 +123,14 @@
         missing = min(bound - len(kept), len(free))
         return kept + self._random.sample(free, missing)
 
-    def _exchange(self, name):
+    def _replace(self, name):
         """Put a random peer of the same kind in the place of `name`."""
         names = self._local_names
         if self._by_name[name].data_centre != self.data_centre:
             names = self._remote_names
         # A few tries; going through thousands of names at each call in a
         # long outage would cost more than the calls themselves.
-        for _ in range(EXCHANGE_TRIES):
+        for _ in range(MAX_REPLACE_ATTEMPTS):
             other = self._random.choice(names)
             if (
                 other not in self._chosen
--- a/catkinshunt/dissemination/_peer_health.py
+++ b/catkinshunt/dissemination/_peer_health.py
@@ -9,7 +9,7 @@
 
 #: Failures in a row after which a peer counts as lost. One is not enough:
 #: a single call may fail because a kept connection was closed.
-LOST_AFTER = 2
+UNRESPONSIVE_FAILURES = 2
 
 
 @attrs.define
@@ -28,8 +28,8 @@
     Examples:
         >>> peer_health = PeerHealth(backoff_s=1.0)
         >>> peer_health.observe('a', False, now=0.0)
-        >>> peer_health.check('a', now=0.5), peer_health.check('a', now=1.0)
-        (False, True)
+        >>> [peer_health.may_call('a', now) for now in (0.5, 1.0)]
+        [False, True]
         >>> peer_health.observe('a', False, now=1.0)
         >>> peer_health.is_unresponsive('a')
         True
@@ -57,7 +57,7 @@
             retry_at = now + min(pause_s, self.max_backoff_s)
             self._failures[name] = _Failures(count, retry_at)
 
-    def check(self, name, now):
+    def may_call(self, name, now):
         """Return whether the peer may be called."""
         found = self._failures.get(name)
         return found is None or now >= found.retry_at
@@ -65,7 +65,7 @@
     def is_unresponsive(self, name):
         """Return whether the peer failed more than once in a row."""
         found = self._failures.get(name)
-        return found is not None and found.count >= LOST_AFTER
+        return found is not None and found.count >= UNRESPONSIVE_FAILURES
 
     def forget(self, names):
         """Drop what is known of all peers but `names`."""
--- a/catkinshunt/dissemination/_watch_election.py
+++ b/catkinshunt/dissemination/_watch_election.py
@@ -41,30 +41,30 @@
         self.watchers = watchers
         self.standbys = standbys
         self._members = None
-        self._before = None
+        self._predecessors = None
 
-    def check(self, members):
+    def is_elected(self, members):
         """Return whether the own process watches now.
 
         Args:
             members: tuple of instances; the same object while unchanged.
         """
-        before = self._find_before(members)
-        if before is None:
+        predecessors = self._find_predecessors(members)
+        if predecessors is None:
             return False
-        answering = [
+        responsive = [
             name
-            for name in before
+            for name in predecessors
             if not self.peer_health.is_unresponsive(name)
         ]
-        return len(answering) < self.watchers
+        return len(responsive) < self.watchers
 
     def choose_probe(self, members, random_state):
         """Return the name of an instance to call as its deputy, or None."""
-        before = self._find_before(members)
-        return random_state.choice(before) if before else None
+        predecessors = self._find_predecessors(members)
+        return random_state.choice(predecessors) if predecessors else None
 
-    def _find_before(self, members):
+    def _find_predecessors(self, members):
         """Return the names before the own; None if it is no deputy."""
         if members is not self._members:
             order = rendezvous.rank(
@@ -76,8 +76,8 @@
                 ],
             )
             first = order[: self.watchers + self.standbys]
-            self._before = None
+            self._predecessors = None
             if self.name in first:
-                self._before = first[: first.index(self.name)]
+                self._predecessors = first[: first.index(self.name)]
             self._members = members
-        return self._before
+        return self._predecessors
--- a/catkinshunt/dissemination/_watcher.py
+++ b/catkinshunt/dissemination/_watcher.py
@@ -8,9 +8,9 @@
 from catkinshunt import logs
 
 WAIT_S = 30.0
-IDLE_S = 0.5
+STANDBY_CHECK_S = 0.5
 #: Pause of a process that knows no other one.
-ALONE_S = 1.0
+NO_PEERS_PERIOD_S = 1.0
 RETRY_S = 0.5
 MAX_RETRY_S = 5.0
 _log = logs.get_logger('dissemination')
@@ -38,7 +38,7 @@
         election,
         members,
         wait_s=WAIT_S,
-        idle_s=IDLE_S,
+        idle_s=STANDBY_CHECK_S,
         random_state=None,
     ):
         self.source = source
@@ -67,14 +67,16 @@
         failures = 0
         while not self._stopped.is_set():
             members = self.members()
-            on_duty = self.election.check(members)
-            self._note(on_duty)
-            if members and not on_duty:
+            is_elected = self.election.is_elected(members)
+            self._set_watching(is_elected)
+            if members and not is_elected:
                 self._stopped.wait(self.idle_s)
                 continue
-            if self._fetch(self.wait_s if on_duty else 0):
+            if self._fetch(self.wait_s if is_elected else 0):
                 failures = 0
-                pause_s = self.source.period_s if on_duty else ALONE_S
+                pause_s = (
+                    self.source.period_s if is_elected else NO_PEERS_PERIOD_S
+                )
             else:
                 failures += 1
                 pause_s = min(RETRY_S * 2**failures, MAX_RETRY_S)
@@ -95,8 +97,8 @@
             return False
         return True
 
-    def _note(self, on_duty):
-        if on_duty != self.watching:
-            self.watching = on_duty
-            word = 'begins' if on_duty else 'ends'
+    def _set_watching(self, is_elected):
+        if is_elected != self.watching:
+            self.watching = is_elected
+            word = 'begins' if is_elected else 'ends'
             _log.info('Watch of {} {}.', self.source.topic, word)
--- a/catkinshunt/dissemination/grpc_transport.py
+++ b/catkinshunt/dissemination/grpc_transport.py
@@ -28,13 +28,13 @@
             sender=self.name, update=_to_message(update)
         )
         fut = self._call(peer, 'Offer', message)
-        return _mapped(fut, lambda held: held.topics[0].revision)
+        return _map_future(fut, lambda held: held.topics[0].revision)
 
     def pull(self, peer, held):
         """See `base.BasePeerTransport.pull`."""
         message = _held_message(self.name, held)
         fut = self._call(peer, 'Pull', message)
-        return _mapped(
+        return _map_future(
             fut, lambda reply: tuple(map(_from_message, reply.updates))
         )
 
@@ -107,7 +107,7 @@
     )
 
 
-def _mapped(fut, function):
+def _map_future(fut, function):
     """Return a future of `function` of the result of `fut`."""
     mapped = concurrent.futures.Future()
 
--- a/catkinshunt/dissemination/tests/test_disseminator.py
+++ b/catkinshunt/dissemination/tests/test_disseminator.py
@@ -51,7 +51,7 @@
     assert fleet.network.messages <= 4 * 100
 
 
-def test_dead_processes_do_not_hold_up_the_others():
+def test_dead_processes_do_not_delay_the_others():
     """One process in ten has died and the instance list still shows it.
 
     Offers to the dead are lost; the living must get the revision all the
@@ -136,14 +136,14 @@
     receiver = fleet.disseminators['i1']
     topic = configuration.ConfigurationReplica.topic
     receiver.observe_revision(topic, 1, now=10.0)
-    assert receiver._something_to_do()
+    assert receiver._has_work()
     receiver.pull(10.0)
     assert fleet.config_replicas['i1'].revision == 1
     receiver.observe_revision(topic, 1, now=20.0)
-    assert not receiver._something_to_do()
+    assert not receiver._has_work()
 
 
-def test_hints_without_a_name_are_not_followed_at_every_request():
+def test_pulls_for_revisions_without_a_sender_are_rate_limited():
     """Each request of a burst names a newer revision than ours.
 
     A pull for each would be more work than the requests themselves.
@@ -157,11 +157,11 @@
     receiver.observe_revision(
         configuration.ConfigurationReplica.topic, 9, now=10.1
     )
-    assert not receiver._something_to_do()
+    assert not receiver._has_work()
     receiver.observe_revision(
         configuration.ConfigurationReplica.topic, 9, now=10.3
     )
-    assert receiver._something_to_do()
+    assert receiver._has_work()
 
 
 def _make_elections(members, data_centre='dc0'):
@@ -175,9 +175,11 @@
     return found
 
 
-def _on_duty(elections, members):
+def _find_elected(elections, members):
     return {
-        name for name, election in elections.items() if election.check(members)
+        name
+        for name, election in elections.items()
+        if election.is_elected(members)
     }
 
 
@@ -185,10 +187,10 @@
     members = fakes.Fleet(200, data_centres=4).members
     for number in range(4):
         elections = _make_elections(members, f'dc{number}')
-        assert len(_on_duty(elections, members)) == 2
+        assert len(_find_elected(elections, members)) == 2
 
 
-def test_a_dead_watcher_is_replaced_by_one_deputy():
+def test_a_dead_watcher_is_replaced_by_one_standby():
     """A watcher dies and the instance list still shows it.
 
     Its deputies find out by calling it. One of them must begin to watch,
@@ -196,18 +198,18 @@
     """
     members = fakes.Fleet(100).members
     elections = _make_elections(members)
-    before = _on_duty(elections, members)
+    before = _find_elected(elections, members)
     dead = sorted(before)[0]
     del elections[dead]
     for election in elections.values():
         for now in (0.0, 1.0):
             election.peer_health.observe(dead, False, now)
-    after = _on_duty(elections, members)
+    after = _find_elected(elections, members)
     assert len(after) == 2
     assert before - {dead} < after
     for election in elections.values():
         election.peer_health.observe(dead, True, 2.0)
-    assert _on_duty(elections, members) == before - {dead}
+    assert _find_elected(elections, members) == before - {dead}
 
 
 def test_a_process_that_is_not_listed_yet_does_not_watch():
@@ -216,4 +218,4 @@
     election = dissemination.WatchElection(
         'configuration', 'new', 'dc0', peer_health
     )
-    assert not election.check(members)
+    assert not election.is_elected(members)
--- a/catkinshunt/dissemination/tests/test_watcher.py
+++ b/catkinshunt/dissemination/tests/test_watcher.py
@@ -60,7 +60,7 @@
     assert source.waits[:2] == [3, 3]
 
 
-def test_a_process_that_knows_no_other_one_does_not_hold_a_watch():
+def test_a_process_without_members_does_not_hold_a_watch():
     """The instance list cannot be read when many processes start."""
     source = Source()
     with _make_watcher(source, ()):
@@ -68,23 +68,25 @@
     assert source.waits[0] == 0
 
 
-def test_a_process_without_the_duty_does_not_ask():
+def test_a_process_that_is_not_elected_does_not_fetch():
     source = Source()
     members = fakes.Fleet(30).members
     elections = {}
     for member in members:
         watcher = _make_watcher(source, members, member.name)
-        elections[member.name] = watcher.election.check(members)
-    idle = next(name for name, on_duty in elections.items() if not on_duty)
+        elections[member.name] = watcher.election.is_elected(members)
+    idle = next(
+        name for name, is_elected in elections.items() if not is_elected
+    )
     watcher = _make_watcher(source, members, idle)
     looks = threading.Semaphore(0)
-    check = watcher.election.check
+    check = watcher.election.is_elected
 
     def count(members):
         looks.release()
         return check(members)
 
-    watcher.election.check = count
+    watcher.election.is_elected = count
     with watcher:
         for _ in range(3):
             assert looks.acquire(timeout=WAIT_S)
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -21,7 +21,7 @@
 """
 
 
-class Held:
+class Transfer:
     """A whole transfer, as the agent gives it."""
 
     def __init__(self, version):
@@ -37,32 +37,32 @@
     """What of a sidecar an engine meets: a port and a slot."""
 
     def __init__(self, port=0):
-        self.held = None
+        self.transfer = None
         self.server = httpio.HttpServer(self, port=port, threads=4).start()
-        self.slot = engines.WeightsEndpoint(
+        self.endpoint = engines.WeightsEndpoint(
             '127.0.0.1', self.server.port, self.get_transfer
         )
 
     def __call__(self, environ, start_response):
         try:
-            resp = self.slot.handle(environ['PATH_INFO'])
+            resp = self.endpoint.handle(environ['PATH_INFO'])
         except errors.RequestError as exc:
             resp = httpio.error_response(exc)
         return resp.send(start_response)
 
     def get_transfer(self, model, version):
-        held = self.held
-        if held is None or held.manifest.version != version:
+        transfer = self.transfer
+        if transfer is None or transfer.manifest.version != version:
             return None
-        return held
+        return transfer
 
     def make_order(self, version, fencing_number):
-        self.held = Held(version)
+        self.transfer = Transfer(version)
         return engines.LoadOrder(
             model='m',
             version=version,
-            digest=self.held.manifest.digest,
-            weights_url=self.slot.make_url('m', version),
+            digest=self.transfer.manifest.digest,
+            weights_url=self.endpoint.make_url('m', version),
             fencing_number=fencing_number,
         )
 
@@ -151,7 +151,7 @@
         server.stop()
 
 
-def test_two_processes_cannot_share_a_slot(process):
+def test_two_processes_cannot_share_a_port(process):
     """A second sidecar is started beside the same upstream by mistake.
 
     Both would order the engine about in turn. The second cannot listen.
@@ -160,7 +160,7 @@
         Process(process.server.port)
 
 
-def test_a_paused_process_keeps_its_slot():
+def test_a_paused_process_keeps_its_port():
     """A sidecar is paused by the machine and still believes it is in charge.
 
     If another could take its place meanwhile, the paused one would give its
@@ -188,7 +188,7 @@
 def test_a_pull_without_the_token_gets_nothing(process, path):
     process.make_order('v1', 1)
     with pytest.raises(errors.InvalidRequestError):
-        process.slot.handle(path)
+        process.endpoint.handle(path)
 
 
 def test_an_engine_that_is_away_is_told_apart(process):
--- a/catkinshunt/instances/_directory.py
+++ b/catkinshunt/instances/_directory.py
@@ -62,7 +62,7 @@
         with self._lock:
             if update.revision <= self._listing.revision:
                 return False
-            self._put(self._listing.updated(update))
+            self._set_listing(self._listing.apply_update(update))
         return True
 
     def offer(self, listing, now):
@@ -80,10 +80,10 @@
             )
             # Made from the one before, so that it keeps the changes which
             # others need.
-            self._put(before.changed(change))
+            self._set_listing(before.apply(change))
         return True
 
-    def _put(self, listing):
+    def _set_listing(self, listing):
         by_service = {}
         for instance in listing.by_name.values():
             if instance.role == _instance.UPSTREAM:
--- a/catkinshunt/instances/_instance.py
+++ b/catkinshunt/instances/_instance.py
@@ -13,7 +13,7 @@
 LEAVING = 'leaving'
 ENTRY = 'entry'
 UPSTREAM = 'upstream'
-_TEXTS = ('name', 'role', 'service', 'data_centre', 'region', 'state')
+_TEXT_FIELDS = ('name', 'role', 'service', 'data_centre', 'region', 'state')
 
 
 @attrs.frozen(kw_only=True)
@@ -51,7 +51,7 @@
             # Words that thousands of instances share are kept once.
             texts = {
                 name: sys.intern(checks.check_text(value[name], name))
-                for name in _TEXTS
+                for name in _TEXT_FIELDS
             }
             address = httpio.Address.parse(value['address'])
             return cls(
--- a/catkinshunt/instances/_listing.py
+++ b/catkinshunt/instances/_listing.py
@@ -14,7 +14,7 @@
 #: Name of the document among those that processes hand on.
 TOPIC = 'instances'
 #: Changes kept, for processes that are a few revisions behind.
-KEPT_CHANGES = 64
+MAX_CHANGES = 64
 #: Guards against a small message that unfolds into a huge list.
 MAX_DOCUMENT_BYTES = 32_000_000
 _DIGEST_BYTES = 32
@@ -34,7 +34,7 @@
     base_revision: int
     revision: int
     changed: tuple = ()
-    gone: tuple = ()
+    removed: tuple = ()
 
     @classmethod
     def from_bytes(cls, line):
@@ -54,7 +54,7 @@
             'base_revision': self.base_revision,
             'revision': self.revision,
             'changed': [item.to_listing() for item in self.changed],
-            'gone': list(self.gone),
+            'gone': list(self.removed),
         }
         return json.dumps(value, separators=(',', ':')).encode()
 
@@ -75,13 +75,13 @@
 
     revision: int = 0
     by_name: dict = attrs.field(factory=dict)
-    total: int = 0
+    digest_sum: int = 0
     changes: tuple = ()
 
     @property
     def digest(self):
         """Equal for equal lists."""
-        return self.total.to_bytes(_DIGEST_BYTES, 'big')
+        return self.digest_sum.to_bytes(_DIGEST_BYTES, 'big')
 
     def find_change(self, revision, instances):
         """Return the `Change` that leads to `instances` at `revision`."""
@@ -91,10 +91,10 @@
             for instance in instances
             if self.by_name.get(instance.name) != instance
         )
-        gone = tuple(name for name in self.by_name if name not in names)
-        return Change(self.revision, revision, changed, gone)
+        removed = tuple(name for name in self.by_name if name not in names)
+        return Change(self.revision, revision, changed, removed)
 
-    def changed(self, change):
+    def apply(self, change):
         """Return the list after `change`.
 
         Raises:
@@ -107,16 +107,16 @@
                 step='apply-change',
             )
         by_name = dict(self.by_name)
-        total = self.total
-        for name in change.gone:
-            total -= _hash(by_name.pop(name, None))
+        digest_sum = self.digest_sum
+        for name in change.removed:
+            digest_sum -= _compute_digest(by_name.pop(name, None))
         for instance in change.changed:
-            total -= _hash(by_name.get(instance.name))
-            total += _hash(instance)
+            digest_sum -= _compute_digest(by_name.get(instance.name))
+            digest_sum += _compute_digest(instance)
             by_name[instance.name] = instance
-        total %= 256**_DIGEST_BYTES
-        changes = (*self.changes, change)[-KEPT_CHANGES:]
-        return Listing(change.revision, by_name, total, changes)
+        digest_sum %= 256**_DIGEST_BYTES
+        changes = (*self.changes, change)[-MAX_CHANGES:]
+        return Listing(change.revision, by_name, digest_sum, changes)
 
     def make_update(self, after_revision):
         """See `base.BaseReplica.make_update`."""
@@ -141,14 +141,14 @@
             digest=self.digest,
         )
 
-    def updated(self, update):
+    def apply_update(self, update):
         """Return the list after an `Update` that is newer.
 
         Raises:
             errors.PeerError: the update does not fit this list.
         """
         try:
-            found = self._follow(update)
+            found = self._decode_update(update)
         except (ValueError, KeyError, TypeError, zlib.error) as exc:
             raise errors.PeerError(
                 f'list {update.revision} cannot be read: {exc!r}',
@@ -167,7 +167,7 @@
         value = {'revision': self.revision, 'instances': items}
         return json.dumps(value, separators=(',', ':')).encode()
 
-    def _follow(self, update):
+    def _decode_update(self, update):
         if update.document:
             inflater = zlib.decompressobj()
             text = inflater.decompress(update.document, MAX_DOCUMENT_BYTES)
@@ -176,7 +176,7 @@
         for line in update.edits:
             change = Change.from_bytes(line)
             if change.revision > found.revision:
-                found = found.changed(change)
+                found = found.apply(change)
         return found
 
 
@@ -197,7 +197,7 @@
         raise errors.PeerError(
             f'not a list of instances: {exc!r}', step='read-listing'
         ) from exc
-    found = Listing().changed(change)
+    found = Listing().apply(change)
     return attrs.evolve(found, changes=())
 
 
@@ -212,7 +212,7 @@
     return _instance.Instance.from_listing(value)
 
 
-def _hash(instance):
+def _compute_digest(instance):
     if instance is None:
         return 0
     digest = hashlib.blake2b(
@@ -222,4 +222,4 @@
 
 
 def _size(change):
-    return len(change.changed) + len(change.gone)
+    return len(change.changed) + len(change.removed)
--- a/catkinshunt/instances/tests/test_directory.py
+++ b/catkinshunt/instances/tests/test_directory.py
@@ -48,16 +48,18 @@
 @hypothesis.settings(derandomize=True, database=None, deadline=None)
 @hypothesis.given(_LISTS, st.integers(0, 7))
 def test_updates_lead_to_the_list_that_was_read(lists, behind):
-    reader, other = instances.Directory(), instances.Directory()
+    source_directory, other = instances.Directory(), instances.Directory()
     for number, (names, state) in enumerate(lists, 1):
         listing = make_listing(number, sorted(names), state)
-        reader.offer(listing, now=0.0)
+        source_directory.offer(listing, now=0.0)
         if number <= behind:
-            other.apply_update(reader.make_update(other.revision), 0.0)
-    update = reader.make_update(other.revision)
+            other.apply_update(
+                source_directory.make_update(other.revision), 0.0
+            )
+    update = source_directory.make_update(other.revision)
     other.apply_update(update, now=1.0)
-    assert set(other.instances) == set(reader.instances)
-    assert other.revision == reader.revision
+    assert set(other.instances) == set(source_directory.instances)
+    assert other.revision == source_directory.revision
 
 
 def test_a_change_of_one_instance_is_small():
@@ -75,16 +77,16 @@
 
     Taking it would leave instances in our list that are long gone.
     """
-    reader, other = instances.Directory(), instances.Directory()
-    reader.offer(make_listing(1, 'abcdefgh'), now=0.0)
+    source_directory, other = instances.Directory(), instances.Directory()
+    source_directory.offer(make_listing(1, 'abcdefgh'), now=0.0)
     other.offer(make_listing(2, 'xyz'), now=0.0)
-    reader.offer(make_listing(3, 'bcdefgh'), now=0.0)
-    update = reader.make_update(1)
+    source_directory.offer(make_listing(3, 'bcdefgh'), now=0.0)
+    update = source_directory.make_update(1)
     assert update.edits
     with pytest.raises(errors.PeerError, match='starts from 1'):
         other.apply_update(update, now=1.0)
     assert _names(other) == ['x', 'y', 'z']
-    assert other.apply_update(reader.make_update(0), now=1.0)
+    assert other.apply_update(source_directory.make_update(0), now=1.0)
     assert _names(other) == list('bcdefgh')
 
 
--- a/catkinshunt/peers/_client.py
+++ b/catkinshunt/peers/_client.py
@@ -62,11 +62,11 @@
                 self._call(stub_class, method, message, timeout_s)
             )
         except RuntimeError as exc:
-            self._end()
-            raise self._error(
+            self._decrement_in_flight()
+            raise self._make_error(
                 errors.PeerUnavailableError, method, str(exc)
             ) from exc
-        fut.add_done_callback(self._end)
+        fut.add_done_callback(self._decrement_in_flight)
         return fut
 
     def close(self):
@@ -79,7 +79,7 @@
             # The time also bounds the connect, which a host that drops
             # packets would otherwise hold for minutes.
             async with asyncio.timeout(timeout_s):
-                stub = stub_class(self._open())
+                stub = stub_class(self._get_channel())
                 return await getattr(stub, method)(
                     message,
                     timeout=timeout_s,
@@ -87,20 +87,22 @@
                 )
         except grpclib.GRPCError as exc:
             kind = _ERRORS.get(exc.status, errors.PeerError)
-            raise self._error(kind, method, exc.message) from exc
+            raise self._make_error(kind, method, exc.message) from exc
         except TimeoutError as exc:
             text = f'no answer within {timeout_s}s'
-            raise self._error(errors.PeerTimeoutError, method, text) from exc
+            raise self._make_error(
+                errors.PeerTimeoutError, method, text
+            ) from exc
         except (OSError, exceptions.StreamTerminatedError) as exc:
             text = f'not reached: {exc}'
             kind = errors.PeerUnavailableError
-            raise self._error(kind, method, text) from exc
+            raise self._make_error(kind, method, text) from exc
 
-    def _end(self, _fut=None):
+    def _decrement_in_flight(self, _fut=None):
         with self._lock:
             self.in_flight -= 1
 
-    def _open(self):
+    def _get_channel(self):
         if self._channel is None:
             self._channel = grpclib_client.Channel(
                 self.address.host, self.address.port
@@ -112,5 +114,5 @@
         if channel is not None:
             channel.close()
 
-    def _error(self, kind, method, text):
+    def _make_error(self, kind, method, text):
         return kind(text or 'failed', step=method, peer=str(self.address))
--- a/catkinshunt/peers/_loop.py
+++ b/catkinshunt/peers/_loop.py
@@ -7,7 +7,7 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-THREADS = 8
+WORKER_THREADS = 8
 
 
 class LoopThread(base.BaseService):
@@ -30,7 +30,7 @@
         6
     """
 
-    def __init__(self, threads=THREADS):
+    def __init__(self, threads=WORKER_THREADS):
         self.threads = threads
         self._loop = None
         self._thread = None
@@ -54,7 +54,7 @@
         if self._loop is None:
             return
         loop, self._loop = self._loop, None
-        asyncio.run_coroutine_threadsafe(_wind_up(), loop).result()
+        asyncio.run_coroutine_threadsafe(_shut_down(), loop).result()
         loop.call_soon_threadsafe(loop.stop)
         self._thread.join()
         loop.close()
@@ -80,7 +80,7 @@
     return await loop.run_in_executor(None, function, *args)
 
 
-async def _wind_up():
+async def _shut_down():
     loop = asyncio.get_running_loop()
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
--- a/catkinshunt/peers/_pool.py
+++ b/catkinshunt/peers/_pool.py
@@ -35,10 +35,10 @@
     def call(self, address, stub_class, method, message, timeout_s=None):
         """Call the peer at `address`; see `PeerClient.call`."""
         with self._lock:
-            client = self._take(address)
+            client = self._get_client(address)
             fut = client.call(stub_class, method, message, timeout_s)
-            closing = self._overdue(client)
-        for old in closing:
+            evicted = self._evict_idle(client)
+        for old in evicted:
             old.close()
         return fut
 
@@ -50,7 +50,7 @@
         for client in clients:
             client.close()
 
-    def _take(self, address):
+    def _get_client(self, address):
         client = self._clients.pop(address, None)
         if client is None:
             checks.check_positive(self.max_open, 'max_open')
@@ -60,7 +60,7 @@
         self._clients[address] = client
         return client
 
-    def _overdue(self, newest):
+    def _evict_idle(self, newest):
         """Return idle clients above the bound, the longest unused first."""
         excess = len(self._clients) - self.max_open
         idle = [
@@ -68,7 +68,7 @@
             for client in self._clients.values()
             if client is not newest and client.in_flight == 0
         ]
-        chosen = idle[: max(0, excess)]
-        for client in chosen:
+        evicted = idle[: max(0, excess)]
+        for client in evicted:
             del self._clients[client.address]
-        return chosen
+        return evicted
--- a/catkinshunt/peers/_server.py
+++ b/catkinshunt/peers/_server.py
@@ -100,20 +100,20 @@
         await self._server.wait_closed()
 
     async def _on_request(self, event):
-        shown = event.metadata.get(KEY_METADATA, b'')
+        presented_key = event.metadata.get(KEY_METADATA, b'')
         # The comparison takes the same time wherever the keys differ, so
         # that a key cannot be found out one character after the other.
-        if not hmac.compare_digest(shown, self.key.encode()):
+        if not hmac.compare_digest(presented_key, self.key.encode()):
             _log.warning('refused a call without the key')
             raise grpclib.GRPCError(grpclib.Status.UNAUTHENTICATED, 'key')
         if self._draining:
             raise grpclib.GRPCError(grpclib.Status.UNAVAILABLE, 'leaving')
         method = event.method_func
 
-        async def counted(stream):
+        async def count_call(stream):
             await self._run(method, stream)
 
-        event.method_func = counted
+        event.method_func = count_call
 
     async def _run(self, method, stream):
         self._calls += 1
--- a/catkinshunt/routing/__init__.py
+++ b/catkinshunt/routing/__init__.py
@@ -5,7 +5,7 @@
 from catkinshunt.routing._load import LeastInFlight
 from catkinshunt.routing._load import PowerOfTwoChoices
 from catkinshunt.routing._load import Random
-from catkinshunt.routing._named import find_policy
+from catkinshunt.routing._registry import find_policy
 from catkinshunt.routing._router import Router
 from catkinshunt.routing._subset import prefer_near
 from catkinshunt.routing._subset import rank_upstreams
--- a/catkinshunt/routing/_affinity.py
+++ b/catkinshunt/routing/_affinity.py
@@ -45,7 +45,7 @@
         self.half_life_s = half_life_s
         self.random_state = random_state
 
-    def _spill(self):
+    def _get_spill_policy(self):
         if not hasattr(self, 'spill_'):
             checks.check_positive(self.bound, 'bound')
             checks.check_positive(self.homes, 'homes')
@@ -57,7 +57,7 @@
 
     def choose(self, req, candidates, now):
         """Return a home of the prefix, or the spill policy's choice."""
-        spill = self._spill()
+        spill = self._get_spill_policy()
         if not req.prefix:
             return spill.choose(req, candidates, now)
         loads = {
@@ -66,10 +66,10 @@
         }
         mean = sum(loads.values()) / len(loads)
         limit = max(self.bound * mean, mean + self.slack)
-        for place, view in enumerate(self._homes(req, candidates)):
+        for rank, view in enumerate(self._find_homes(req, candidates)):
             if loads[view.name] < limit:
                 grounds = (
-                    f'prefix home {place + 1}, load '
+                    f'prefix home {rank + 1}, load '
                     f'{loads[view.name]:.1f} below {limit:.1f}'
                 )
                 return base.Choice(view, grounds, len(candidates))
@@ -77,7 +77,7 @@
         grounds = f'spilled, homes above {limit:.1f}; {choice.grounds}'
         return base.Choice(choice.upstream, grounds, len(candidates))
 
-    def _homes(self, req, candidates):
+    def _find_homes(self, req, candidates):
         """Return the first upstreams in the order of the prefix."""
         prefix = hashlib.blake2b(
             req.prefix[: self.prefix_bytes], digest_size=8
--- a/catkinshunt/routing/_health.py
+++ b/catkinshunt/routing/_health.py
@@ -69,7 +69,7 @@
         """Return whether replies or failures have marked an upstream."""
         return name in self._records()
 
-    def begin(self, view):
+    def start_probe(self, view):
         """Mark the request that goes to a suspect upstream as its probe."""
         if view.state is base.State.SERVING:
             return
@@ -79,19 +79,19 @@
         """Set the state of an upstream from how an exchange ended."""
         view = observation.upstream
         if observation.state == base.State.LEAVING:
-            self._leave(view, now)
+            self._mark_leaving(view, now)
         elif observation.result == base.Result.FAILED:
-            self._fail(view, now)
+            self._mark_failed(view, now)
         elif observation.result == base.Result.CANCELLED:
-            self._cancel(view)
+            self._end_probe(view)
         else:
-            self._recover(view)
+            self._mark_serving(view)
 
     def forget(self, name):
         """Drop what is known of an upstream that is gone."""
         self._records().pop(name, None)
 
-    def _recover(self, view):
+    def _mark_serving(self, view):
         record = self._records().get(view.name)
         leaving = view.state == base.State.LEAVING
         if leaving and not (record and record.probing):
@@ -101,13 +101,13 @@
         self._records().pop(view.name, None)
         view.state = base.State.SERVING
 
-    def _leave(self, view, now):
+    def _mark_leaving(self, view, now):
         record = self._records().setdefault(view.name, _Record())
         record.probing = False
         record.retry_at = now + self.leaving_s
         view.state = base.State.LEAVING
 
-    def _fail(self, view, now):
+    def _mark_failed(self, view, now):
         records = self._records()
         record = records.setdefault(view.name, _Record())
         was_probe = record.probing
@@ -122,7 +122,7 @@
         record.retry_at = now + pause_s * self.random_state_.uniform(0.5, 1.0)
         view.state = base.State.SUSPECT
 
-    def _cancel(self, view):
+    def _end_probe(self, view):
         record = self._records().get(view.name)
         if record is not None:
             record.probing = False
--- a/catkinshunt/routing/_router.py
+++ b/catkinshunt/routing/_router.py
@@ -12,19 +12,19 @@
 from catkinshunt.routing import base
 
 #: Retry hint when an upstream must first appear or return, in seconds.
-ABSENT_RETRY_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 #: Age at which an upstream's versions are asked for again, in seconds.
-ASK_AGAIN_S = 2.0
+VERSIONS_MAX_AGE_S = 2.0
 #: Least time between two such requests of one entry: each is refused, and so
 #: costs a retry, as long as nothing has changed.
-ASK_GAP_S = 0.25
+VERSION_PROBE_INTERVAL_S = 0.25
 
 
 @attrs.frozen
 class _Ranked:
     """An entry's order of upstreams, split by what they are known to serve."""
 
-    fitting: list
+    matching: list
     other: list
 
 
@@ -72,7 +72,7 @@
         self._views = {}
         self._orders = {}
         self._ranked = {}
-        self._asked_at = 0.0
+        self._version_probe_at = 0.0
 
     def offer(self, upstreams):
         """Take the instance list's view of all upstreams.
@@ -106,12 +106,12 @@
             RefusedError: no upstream may get it now; it was not run.
         """
         with self._lock:
-            usable = self._usable(req, now)
+            usable = self._find_usable(req, now)
             candidates = _subset.prefer_near(
                 usable, self.data_centre, self.region, self.spill_load, now
             )
             choice = (policy or self.policy).choose(req, candidates, now)
-            self._health().begin(choice.upstream)
+            self._health().start_probe(choice.upstream)
             choice.upstream.in_flight += 1
             return choice
 
@@ -170,40 +170,43 @@
             old.state = base.State.SERVING
         return old
 
-    def _usable(self, req, now):
+    def _find_usable(self, req, now):
         """Return the entry's subset of upstreams that may get the request."""
         checks.check_positive(self.subset_size, 'subset_size')
         ranked = self._rank(req)
-        again = self._ask_again(ranked.other, req, now)
-        if again is not None:
-            return [again]
-        found = self._pick(ranked.fitting, req, now)
+        version_probe = self._pick_version_probe(ranked.other, req, now)
+        if version_probe is not None:
+            return [version_probe]
+        found = self._pick_usable(ranked.matching, req, now)
         if not found and ranked.other:
             # What is known of versions is as old as the last reply; if all
             # upstreams have changed over since, only asking one tells.
-            found = self._pick(ranked.other, req, now)
+            found = self._pick_usable(ranked.other, req, now)
         if not found:
-            raise self._refusal(req, ranked.fitting + ranked.other, now)
+            raise self._make_refusal(req, ranked.matching + ranked.other, now)
         return found
 
-    def _ask_again(self, views, req, now):
+    def _pick_version_probe(self, views, req, now):
         """Return an upstream whose versions may have changed, or None.
 
         Where others serve the model nothing else would ever go to one that
         once did not, and an instance that has loaded it would stay idle.
         """
-        if not req.idempotent or now - self._asked_at < ASK_GAP_S:
+        if (
+            not req.idempotent
+            or now - self._version_probe_at < VERSION_PROBE_INTERVAL_S
+        ):
             return None
         for view in views[: self.subset_size]:
-            if now - view.versions_at < ASK_AGAIN_S:
+            if now - view.versions_at < VERSIONS_MAX_AGE_S:
                 continue
             serving = view.state == base.State.SERVING
             if serving and view.name not in req.excluded:
-                self._asked_at = view.versions_at = now
+                self._version_probe_at = view.versions_at = now
                 return view
         return None
 
-    def _pick(self, ranked, req, now):
+    def _pick_usable(self, ranked, req, now):
         """Return the first usable upstreams of an order, or one to probe."""
         health = self._health()
         usable, probes = [], []
@@ -245,7 +248,7 @@
             )
         return self._orders[service]
 
-    def _refusal(self, req, ranked, now):
+    def _make_refusal(self, req, ranked, now):
         waits = [self._health().retry_at(view) - now for view in ranked]
         waits = [wait_s for wait_s in waits if wait_s > 0]
         what = f'service {req.service}'
@@ -255,5 +258,5 @@
             f'no upstream of {what} takes work, {len(ranked)} known',
             step='choose',
             peer=req.service,
-            retry_after_s=min(waits, default=ABSENT_RETRY_S),
+            retry_after_s=min(waits, default=DEFAULT_RETRY_AFTER_S),
         )
--- a/catkinshunt/routing/_subset.py
+++ b/catkinshunt/routing/_subset.py
@@ -24,8 +24,8 @@
 
     Examples:
         >>> views = [
-        ...     base.UpstreamView(name, '127.0.0.1:1', 'model', place)
-        ...     for name, place in [('a', 'x'), ('b', 'y'), ('c', 'x')]
+        ...     base.UpstreamView(name, '127.0.0.1:1', 'model', position)
+        ...     for name, position in [('a', 'x'), ('b', 'y'), ('c', 'x')]
         ... ]
         >>> [view.name for view in rank_upstreams('e1', views, 'x')][2]
         'b'
@@ -45,11 +45,11 @@
 
 def _interleave(near, far, remote_interval):
     near, far = iter(near), iter(far)
-    place = 0
+    position = 0
     while True:
-        place += 1
+        position += 1
         first, second = (
-            (far, near) if place % remote_interval == 0 else (near, far)
+            (far, near) if position % remote_interval == 0 else (near, far)
         )
         view = next(first, None) or next(second, None)
         if view is None:
