--- a/catkinshunt/routing/__init__.py
+++ b/catkinshunt/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream for each request."""
+"""Load balancing: selection of an upstream for each request."""
 
 from catkinshunt.routing._affinity import PrefixAffinity
 from catkinshunt.routing._health import HealthTracker
--- a/catkinshunt/routing/_affinity.py
+++ b/catkinshunt/routing/_affinity.py
@@ -1,4 +1,4 @@
-"""Keeps requests with one prompt prefix on one upstream."""
+"""Prefix affinity: requests with equal prompt prefixes share an upstream."""
 
 import hashlib
 import heapq
@@ -11,20 +11,19 @@
 class PrefixAffinity(base.BasePolicy):
     """Rendezvous hashing over the prompt prefix, with bounded load.
 
-    The prefix alone names its upstreams, in an order that all entries share.
-    Engines' cache events come late and with gaps, so none are needed: an
-    entry that has seen no event sends the prefix to the same place as one
-    that has seen all. The first upstream of that order whose load is below
-    the bound takes the request; when none of the first few is, the other
-    policy chooses.
+    The order of the upstreams depends on the prefix alone, so all entries
+    agree on it. Cache events of engines are not used: they arrive late and
+    incomplete, and entries would disagree. The first of the `homes` first
+    upstreams whose load is below the limit is chosen; if there is none, the
+    request spills to `PowerOfTwoChoices`.
 
     Args:
-        bound: a load above this many times the mean spills.
-        slack: requests above the mean that are borne in any case, so that
-            an idle fleet does not spill at the second request.
-        homes: how many upstreams of the order are tried.
-        prefix_bytes: how much of the prompt counts.
-        half_life_s: seconds in which a report loses half of its weight.
+        bound: load limit as a multiple of the mean load.
+        slack: least distance of the limit from the mean load, in requests;
+            without it an idle fleet would spill at the second request.
+        homes: number of upstreams tried before the request spills.
+        prefix_bytes: number of leading bytes of the prompt that are hashed.
+        half_life_s: half-life of the weight of a load report, in seconds.
         random_state: seed or `random.Random`, for spilled requests.
     """
 
@@ -56,7 +55,7 @@
         return self.spill_
 
     def choose(self, req, candidates, now):
-        """Return a home of the prefix, or the spill policy's choice."""
+        """Return the first home below the load limit, or a spilled choice."""
         spill = self._get_spill_policy()
         if not req.prefix:
             return spill.choose(req, candidates, now)
@@ -78,7 +77,7 @@
         return base.Choice(choice.upstream, grounds, len(candidates))
 
     def _find_homes(self, req, candidates):
-        """Return the first upstreams in the order of the prefix."""
+        """Return the upstreams with the highest weights for the prefix."""
         prefix = hashlib.blake2b(
             req.prefix[: self.prefix_bytes], digest_size=8
         )
--- a/catkinshunt/routing/_health.py
+++ b/catkinshunt/routing/_health.py
@@ -1,4 +1,4 @@
-"""Passive health of upstreams: what replies and failures tell."""
+"""Passive health checks of upstreams, from replies and failures."""
 
 import attrs
 
@@ -15,18 +15,18 @@
 
 
 class HealthTracker(shared.ParamsMixin):
-    """Leaves failed upstreams alone, then tries each by one request.
+    """Excludes failed upstreams, then probes each with a single request.
 
-    Without the single probe, all waiting requests would run into an upstream
-    that is still dead as soon as its pause ends; callers would notice it as
-    a wave of late answers at each pause.
+    Without the limit to one probe, all waiting requests would be sent to an
+    upstream that may still be down when its backoff ends, and would be
+    answered late.
 
     Args:
-        backoff_s: first pause after a failure, in seconds.
-        max_backoff_s: longest pause, in seconds.
-        leaving_s: how long an upstream that said it leaves gets nothing; a
-            new process may then have taken its place.
-        random_state: seed or `random.Random`, to spread the probes.
+        backoff_s: backoff after the first failure, in seconds.
+        max_backoff_s: longest backoff, in seconds.
+        leaving_s: seconds for which a leaving upstream is excluded; a new
+            process may have replaced it by then.
+        random_state: seed or `random.Random`, for jitter of the probes.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         return self.records_
 
     def check(self, view, now):
-        """Return whether an upstream may get a request, probe or not."""
+        """Return whether an upstream may get a request or a probe."""
         if view.state is base.State.SERVING:
             return True
         record = self._records().get(view.name)
@@ -61,22 +61,22 @@
         return not record.probing and now >= record.retry_at
 
     def retry_at(self, view):
-        """Return when an upstream may be tried again, in seconds."""
+        """Return the time of the next probe of an upstream, in seconds."""
         record = self._records().get(view.name)
         return record.retry_at if record else 0.0
 
     def has_record(self, name):
-        """Return whether replies or failures have marked an upstream."""
+        """Return whether the upstream is recorded as leaving or failed."""
         return name in self._records()
 
     def start_probe(self, view):
-        """Mark the request that goes to a suspect upstream as its probe."""
+        """Record the request as the probe if the upstream is not serving."""
         if view.state is base.State.SERVING:
             return
         self._records().setdefault(view.name, _Record()).probing = True
 
     def observe(self, observation, now):
-        """Set the state of an upstream from how an exchange ended."""
+        """Set the state of an upstream by the outcome of an exchange."""
         view = observation.upstream
         if observation.state == base.State.LEAVING:
             self._mark_leaving(view, now)
@@ -88,15 +88,15 @@
             self._mark_serving(view)
 
     def forget(self, name):
-        """Drop what is known of an upstream that is gone."""
+        """Delete the record of a removed upstream."""
         self._records().pop(name, None)
 
     def _mark_serving(self, view):
         record = self._records().get(view.name)
         leaving = view.state == base.State.LEAVING
         if leaving and not (record and record.probing):
-            # A long answer that began before the upstream said that it leaves
-            # may end after; taking it for recovery would send new work there.
+            # A long reply may have begun before the upstream started leaving;
+            # counted as recovery, it would direct new requests there.
             return
         self._records().pop(view.name, None)
         view.state = base.State.SERVING
@@ -112,8 +112,8 @@
         record = records.setdefault(view.name, _Record())
         was_probe = record.probing
         if view.state != base.State.SERVING and not was_probe:
-            # Requests that were in flight when it died all fail at once;
-            # counting each would stretch the pause to its longest.
+            # All requests in flight fail together when an upstream dies;
+            # counting each would raise the backoff to its maximum.
             return
         record.probing = False
         record.failures += 1
--- a/catkinshunt/routing/_load.py
+++ b/catkinshunt/routing/_load.py
@@ -1,11 +1,11 @@
-"""Policies that look at load alone."""
+"""Policies that depend on load only."""
 
 from catkinshunt import checks
 from catkinshunt.routing import base
 
 
 class _RandomStateMixin:
-    """Makes the generator at first use."""
+    """Creates the random generator on first use."""
 
     def _random(self):
         if not hasattr(self, 'random_state_'):
@@ -14,7 +14,7 @@
 
 
 class Random(_RandomStateMixin, base.BasePolicy):
-    """Any upstream with equal chance; the baseline of the benchmarks.
+    """Uniformly random choice; the baseline of the benchmarks.
 
     Args:
         random_state: seed or `random.Random`.
@@ -30,13 +30,13 @@
         self.random_state = random_state
 
     def choose(self, req, candidates, now):
-        """Return any candidate."""
+        """Return a random candidate."""
         view = self._random().choice(candidates)
         return base.Choice(view, 'random', len(candidates))
 
 
 class LeastInFlight(_RandomStateMixin, base.BasePolicy):
-    """The upstream with the fewest requests of this entry.
+    """The upstream with the fewest requests in flight from this entry.
 
     Args:
         random_state: seed or `random.Random`, for ties.
@@ -46,7 +46,7 @@
         self.random_state = random_state
 
     def choose(self, req, candidates, now):
-        """Return a candidate with the fewest own requests."""
+        """Return a candidate with the fewest requests in flight."""
         least = min(view.in_flight for view in candidates)
         ties = [view for view in candidates if view.in_flight == least]
         view = self._random().choice(ties)
@@ -57,12 +57,12 @@
 class PowerOfTwoChoices(_RandomStateMixin, base.BasePolicy):
     """The less loaded of two random upstreams.
 
-    Where many entries act on the same old reports, the least loaded upstream
-    of all would get everybody's requests at once; two random ones keep the
-    entries apart.
+    If all entries chose the least loaded upstream by the same outdated
+    reports, it would receive all requests at once; sampling two at random
+    avoids this herding.
 
     Args:
-        half_life_s: seconds in which a report loses half of its weight.
+        half_life_s: half-life of the weight of a load report, in seconds.
         random_state: seed or `random.Random`.
     """
 
--- a/catkinshunt/routing/_registry.py
+++ b/catkinshunt/routing/_registry.py
@@ -1,4 +1,4 @@
-"""Policies by the names that rules use."""
+"""Policies by their names in rules."""
 
 import functools
 
@@ -19,7 +19,7 @@
     """Return the policy that a rule names.
 
     Raises:
-        RefusedError: there is none; the request was not run.
+        RefusedError: the name is unknown; the request was not executed.
 
     Examples:
         >>> find_policy('two-choices')
@@ -28,6 +28,6 @@
     if name not in _POLICIES:
         known = ', '.join(sorted(_POLICIES))
         raise errors.RefusedError(
-            f'no policy {name!r}, known are {known}', step='choose'
+            f'unknown policy {name!r}; known policies: {known}', step='choose'
         )
     return _POLICIES[name]()
--- a/catkinshunt/routing/_router.py
+++ b/catkinshunt/routing/_router.py
@@ -1,4 +1,4 @@
-"""Finds the upstream for a request among those that this entry knows."""
+"""Selects the upstream of a request among those known to this entry."""
 
 import threading
 
@@ -11,34 +11,34 @@
 from catkinshunt.routing import _subset
 from catkinshunt.routing import base
 
-#: Retry hint when an upstream must first appear or return, in seconds.
+#: Retry-After if no upstream has a known time of its next probe.
 DEFAULT_RETRY_AFTER_S = 1.0
-#: Age at which an upstream's versions are asked for again, in seconds.
+#: Age from which on the versions of an upstream are probed again.
 VERSIONS_MAX_AGE_S = 2.0
-#: Least time between two such requests of one entry: each is refused, and so
-#: costs a retry, as long as nothing has changed.
+#: Least time between version probes of one entry: an upstream that still
+#: lacks the model rejects the request, which costs a retry.
 VERSION_PROBE_INTERVAL_S = 0.25
 
 
 @attrs.frozen
 class _Ranked:
-    """An entry's order of upstreams, split by what they are known to serve."""
+    """Ordered upstreams, split by whether they serve the requested model."""
 
     matching: list
     other: list
 
 
 class Router(shared.ParamsMixin):
-    """Chooses upstreams for one entry and keeps what it learns of them.
+    """Chooses upstreams for one entry and tracks their state.
 
     Args:
         policy: a `BasePolicy`.
-        entry: name of the entry; sets its subset of the upstreams.
-        data_centre: where the entry runs.
+        entry: name of the entry; determines its subset of the upstreams.
+        data_centre: data centre of the entry.
         region: the region of that data centre.
-        subset_size: upstreams of one service that the entry works with.
-        spill_load: requests on each near upstream from which on others are
-            taken as well.
+        subset_size: upstreams of one service that the entry uses.
+        spill_load: load, in requests, of each near upstream from which on
+            farther ones are used as well.
         health: a `HealthTracker`.
 
     Examples:
@@ -75,13 +75,14 @@
         self._version_probe_at = 0.0
 
     def offer(self, upstreams):
-        """Take the instance list's view of all upstreams.
+        """Replace the upstreams by those of the instance list.
 
-        What replies have shown of an upstream stays in force while its name
-        and address stay, since the list lags behind replies.
+        State learned from replies is kept for an upstream whose name and
+        address are unchanged, since the list lags behind replies.
 
         Args:
-            upstreams: all `UpstreamView` objects, new ones may be reused.
+            upstreams: all `UpstreamView` objects; the router keeps and
+                modifies them.
         """
         with self._lock:
             health = self._health()
@@ -95,15 +96,15 @@
             self._ranked.clear()
 
     def choose(self, req, now, policy=None):
-        """Return the `Choice` for a request and count it as in flight.
+        """Return the `Choice` for a request, counted as in flight.
 
         Args:
             req: the `RouteRequest`.
             now: seconds, monotonic.
-            policy: a `BasePolicy` for this request, instead of the router's.
+            policy: a `BasePolicy` that replaces that of the router.
 
         Raises:
-            RefusedError: no upstream may get it now; it was not run.
+            RefusedError: no upstream is usable; it was not executed.
         """
         with self._lock:
             usable = self._find_usable(req, now)
@@ -116,7 +117,7 @@
             return choice
 
     def observe(self, observation, now):
-        """Learn from a reply, a refusal or a failure.
+        """Update the state of an upstream from a reply or failure.
 
         Args:
             observation: the `Observation`.
@@ -142,7 +143,7 @@
             self.policy.observe(observation, now)
 
     def report(self):
-        """Return the known upstreams, in the order of their names."""
+        """Return the known upstreams, sorted by name."""
         with self._lock:
             return [self._views[name] for name in sorted(self._views)]
 
@@ -153,7 +154,7 @@
 
     @staticmethod
     def _merge(old, view, health):
-        """Return the view to keep for a name in the list."""
+        """Return the view to keep for a listed upstream."""
         if old is None or old.address != view.address:
             health.forget(view.name)
             return view
@@ -171,7 +172,7 @@
         return old
 
     def _find_usable(self, req, now):
-        """Return the entry's subset of upstreams that may get the request."""
+        """Return the usable upstreams of the subset of the entry."""
         checks.check_positive(self.subset_size, 'subset_size')
         ranked = self._rank(req)
         version_probe = self._pick_version_probe(ranked.other, req, now)
@@ -179,18 +180,18 @@
             return [version_probe]
         found = self._pick_usable(ranked.matching, req, now)
         if not found and ranked.other:
-            # What is known of versions is as old as the last reply; if all
-            # upstreams have changed over since, only asking one tells.
+            # Version data is as old as the last reply. If all upstreams have
+            # changed their version since, only a request can reveal it.
             found = self._pick_usable(ranked.other, req, now)
         if not found:
             raise self._make_refusal(req, ranked.matching + ranked.other, now)
         return found
 
     def _pick_version_probe(self, views, req, now):
-        """Return an upstream whose versions may have changed, or None.
+        """Return an upstream whose version data is outdated, or None.
 
-        Where others serve the model nothing else would ever go to one that
-        once did not, and an instance that has loaded it would stay idle.
+        While others serve the model, an upstream that once lacked it would
+        get no request, and would stay idle after loading the model.
         """
         if (
             not req.idempotent
@@ -207,7 +208,7 @@
         return None
 
     def _pick_usable(self, ranked, req, now):
-        """Return the first usable upstreams of an order, or one to probe."""
+        """Return the first usable upstreams, or one that is to be probed."""
         health = self._health()
         usable, probes = [], []
         for view in ranked:
@@ -220,7 +221,7 @@
             elif health.check(view, now):
                 probes.append(view)
         if probes and (req.idempotent or not usable):
-            # One request tries one suspect, or it would never come back.
+            # Without a probe, a suspect upstream would never recover.
             return probes[:1]
         return usable
 
@@ -236,9 +237,10 @@
         return self._ranked[key]
 
     def _order(self, service):
-        """Return the entry's order of a service's upstreams.
+        """Return the ordered upstreams of a service.
 
-        It hashes each of them, so it outlasts changes of their versions.
+        Cached apart from `_ranked`: sorting hashes each upstream, and the
+        order does not depend on their versions.
         """
         if service not in self._orders:
             self._orders[service] = _subset.rank_upstreams(
@@ -255,7 +257,7 @@
         if req.model:
             what += f' with {req.model} {req.model_version}'
         return errors.RefusedError(
-            f'no upstream of {what} takes work, {len(ranked)} known',
+            f'no upstream of {what} is available; {len(ranked)} known',
             step='choose',
             peer=req.service,
             retry_after_s=min(waits, default=DEFAULT_RETRY_AFTER_S),
--- a/catkinshunt/routing/_subset.py
+++ b/catkinshunt/routing/_subset.py
@@ -1,4 +1,4 @@
-"""Which upstreams one entry works with, and which of them are near."""
+"""Subsetting: the upstreams that an entry connects to, local ones first."""
 
 import hashlib
 
@@ -6,21 +6,21 @@
 
 
 def rank_upstreams(entry, upstreams, data_centre='', remote_interval=4):
-    """Return upstreams in the order in which one entry takes them up.
+    """Return the upstreams in the order of preference of one entry.
 
-    Each entry has its own order by rendezvous hashing, so that entries spread
-    over the upstreams without talking to each other, and an upstream that
-    comes or goes moves nothing else. The first few of the order are the
-    entry's bounded subset: with subsets of k, the connections grow as
-    entries times k and not as entries times upstreams.
+    Rendezvous hashing gives each entry its own order, so that entries spread
+    over the upstreams without coordination, and adding or removing an
+    upstream does not reorder the others. The first k upstreams are the
+    subset of the entry: the number of connections grows with entries times
+    k instead of entries times upstreams.
 
     Args:
         entry: name of the entry.
         upstreams: `UpstreamView` objects.
-        data_centre: the entry's own; its upstreams come first.
-        remote_interval: each such place of the order goes to an upstream of
-            another data centre, so that a subset outlives the loss of its
-            own data centre.
+        data_centre: data centre of the entry; its upstreams come first.
+        remote_interval: every position that is a multiple of this is given
+            to an upstream of another data centre, so that a subset survives
+            the loss of its own data centre.
 
     Examples:
         >>> views = [
@@ -58,17 +58,17 @@
 
 
 def prefer_near(candidates, data_centre, region, spill_load, now):
-    """Return the nearest group that has an upstream with room.
+    """Return the candidates of the nearest group that has spare capacity.
 
-    The own data centre first, then the own region, then all; a group whose
-    least loaded upstream is at `spill_load` or above is too busy to be worth
-    the shorter way.
+    The groups are the data centre, the region and all candidates. A group is
+    skipped if each of its upstreams has a load of `spill_load` or more: the
+    queueing time there exceeds the gain from the shorter distance.
 
     Args:
         candidates: `UpstreamView` objects, at least one.
-        data_centre: the entry's own.
-        region: the entry's own.
-        spill_load: requests on one upstream from which on a group is full.
+        data_centre: data centre of the entry.
+        region: region of the entry.
+        spill_load: load, in requests, from which on an upstream is full.
         now: seconds, monotonic.
     """
     groups = (
--- a/catkinshunt/routing/base.py
+++ b/catkinshunt/routing/base.py
@@ -1,4 +1,4 @@
-"""What one entry knows of upstreams, and the base class of policies."""
+"""Per-entry state of upstreams, and the base class of policies."""
 
 import abc
 import enum
@@ -7,12 +7,12 @@
 
 from catkinshunt import base
 
-#: Seconds in which a reported load loses half of its weight.
+#: Half-life of the weight of a load report.
 HALF_LIFE_S = 16.0
 
 
 class State(enum.StrEnum):
-    """Whether an upstream may get new work."""
+    """Whether an upstream accepts new requests."""
 
     SERVING = 'serving'
     LEAVING = 'leaving'
@@ -25,28 +25,29 @@
     ANSWERED = 'answered'
     REFUSED = 'refused'
     FAILED = 'failed'
-    #: The caller went away; it says nothing of the upstream's health.
+    #: The caller disconnected; this does not count against the upstream.
     CANCELLED = 'cancelled'
 
 
 @attrs.define
 class UpstreamView:
-    """One upstream as this entry sees it.
+    """State of one upstream in this entry.
 
     Attributes:
         name: unique name of the upstream.
-        address: ``host:port`` of the sidecar beside it.
-        service: the service it belongs to.
-        data_centre: where it runs.
+        address: ``host:port`` of its sidecar.
+        service: name of its service.
+        data_centre: its data centre.
         region: the region of that data centre.
-        in_flight: requests of this entry that it has now.
-        reported_load: requests it had, of all entries, when it last said so.
-        in_flight_at_report: `in_flight` at that time.
-        reported_at: when that was, in seconds; None if it never did.
-        state: whether it may get new work.
-        model_versions: what it serves, as ``model/version``; None when not
-            known.
-        versions_at: when it last said so, in seconds.
+        in_flight: requests in flight from this entry.
+        reported_load: requests in flight from all entries at the last report.
+        in_flight_at_report: `in_flight` at the last report.
+        reported_at: time of the last report, in seconds; None without one.
+        state: whether it accepts new requests.
+        model_versions: the versions it serves, as ``model/version``; None if
+            unknown.
+        versions_at: time at which they were last reported or requested, in
+            seconds.
     """
 
     name: str
@@ -65,7 +66,7 @@
     versions_at: float = 0.0
 
     def may_serve(self, model, version):
-        """Return whether it serves a model, as far as is known.
+        """Return whether it serves a model; True if unknown.
 
         Args:
             model: name of the model; empty for a plain service.
@@ -81,16 +82,16 @@
 
 @attrs.frozen
 class RouteRequest:
-    """What the choice of an upstream needs to know of a request.
+    """The properties of a request that routing depends on.
 
     Attributes:
-        service: the service that the matching rule names.
+        service: service of the rule that matched.
         request_id: identifier of the request, for the log.
-        prefix: start of the prompt, in bytes; empty for plain services.
-        model: model that must be served; empty for a plain service.
-        model_version: version of it; empty for any.
-        excluded: names of upstreams that this request has tried.
-        idempotent: whether running it twice does no harm.
+        prefix: leading bytes of the prompt; empty for plain services.
+        model: required model; empty for a plain service.
+        model_version: required version; empty for any.
+        excluded: names of upstreams that have been tried.
+        idempotent: whether the request may be executed more than once.
     """
 
     service: str
@@ -104,7 +105,7 @@
 
 @attrs.frozen
 class Choice:
-    """A chosen upstream, the grounds, and from how many it was chosen."""
+    """A chosen upstream, the reason, and the number of candidates."""
 
     upstream: UpstreamView
     grounds: str
@@ -113,14 +114,14 @@
 
 @attrs.frozen
 class Observation:
-    """How one exchange ended, and what the reply said of its sender.
+    """Outcome of one exchange, with the state reported in the reply.
 
     Attributes:
-        upstream: the `UpstreamView` that was chosen.
-        result: how the exchange ended.
-        state: state named on the reply, or None.
-        load: load named on the reply, in requests, or None.
-        model_versions: versions named on the reply, or None.
+        upstream: the chosen `UpstreamView`.
+        result: outcome of the exchange.
+        state: state in the reply, or None.
+        load: load in the reply, in requests, or None.
+        model_versions: served versions in the reply, or None.
         finished: whether the request is no longer in flight there.
     """
 
@@ -135,10 +136,11 @@
 
 
 def estimate_load(view, now, half_life_s=HALF_LIFE_S):
-    """Return the load of an upstream in requests, as far as known here.
+    """Return the estimated load of an upstream, in requests.
 
-    The own requests are known; those of other entries are the reported load
-    less the own share of it, and count for less as the report grows old.
+    The requests of this entry are counted; those of other entries are the
+    reported load less the share of this entry, decayed with the age of the
+    report.
 
     Examples:
         >>> view = UpstreamView('a', '127.0.0.1:1', 'model', in_flight=2,
@@ -158,7 +160,7 @@
 
 
 class BasePolicy(base.ParamsMixin, abc.ABC):
-    """Chooses one of the candidates; keeps no count of its own."""
+    """Chooses one of the candidates; does not count requests itself."""
 
     @abc.abstractmethod
     def choose(self, req, candidates, now):
@@ -166,9 +168,9 @@
 
         Args:
             req: the `RouteRequest`.
-            candidates: `UpstreamView` objects that may get it, at least one.
+            candidates: usable `UpstreamView` objects, at least one.
             now: seconds, monotonic.
         """
 
     def observe(self, observation, now):  # noqa: B027
-        """Take note of how an exchange ended; most policies need not."""
+        """Record the outcome of an exchange; does nothing by default."""
--- a/catkinshunt/routing/tests/test_policies.py
+++ b/catkinshunt/routing/tests/test_policies.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize('policy', POLICIES, ids=repr)
-def test_chooses_a_candidate_with_grounds(policy):
+def test_chooses_a_candidate_and_gives_a_reason(policy):
     views = make_views(3)
     req = routing.RouteRequest('model', prefix=b'setup')
     choice = policy.choose(req, views, 0.0)
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize('policy', POLICIES[1:3], ids=repr)
-def test_avoids_the_loaded(policy):
+def test_prefers_the_less_loaded_upstream(policy):
     views = make_views(2)
     views[0].in_flight = 5
     req = routing.RouteRequest('model')
@@ -41,11 +41,10 @@
 
 
 def test_affinity_is_the_same_at_each_entry():
-    """Entries see different cache events, or none at all.
+    """Entries receive different cache events, or none at all.
 
-    If affinity followed the events, entries would send one prefix to
-    different engines, each of which would compute it anew, and first tokens
-    would come late.
+    If affinity depended on them, entries would send one prefix to different
+    engines, each of which would compute it again, and delay first tokens.
     """
     homes = collections.defaultdict(set)
     for seed in range(4):
@@ -58,9 +57,9 @@
 
 
 def test_affinity_spills_a_hot_prefix():
-    """All members ask about one fault and share one prompt prefix.
+    """Many requests share one prompt prefix.
 
-    Without a bound one engine would get all of them while others idle.
+    Without a load bound, one engine would get all of them while others idle.
     """
     policy = routing.PrefixAffinity(random_state=0)
     views = make_views(10)
@@ -70,7 +69,7 @@
     assert max(view.in_flight for view in views) <= 16
 
 
-def test_affinity_moves_little_when_one_goes():
+def test_removing_an_upstream_moves_only_its_own_prefixes():
     policy = routing.PrefixAffinity(random_state=0, homes=1)
     views = make_views(10)
     reqs = [
@@ -83,7 +82,7 @@
     assert moved == before.count('u0')
 
 
-def test_wrong_parameter_is_named():
+def test_invalid_parameter_is_named():
     policy = routing.PrefixAffinity(bound=0)
     req = routing.RouteRequest('model', prefix=b'a')
     with pytest.raises(ValueError, match='bound'):
--- a/catkinshunt/routing/tests/test_router.py
+++ b/catkinshunt/routing/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the router: subsets, health, locality and refusals."""
+"""Tests of the router: subsets, health, locality and rejections."""
 
 import collections
 
@@ -36,10 +36,10 @@
 
 
 def test_failed_upstream_gets_one_probe():
-    """An upstream dies and each try to connect to it fails.
+    """An upstream dies, and each attempt to connect to it fails.
 
-    Without a pause every request would first run into it and answers would
-    come late. After the pause exactly one request tries it.
+    Without a backoff, every request would try it first and be answered
+    late. After the backoff exactly one request is sent to it.
     """
     router = make_router(make_views(2))
     dead = send(router, 0.0, 'failed')
@@ -54,10 +54,10 @@
 
 
 def test_probe_is_never_non_idempotent():
-    """A suspect upstream may die again with the request that tries it.
+    """A suspect upstream may fail again during the request that probes it.
 
-    A booking that went along would end with an unknown outcome, which the
-    caller would notice as a booking to be checked by hand.
+    A booking used as the probe would end with an unknown outcome, and would
+    have to be checked by hand.
     """
     router = make_router(make_views(2))
     dead = send(router, 0.0, 'failed')
@@ -66,10 +66,10 @@
 
 
 def test_leaving_gets_nothing_at_once():
-    """An upstream says in a refusal that it is leaving.
+    """An upstream reports in a rejection that it is leaving.
 
-    The instance list lags and still names it as serving; a caller whose
-    request went there would be refused or cut.
+    The instance list lags and still shows it as serving; a request sent
+    there would be rejected or interrupted.
     """
     views = make_views(2)
     router = make_router(views)
@@ -80,7 +80,7 @@
     assert left not in {send(router, 1.0 + i / 10) for i in range(50)}
 
 
-def test_list_names_leaving_and_back():
+def test_follows_the_leaving_state_in_the_list():
     router = make_router(make_views(2))
     views = make_views(2)
     views[0].state = routing.State.LEAVING
@@ -93,8 +93,8 @@
 def test_replaced_instance_starts_afresh():
     """A dead instance is replaced by one of the same name elsewhere.
 
-    Answers of the old one may still come in; counting them for the new one
-    would hide its load, and callers would wait there.
+    Replies of the old one may still arrive; counted for the new one, they
+    would hide its load, and requests would queue there.
     """
     router = make_router(make_views(1))
     old = router.choose(routing.RouteRequest('model'), 0.0)
@@ -107,7 +107,7 @@
     assert new.upstream.in_flight == 1
 
 
-def test_refusal_names_when_to_come_back():
+def test_rejection_gives_a_retry_time():
     router = make_router(make_views(1))
     send(router, 0.0, 'failed')
     with pytest.raises(errors.RefusedError) as caught:
@@ -136,11 +136,11 @@
     assert {send(router, 0.0, req=req) for _ in range(40)} == expected
 
 
-def test_old_knowledge_of_versions_is_no_refusal():
-    """All upstreams have changed over to a new version since they replied.
+def test_outdated_versions_do_not_reject_requests():
+    """All upstreams have changed to a new version since their last reply.
 
-    An entry that trusted its old knowledge would refuse each request for the
-    new version for ever, since only replies bring new knowledge.
+    An entry that relied on the outdated data would reject each request for
+    the new version forever, since only replies update it.
     """
     views = make_views(2)
     for view in views:
@@ -151,12 +151,12 @@
     assert {send(router, 0.0, req=req) for _ in range(9)} == {first}
 
 
-def test_replaced_runner_without_a_model_is_left_until_it_has_one():
-    """A runner is replaced and has no weights yet, while others serve.
+def test_upstream_without_the_model_is_probed_rarely_until_loaded():
+    """A replaced upstream has no weights yet, while others serve.
 
-    Requests went to it again and again, were refused, and spent the retry
-    budget, so that callers were refused though other runners had room. It
-    is asked again now and then, or it would stay idle when it is ready.
+    Requests were sent to it repeatedly, were rejected and used up the retry
+    budget, so that callers were rejected although others had capacity. It
+    must still be probed at intervals, or it would stay idle once loaded.
     """
     views = make_views(2)
     views[0].model_versions = {'drafts/v1'}
@@ -183,7 +183,7 @@
     assert ready >= 10
 
 
-def test_subsets_bound_the_mesh_and_cover_all():
+def test_subsets_cover_all_upstreams_evenly():
     views = make_views(200)
     seen = collections.Counter()
     for entry in range(40):
@@ -193,10 +193,10 @@
     assert max(seen.values()) <= 3 * 40 * 64 / 200
 
 
-def test_subset_widens_past_unusable_upstreams():
-    """Most of an entry's own subset dies while other upstreams are well.
+def test_subset_is_refilled_past_unusable_upstreams():
+    """The whole subset of an entry fails while other upstreams are healthy.
 
-    A fixed subset would refuse requests that the fleet could answer.
+    A fixed subset would reject requests that the others could serve.
     """
     views = make_views(20)
     router = make_router(views, subset_size=4)
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize('near_load, expected', [(0, {'u0'}), (99, None)])
-def test_near_first_until_busy(near_load, expected):
+def test_near_upstreams_are_preferred_until_full(near_load, expected):
     views = make_views(3)
     views[0].data_centre = 'here'
     views[0].reported_load = near_load
@@ -218,11 +218,11 @@
     assert names == expected or 'u0' not in names
 
 
-def test_stale_report_fades():
-    """Load reports stop coming while an upstream was busy.
+def test_weight_of_an_old_load_report_decays():
+    """Load reports stop while an upstream is busy.
 
-    If the last report held for ever the upstream would never get work again
-    and callers would wait at the others.
+    If the last report kept its weight, the upstream would never get another
+    request, and requests would queue at the others.
     """
     views = make_views(2)
     views[0].reported_load = 50
