--- a/catkinshunt/peers/__init__.py
+++ b/catkinshunt/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Control calls between processes of the system, over grpclib."""
+"""RPC between processes of a deployment, over grpclib."""
 
 from catkinshunt.peers._client import PeerClient
 from catkinshunt.peers._loop import LoopThread
--- a/catkinshunt/peers/_client.py
+++ b/catkinshunt/peers/_client.py
@@ -1,4 +1,4 @@
-"""Calls other processes of the system."""
+"""RPC client for other processes of the deployment."""
 
 import asyncio
 import threading
@@ -20,13 +20,13 @@
 
 
 class PeerClient:
-    """Calls one peer over one kept connection.
+    """Calls one peer over one persistent connection.
 
     Args:
         address: `httpio.Address` of the peer's control port.
         key: the deployment's key.
         loop: running `LoopThread`.
-        timeout_s: deadline of a call that names none.
+        timeout_s: default timeout of a call, in seconds.
     """
 
     def __init__(self, address, key, loop, timeout_s=TIMEOUT_S):
@@ -48,11 +48,11 @@
             stub_class: generated grpclib stub of the service.
             method: name of the method.
             message: its protobuf message.
-            timeout_s: seconds until the call is given up.
+            timeout_s: timeout of the call, in seconds.
 
         Returns:
-            A `concurrent.futures.Future` of the reply. It ends with an
-            `errors.PeerError` that names the method and the peer.
+            A `concurrent.futures.Future` of the reply. A failed call sets
+            an `errors.PeerError` that names the method and the peer.
         """
         timeout_s = timeout_s or self.timeout_s
         with self._lock:
@@ -76,8 +76,8 @@
 
     async def _call(self, stub_class, method, message, timeout_s):
         try:
-            # The time also bounds the connect, which a host that drops
-            # packets would otherwise hold for minutes.
+            # This timeout includes connecting, which would take minutes if
+            # the host drops packets.
             async with asyncio.timeout(timeout_s):
                 stub = stub_class(self._get_channel())
                 return await getattr(stub, method)(
@@ -89,12 +89,12 @@
             kind = _ERRORS.get(exc.status, errors.PeerError)
             raise self._make_error(kind, method, exc.message) from exc
         except TimeoutError as exc:
-            text = f'no answer within {timeout_s}s'
+            text = f'no reply within {timeout_s}s'
             raise self._make_error(
                 errors.PeerTimeoutError, method, text
             ) from exc
         except (OSError, exceptions.StreamTerminatedError) as exc:
-            text = f'not reached: {exc}'
+            text = f'connection failed: {exc}'
             kind = errors.PeerUnavailableError
             raise self._make_error(kind, method, text) from exc
 
--- a/catkinshunt/peers/_loop.py
+++ b/catkinshunt/peers/_loop.py
@@ -1,4 +1,4 @@
-"""The asyncio loop of a process, in a thread of its own."""
+"""The asyncio event loop of a process, in its own thread."""
 
 import asyncio
 import concurrent.futures
@@ -11,16 +11,16 @@
 
 
 class LoopThread(base.BaseService):
-    """Runs coroutines for threads, and blocking work for coroutines.
+    """Runs coroutines for threads, and blocking functions for coroutines.
 
-    grpclib needs an asyncio loop; the rest of the system works with threads
-    and `concurrent.futures`. Both meet here only: `submit` brings a
-    coroutine's result to a thread as a `concurrent.futures.Future`, and
-    `run_blocking` keeps blocking work off the loop. A handler that blocked
-    the loop would hold up every peer's calls at once.
+    grpclib requires an asyncio loop; the rest of the process uses threads
+    and `concurrent.futures`. `submit` returns the result of a coroutine to a
+    thread as a `concurrent.futures.Future`; `run_blocking` runs a blocking
+    function in a worker thread. A handler that blocks the loop delays the
+    calls of all peers.
 
     Args:
-        threads: blocking handlers that run at a time.
+        threads: number of worker threads for blocking functions.
 
     Examples:
         >>> async def double(value):
@@ -50,7 +50,7 @@
         return self
 
     def stop(self):
-        """Cancel what still runs and end the threads."""
+        """Cancel running tasks and stop the threads."""
         if self._loop is None:
             return
         loop, self._loop = self._loop, None
@@ -60,10 +60,10 @@
         loop.close()
 
     def submit(self, coroutine):
-        """Run `coroutine` in the loop; return a future for its result."""
+        """Run `coroutine` in the loop; return a future of its result."""
         if self._loop is None:
             coroutine.close()
-            raise RuntimeError('the loop is not running')
+            raise RuntimeError('event loop is not running')
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def _run(self):
--- a/catkinshunt/peers/_pool.py
+++ b/catkinshunt/peers/_pool.py
@@ -1,4 +1,4 @@
-"""Keeps the connections to peers bounded."""
+"""A bounded pool of connections to peers."""
 
 import collections
 import threading
@@ -10,16 +10,17 @@
 
 
 class PeerPool:
-    """Gives `PeerClient`s by address and closes those not used lately.
+    """Reuses one `PeerClient` per address; evicts the least recently used.
 
-    A process may speak to any of thousands of peers in the course of time;
-    without a bound it would end with a connection to each.
+    A process may call any of thousands of peers over time; without a bound
+    it would keep a connection to each.
 
     Args:
         key: the deployment's key.
         loop: running `LoopThread`.
-        max_open: connections kept; more stay open only while in use.
-        timeout_s: deadline of a call that names none.
+        max_open: connections kept open; excess ones stay open only while in
+            use.
+        timeout_s: default timeout of a call, in seconds.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         return client
 
     def _evict_idle(self, newest):
-        """Return idle clients above the bound, the longest unused first."""
+        """Remove and return idle clients above the bound, oldest first."""
         excess = len(self._clients) - self.max_open
         idle = [
             client
--- a/catkinshunt/peers/_server.py
+++ b/catkinshunt/peers/_server.py
@@ -1,4 +1,4 @@
-"""Serves control calls of other processes of the system."""
+"""RPC server for other processes of the deployment."""
 
 import asyncio
 import hmac
@@ -14,25 +14,25 @@
 from catkinshunt import logs
 from catkinshunt.peers import _loop
 
-#: Metadata key under which a peer shows the deployment's key.
+#: Metadata key that carries the deployment's key.
 KEY_METADATA = 'catkinshunt-key-bin'
-#: Seconds that calls in progress get when the server is stopped.
+#: Time for calls in progress to finish when the server is stopped.
 DRAIN_S = 5.0
 _log = logs.get_logger('peers')
 
 
 class PeerServer(base.BaseService):
-    """Hosts grpclib handlers behind the deployment's key.
+    """Serves grpclib handlers to peers that present the deployment's key.
 
     Args:
         handlers: instances of generated grpclib service classes; their
-            methods run in the loop and give blocking work to
-            `run_blocking`.
+            methods run in the loop and use `run_blocking` for blocking
+            functions.
         host: address to listen on.
-        port: port to listen on; 0 takes a free one, set when started.
-        key: the deployment's key; peers without it are refused.
-        loop: `LoopThread` to run in; None makes one of its own.
-        drain_s: seconds that calls in progress get when stopped.
+        port: port to listen on; 0 selects a free one, set by `start`.
+        key: the deployment's key; calls without it are rejected.
+        loop: `LoopThread` to run in; None creates one.
+        drain_s: seconds for calls in progress to finish on `stop`.
     """
 
     def __init__(self, handlers, host, port, key, loop=None, drain_s=DRAIN_S):
@@ -46,14 +46,14 @@
         self._server = None
 
     def __repr__(self):
-        # The key must not reach a log through repr.
+        # Excludes the key, which must not be logged.
         return f'PeerServer(host={self.host!r}, port={self.port!r})'
 
     def start(self):
-        """Listen.
+        """Start listening.
 
         Raises:
-            errors.PeerUnavailableError: the address cannot be listened on.
+            errors.PeerUnavailableError: the address cannot be bound.
         """
         if self.loop is None:
             self._own_loop = self.loop = _loop.LoopThread().start()
@@ -68,7 +68,7 @@
         return self
 
     def stop(self):
-        """Take no new call, finish those in progress, then close."""
+        """Reject new calls, drain those in progress, then close."""
         if self._server is None:
             return
         self.loop.submit(self._close()).result()
@@ -94,17 +94,17 @@
         try:
             await asyncio.wait_for(self._idle.wait(), self.drain_s)
         except asyncio.TimeoutError:
-            _log.warning('calls in progress were cut after {}s', self.drain_s)
+            _log.warning('Aborted calls in progress after {}s.', self.drain_s)
         self._server.close()
         self._server.close_connections()
         await self._server.wait_closed()
 
     async def _on_request(self, event):
         presented_key = event.metadata.get(KEY_METADATA, b'')
-        # The comparison takes the same time wherever the keys differ, so
-        # that a key cannot be found out one character after the other.
+        # Constant-time comparison prevents a timing attack that would
+        # recover the key byte by byte.
         if not hmac.compare_digest(presented_key, self.key.encode()):
-            _log.warning('refused a call without the key')
+            _log.warning('Rejected a call without a valid key.')
             raise grpclib.GRPCError(grpclib.Status.UNAUTHENTICATED, 'key')
         if self._draining:
             raise grpclib.GRPCError(grpclib.Status.UNAVAILABLE, 'leaving')
@@ -131,11 +131,11 @@
 
 
 class _Server(grpclib_server.Server):
-    """A server that also closes the connections it has accepted.
+    """A server that also closes its accepted connections.
 
-    grpclib leaves them open. A peer would go on sending calls into a
-    connection that nobody reads, and each would run into its deadline
-    instead of failing at once.
+    grpclib leaves them open: peers would send further calls on a connection
+    that is no longer read, and each would time out instead of failing at
+    once.
     """
 
     def __init__(self, handlers):
@@ -148,7 +148,7 @@
         return protocol
 
     def close_connections(self):
-        """Close all accepted connections once their output is flushed."""
+        """Close all accepted connections after flushing their output."""
         for protocol in list(self._accepted):
             if hasattr(protocol, 'processor'):
-                protocol.processor.close('the server is closed')
+                protocol.processor.close('server closed')
--- a/catkinshunt/peers/tests/test_peers.py
+++ b/catkinshunt/peers/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of calls between processes, over real sockets."""
+"""Tests of RPC between processes, over real sockets."""
 
 import threading
 
@@ -15,7 +15,7 @@
 
 
 class Handler(dissemination_grpc.DisseminationBase):
-    """Answers with the revision offered; `Pull` waits until released."""
+    """Returns the revision offered; `Pull` blocks until released."""
 
     def __init__(self):
         self.entered = threading.Event()
@@ -82,7 +82,7 @@
     return client.call(stub, 'Pull', message, **kwargs)
 
 
-def test_a_call_comes_back_as_a_future(server, handler, loop):
+def test_a_call_returns_a_future(server, handler, loop):
     client = _client(server, loop)
     assert _offer(client, 5).result(WAIT_S).sender == '5'
     assert handler.threads[0].startswith('peers-worker')
@@ -90,10 +90,10 @@
 
 
 @pytest.mark.parametrize('key', ['', 'another', KEY + 'x', 'κλειδί'])
-def test_a_peer_without_the_key_is_refused(server, loop, handler, key):
-    """A process of another deployment, or somebody else, finds the port.
+def test_a_call_without_the_key_is_rejected(server, loop, handler, key):
+    """A process outside of the deployment connects to the port.
 
-    Its calls must not be able to change a configuration or to learn one.
+    Its calls must not change or read a configuration.
     """
     client = _client(server, loop, key)
     with pytest.raises(errors.PeerError) as caught:
@@ -111,10 +111,10 @@
     client.close()
 
 
-def test_a_peer_that_does_not_answer_ends_the_call(server, loop, handler):
-    """A peer hangs, perhaps paused or short of threads.
+def test_a_call_to_an_unresponsive_peer_times_out(server, loop, handler):
+    """A peer hangs, for example because it is paused or out of threads.
 
-    Without a deadline the caller's thread would wait for it for ever.
+    Without a timeout the calling thread would wait forever.
     """
     client = _client(server, loop)
     with pytest.raises(errors.PeerTimeoutError):
@@ -124,8 +124,8 @@
     client.close()
 
 
-def test_a_dead_peer_is_reported_as_not_reached(server, loop):
-    """The peer's instance has died and its address answers no more."""
+def test_a_dead_peer_is_reported_as_unavailable(server, loop):
+    """The instance of the peer has died."""
     server.stop()
     client = _client(server, loop)
     with pytest.raises(errors.PeerUnavailableError):
@@ -133,10 +133,10 @@
     client.close()
 
 
-def test_a_client_connects_again_after_its_peer_came_back(loop, handler):
-    """A peer is restarted at the same address while we hold a connection.
+def test_a_client_reconnects_to_a_restarted_peer(loop, handler):
+    """A peer restarts at the same address while a connection is open.
 
-    If the dead connection were kept, every later call would fail.
+    If the closed connection were reused, every later call would fail.
     """
     first = peers.PeerServer([handler], '127.0.0.1', 0, KEY).start()
     client = _client(first, loop)
@@ -148,10 +148,10 @@
     client.close()
 
 
-def test_a_planned_stop_finishes_the_call_in_progress(loop, handler):
-    """A process is told to stop while it answers a peer.
+def test_stop_drains_the_calls_in_progress(loop, handler):
+    """A process is stopped while it handles a call.
 
-    The peer must get its answer, and new calls must be turned away.
+    The call must complete, and new calls must be rejected.
     """
     server = peers.PeerServer([handler], '127.0.0.1', 0, KEY).start()
     client = _client(server, loop)
@@ -170,14 +170,14 @@
     client.close()
 
 
-def test_a_taken_port_is_named(server, handler):
+def test_a_port_in_use_is_reported(server, handler):
     second = peers.PeerServer([handler], '127.0.0.1', server.port, KEY)
     with pytest.raises(errors.PeerUnavailableError, match='listen'):
         second.start()
     second.stop()
 
 
-def test_a_pool_closes_what_was_not_used_lately(handler, loop):
+def test_a_pool_evicts_idle_clients(handler, loop):
     pool = peers.PeerPool(KEY, loop, max_open=2)
     servers = [
         peers.PeerServer([handler], '127.0.0.1', 0, KEY, loop).start()
