--- a/catkinshunt/dissemination/_disseminator.py
+++ b/catkinshunt/dissemination/_disseminator.py
@@ -1,4 +1,4 @@
-"""Hands revised documents on from process to process."""
+"""Gossip: push and pull of document revisions between processes."""
 
 import functools
 import threading
@@ -14,33 +14,34 @@
 PULL_PERIOD_S = 1.0
 START_PEERS = 3
 REPLY_TIMEOUT_S = 2.0
-#: Least seconds between pulls from any neighbour for a hint without a name.
+#: Least time between pulls that are triggered by an unnamed peer.
 ANONYMOUS_PULL_INTERVAL_S = 0.2
 _log = logs.get_logger('dissemination')
 
 
 class Disseminator(base.BaseService):
-    """Pushes what is new to a few neighbours, and pulls from one in turn.
+    """Pushes new revisions to random neighbours, and pulls periodically.
 
-    Each process that learns of a revision offers it once to `fanout`
-    neighbours, so that it reaches nearly all within a few hops. A push can
-    miss some processes; the regular pull finds these. Both carry edits
-    where the other side is a few revisions behind.
+    Each process that receives a revision offers it once to `fanout`
+    neighbours, so that it reaches nearly all processes within a few hops.
+    Periodic pulls (anti-entropy) reach those that the pushes miss. Both send
+    edits instead of the document to a peer that is a few revisions behind.
 
     Args:
-        name: name of the own instance.
-        data_centre: data centre of the own instance.
+        name: name of this instance.
+        data_centre: data centre of this instance.
         replicas: the `BaseReplica` of each topic.
-        peering: a `BasePeerTransport`.
+        transport: a `BasePeerTransport`.
         members: function that returns the instances with a control address
             as a tuple, the same object while unchanged.
-        duties: the `WatchElection` of each source, for its probes.
-        fanout: neighbours that get each new revision.
-        pull_period_s: mean seconds between pulls.
+        elections: the `WatchElection` of each source, for probes of its
+            watchers.
+        fanout: number of neighbours to which each revision is pushed.
+        pull_period_s: mean time between pulls, in seconds.
         random_state: seed or `random.Random`.
 
     Attributes:
-        answered: how many peers answered at the start.
+        answered: number of peers that replied at start.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         self._thread = None
 
     def start(self):
-        """Ask a few peers at once, then go on in the background."""
+        """Pull from a few peers, then push and pull in the background."""
         self._prepare()
         self.answered = self.catch_up(time.monotonic())
         self._thread = threading.Thread(
@@ -87,7 +88,7 @@
         return self
 
     def stop(self):
-        """End pushes and pulls."""
+        """Stop pushing and pulling."""
         with self._wake:
             self._stopped = True
             self._wake.notify()
@@ -96,19 +97,19 @@
             self._thread = None
 
     def wake(self, *_args):
-        """Push soon what is new; fits as a replica's subscriber."""
+        """Trigger a push; usable as a subscriber of a replica."""
         with self._wake:
             self._wake.notify()
 
     def observe_revision(self, topic, revision, now, name=''):
-        """Note that a peer holds `revision`; pull from it if it is newer.
+        """Trigger a pull if a peer has a newer revision.
 
         Args:
             topic: name of the document.
-            revision: revision that the peer named.
+            revision: revision of the peer.
             now: seconds, monotonic.
-            name: name of the peer's instance; empty where it is not known,
-                and then any neighbour is asked, but not at each request.
+            name: name of the peer; if empty, the pull goes to any neighbour,
+                at most once per `ANONYMOUS_PULL_INTERVAL_S`.
         """
         if revision <= self._by_topic[topic].revision:
             return
@@ -121,10 +122,10 @@
             self._wake.notify()
 
     def handle_offer(self, update, sender, now):
-        """Take an `Update` that the peer `sender` offers.
+        """Apply an `Update` offered by the peer `sender`.
 
         Returns:
-            The revision held after it.
+            The revision of the replica afterwards.
         """
         self.peer_health.observe(sender, True, now)
         replica = self._by_topic.get(update.topic)
@@ -134,13 +135,15 @@
             if replica.apply_update(update, now):
                 self.wake()
         except errors.PeerError as exc:
-            # Edits are missing in between; the sender has them.
-            _log.info('Update {} asked for whole: {}', update.revision, exc)
+            # Edits in between are missing; they are pulled from the sender.
+            _log.info(
+                'Pulls from the sender of update {}: {}', update.revision, exc
+            )
             self.observe_revision(update.topic, update.revision, now, sender)
         return replica.revision
 
     def handle_pull(self, held, sender, now):
-        """Return the updates for a peer that holds the revisions `held`."""
+        """Return the updates for a peer with the revisions `held`."""
         self.peer_health.observe(sender, True, now)
         updates = []
         for topic, replica in self._by_topic.items():
@@ -167,10 +170,10 @@
                 )
 
     def pull(self, now):
-        """Ask one peer for what is newer, and take it.
+        """Pull newer revisions from one peer.
 
         Returns:
-            Whether a peer answered.
+            Whether a peer replied.
         """
         self._prepare()
         peer = self._choose_pull(now)
@@ -180,12 +183,12 @@
         return self._apply_reply(peer, fut, now)
 
     def catch_up(self, now):
-        """Ask several peers; the highest revision among them is taken.
+        """Pull from several peers, which yields their highest revision.
 
-        One peer alone may itself be behind, or have just started.
+        A single peer may itself be behind, or have just started.
 
         Returns:
-            How many answered.
+            The number of peers that replied.
         """
         self._prepare()
         peers = self.neighbours.choose(self.members(), START_PEERS, now)
@@ -229,7 +232,7 @@
         return found
 
     def _choose_probe(self, members, now):
-        """Every other pull goes to a watcher, if we are its deputy."""
+        """Return a watcher for every second pull of a standby, or None."""
         if not self.elections or self._random.random() < 0.5:
             return None
         election = self._random.choice(self.elections)
@@ -244,11 +247,11 @@
         return self.transport.pull(peer, held)
 
     def _apply_reply(self, peer, fut, now):
-        """Wait for a peer's updates and apply them; return its success."""
+        """Wait for a reply and apply it; return whether the peer replied."""
         try:
             updates = fut.result(timeout=2 * REPLY_TIMEOUT_S)
         except (errors.PeerError, TimeoutError) as exc:
-            _log.debug('No pull from {}: {}', peer.name, exc)
+            _log.debug('Pull from {} failed: {}', peer.name, exc)
             self.peer_health.observe(peer.name, False, now)
             return False
         self.peer_health.observe(peer.name, True, now)
@@ -264,10 +267,10 @@
         try:
             replica.apply_update(update, now)
         except errors.PeerError as exc:
-            _log.warning('Update from {} not taken: {}', peer.name, exc)
+            _log.warning('Rejected an update from {}: {}', peer.name, exc)
             return
         if starting:
-            # What a starting process learns, its peers know already.
+            # Peers have this revision already, so it is not pushed.
             self._pushed[update.topic] = replica.revision
 
     def _on_offer_reply(self, peer, topic, now, fut):
@@ -282,5 +285,5 @@
             self.neighbours.random_state = self._random
 
     def _pause_s(self):
-        # Spread, so that processes started together do not pull together.
+        # Jitter keeps processes started together from pulling together.
         return self.pull_period_s * self._random.uniform(0.5, 1.5)
--- a/catkinshunt/dissemination/_neighbours.py
+++ b/catkinshunt/dissemination/_neighbours.py
@@ -1,4 +1,4 @@
-"""The bounded set of peers that a process speaks to."""
+"""The bounded, random set of peers that a process calls."""
 
 from catkinshunt import base
 from catkinshunt import checks
@@ -11,19 +11,19 @@
 
 
 class Neighbours(base.ParamsMixin):
-    """Random peers, most of them of the own data centre.
+    """A random sample of the peers, mostly of the same data centre.
 
-    Connections to a bounded set can be kept. A new random peer for each call
-    would cost a connection each time, and all peers together too much
-    memory. Random sets leave the whole connected; one member is exchanged
-    from time to time, so that no process stays cut off by bad luck.
+    Connections to a bounded set can be kept open. Sampling for each call
+    would need a new connection each time, and connections to all peers too
+    much memory. Random sets form a connected graph with high probability;
+    periodic replacement of one neighbour ends an unlucky partition.
 
     Args:
-        name: name of the own instance.
-        data_centre: data centre of the own instance.
-        local: how many peers of the own data centre.
-        remote: how many of the others.
-        rotate_s: seconds after which one peer is exchanged.
+        name: name of this instance.
+        data_centre: data centre of this instance.
+        local: number of neighbours in the same data centre.
+        remote: number of neighbours in other data centres.
+        rotate_s: seconds between replacements of one neighbour.
         random_state: seed or `random.Random`.
     """
 
@@ -51,11 +51,11 @@
         self._rotate_at = None
 
     def choose(self, members, count, now):
-        """Return up to `count` random neighbours that may be called.
+        """Return up to `count` random neighbours, without those in backoff.
 
         Args:
             members: tuple of instances; the same object while unchanged.
-            count: how many.
+            count: number of neighbours.
             now: seconds, monotonic.
         """
         self._refresh(members, now)
@@ -64,7 +64,7 @@
             for name in self._chosen
             if self.peer_health.may_call(name, now)
         ]
-        # Where all failed, calling one of them is still the only way on.
+        # If all are in backoff, they are called nevertheless.
         usable = usable or self._chosen
         names = self._random.sample(usable, min(count, len(usable)))
         return [self._by_name[name] for name in names]
@@ -106,7 +106,7 @@
             names = self._local_names if near else self._remote_names
             names.append(member.name)
         self.peer_health.forget(self._by_name)
-        # Few of one kind leave room for more of the other.
+        # If one kind has too few peers, the other fills its share.
         room = self.local + self.remote
         local = max(self.local, room - len(self._remote_names))
         remote = max(self.remote, room - len(self._local_names))
@@ -116,7 +116,7 @@
         ]
 
     def _sample_names(self, names, bound):
-        """Return `bound` of `names`, those chosen before first."""
+        """Return a sample of `bound` names, current neighbours first."""
         before = set(self._chosen)
         kept = [name for name in names if name in before][:bound]
         free = [name for name in names if name not in before]
@@ -124,12 +124,12 @@
         return kept + self._random.sample(free, missing)
 
     def _replace(self, name):
-        """Put a random peer of the same kind in the place of `name`."""
+        """Replace `name` by a random peer of the same kind."""
         names = self._local_names
         if self._by_name[name].data_centre != self.data_centre:
             names = self._remote_names
-        # A few tries; going through thousands of names at each call in a
-        # long outage would cost more than the calls themselves.
+        # The attempts are bounded: in a long outage, scanning thousands of
+        # names would cost more than the calls.
         for _ in range(MAX_REPLACE_ATTEMPTS):
             other = self._random.choice(names)
             if (
--- a/catkinshunt/dissemination/_peer_health.py
+++ b/catkinshunt/dissemination/_peer_health.py
@@ -1,4 +1,4 @@
-"""Which peers answered lately."""
+"""Tracks unresponsive peers."""
 
 import threading
 
@@ -7,8 +7,8 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Failures in a row after which a peer counts as lost. One is not enough:
-#: a single call may fail because a kept connection was closed.
+#: Consecutive failures after which a peer counts as unresponsive. A single
+#: call may fail because an idle connection was closed.
 UNRESPONSIVE_FAILURES = 2
 
 
@@ -19,11 +19,12 @@
 
 
 class PeerHealth(base.ParamsMixin):
-    """Remembers peers that failed; leaves them alone, then tries again.
+    """Records failed calls, with exponential backoff for each peer.
 
     Args:
-        backoff_s: pause after the first failure, doubled by each other.
-        max_backoff_s: longest pause.
+        backoff_s: backoff after the first failure, in seconds; doubles with
+            each further one.
+        max_backoff_s: longest backoff, in seconds.
 
     Examples:
         >>> peer_health = PeerHealth(backoff_s=1.0)
@@ -45,7 +46,7 @@
         self._lock = threading.Lock()
 
     def observe(self, name, answered, now):
-        """Note whether the peer `name` answered a call."""
+        """Record whether the peer `name` replied to a call."""
         with self._lock:
             if answered:
                 self._failures.pop(name, None)
@@ -58,17 +59,17 @@
             self._failures[name] = _Failures(count, retry_at)
 
     def may_call(self, name, now):
-        """Return whether the peer may be called."""
+        """Return whether the peer is not in backoff."""
         found = self._failures.get(name)
         return found is None or now >= found.retry_at
 
     def is_unresponsive(self, name):
-        """Return whether the peer failed more than once in a row."""
+        """Return whether `UNRESPONSIVE_FAILURES` calls failed in a row."""
         found = self._failures.get(name)
         return found is not None and found.count >= UNRESPONSIVE_FAILURES
 
     def forget(self, names):
-        """Drop what is known of all peers but `names`."""
+        """Delete the records of all peers except `names`."""
         with self._lock:
             for name in set(self._failures) - set(names):
                 del self._failures[name]
--- a/catkinshunt/dissemination/_watch_election.py
+++ b/catkinshunt/dissemination/_watch_election.py
@@ -1,4 +1,4 @@
-"""Who asks the platform's services on behalf of the others."""
+"""Election of the processes that watch the services of the platform."""
 
 from catkinshunt import base
 from catkinshunt import rendezvous
@@ -8,21 +8,21 @@
 
 
 class WatchElection(base.ParamsMixin):
-    """Decides whether the own process watches a source.
+    """Decides whether this process watches a source.
 
-    In each data centre the first few instances in an order by rendezvous
-    hashing watch; the next few are their deputies and call those before them
-    now and then. A deputy takes over when so many before it are lost that it
-    moves up. Only deputies ever move up, so the loss of a watcher brings one
-    more watch and not one from every process that notices.
+    In each data centre, instances are ordered by rendezvous hashing of the
+    topic. The first ones watch; the next ones are standbys, which probe their
+    predecessors. A standby watches if fewer than `watchers` predecessors are
+    responsive. As only standbys take over, the failure of a watcher starts
+    one watch instead of one in every process that detects it.
 
     Args:
-        topic: name of the document; another one has other watchers.
-        name: name of the own instance.
-        data_centre: data centre of the own instance.
-        contacts: `PeerHealth` of the own process.
-        watchers: watchers in each data centre.
-        deputies: how many after them stand ready.
+        topic: name of the document.
+        name: name of this instance.
+        data_centre: data centre of this instance.
+        peer_health: `PeerHealth` of this process.
+        watchers: number of watchers in each data centre.
+        standbys: number of standbys in each data centre.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._predecessors = None
 
     def is_elected(self, members):
-        """Return whether the own process watches now.
+        """Return whether this process is to watch.
 
         Args:
             members: tuple of instances; the same object while unchanged.
@@ -60,12 +60,12 @@
         return len(responsive) < self.watchers
 
     def choose_probe(self, members, random_state):
-        """Return the name of an instance to call as its deputy, or None."""
+        """Return the name of a random predecessor to probe, or None."""
         predecessors = self._find_predecessors(members)
         return random_state.choice(predecessors) if predecessors else None
 
     def _find_predecessors(self, members):
-        """Return the names before the own; None if it is no deputy."""
+        """Return the names ranked before this one; None if it has no role."""
         if members is not self._members:
             order = rendezvous.rank(
                 self.topic,
--- a/catkinshunt/dissemination/_watcher.py
+++ b/catkinshunt/dissemination/_watcher.py
@@ -1,4 +1,4 @@
-"""Asks a source for new revisions while the own process is on duty."""
+"""Watches a source for new revisions while this process is elected."""
 
 import threading
 
@@ -9,7 +9,7 @@
 
 WAIT_S = 30.0
 STANDBY_CHECK_S = 0.5
-#: Pause of a process that knows no other one.
+#: Poll period of a process without any peer.
 NO_PEERS_PERIOD_S = 1.0
 RETRY_S = 0.5
 MAX_RETRY_S = 5.0
@@ -17,18 +17,18 @@
 
 
 class Watcher(base.BaseService):
-    """Fetches from one source in a thread of its own.
+    """Fetches from one source in a background thread.
 
-    A process that knows no other one asks by itself, without waiting there
-    and with pauses at random, so that many which start while the instance
-    list is out of reach do not all hold a watch.
+    A process without peers polls the source at random intervals instead of
+    watching it, so that many processes that start while the instance list is
+    unavailable do not all hold a watch.
 
     Args:
         source: a `BaseSource`.
-        duty: the `WatchElection` for its topic.
+        election: the `WatchElection` of its topic.
         members: as for `Disseminator`.
-        wait_s: seconds that one call may wait at the source.
-        idle_s: seconds between looks whether the duty has come.
+        wait_s: long-poll timeout of one fetch, in seconds.
+        idle_s: seconds between checks of the election.
         random_state: seed or `random.Random`.
     """
 
@@ -51,7 +51,7 @@
         self._stopped = threading.Event()
 
     def start(self):
-        """Watch in the background whenever on duty."""
+        """Start the thread, which watches while elected."""
         thread = threading.Thread(
             target=self._run, name=f'watch-{self.source.topic}', daemon=True
         )
@@ -59,7 +59,7 @@
         return self
 
     def stop(self):
-        """End the watch; a call that waits at the source is abandoned."""
+        """Stop watching, without waiting for a fetch in progress."""
         self._stopped.set()
 
     def _run(self):
@@ -80,20 +80,24 @@
             else:
                 failures += 1
                 pause_s = min(RETRY_S * 2**failures, MAX_RETRY_S)
-            # Spread, so that watchers do not return from an outage together.
+            # Jitter keeps watchers from reconnecting together after an outage.
             self._stopped.wait(pause_s * rng.uniform(0.5, 1.5))
 
     def _fetch(self, wait_s):
         try:
             self.source.fetch(wait_s)
         except errors.CatkinshuntError as exc:
-            _log.warning('Source of {}: {}', self.source.topic, exc)
+            _log.warning('Fetch of {} failed: {}', self.source.topic, exc)
             return False
         except Exception as exc:
-            # If the thread ended here, the process would still answer its
-            # deputies, none of them would take over, and new revisions
-            # would come from other data centres only.
-            _log.error('Source of {} broke: {!r}', self.source.topic, exc)
+            # If the thread ended, the process would still answer probes, no
+            # standby would take over, and new revisions would arrive from
+            # other data centres only.
+            _log.error(
+                'Unexpected error in the fetch of {}: {!r}',
+                self.source.topic,
+                exc,
+            )
             return False
         return True
 
--- a/catkinshunt/dissemination/base.py
+++ b/catkinshunt/dissemination/base.py
@@ -1,4 +1,4 @@
-"""Documents with a revision, and the ways in which they travel."""
+"""Base classes of replicated documents, their sources and transport."""
 
 import abc
 
@@ -7,14 +7,14 @@
 
 @attrs.frozen
 class Update:
-    """A way from `base_revision`, or from nothing, to `revision`.
+    """A delta from `base_revision` to `revision`, or the whole document.
 
     Args:
         topic: name of the document.
-        revision: revision that it leads to.
-        base_revision: revision that the edits start from.
+        revision: resulting revision.
+        base_revision: revision to which the edits apply.
         edits: the edits in order, each as JSON bytes.
-        document: the whole document, deflated; empty where edits lead there.
+        document: the whole document, deflated; empty if there are edits.
         digest: SHA-256 of the document at `revision`.
     """
 
@@ -27,70 +27,70 @@
 
     @property
     def size(self):
-        """Bytes of edits and document."""
+        """Total bytes of edits and document."""
         return len(self.document) + sum(map(len, self.edits))
 
 
 class BaseReplica(abc.ABC):
-    """A process's copy of a document; its revision only rises.
+    """A replica of a document in one process; its revision only increases.
 
-    Implementations may be called from several threads.
+    Implementations are thread-safe.
     """
 
-    #: Name of the document, equal in all processes.
+    #: Name of the document, the same in all processes.
     topic = ''
 
     @property
     @abc.abstractmethod
     def revision(self):
-        """Revision held; 0 before any was learnt."""
+        """Current revision; 0 before the first."""
 
     @abc.abstractmethod
     def make_update(self, after_revision):
-        """Return the smaller `Update` for a process at `after_revision`."""
+        """Return the smallest `Update` for a process at `after_revision`."""
 
     @abc.abstractmethod
     def apply_update(self, update, now):
-        """Take `update` if it is newer.
+        """Apply `update` if it is newer.
 
         Returns:
-            Whether the revision rose.
+            Whether it was applied.
 
         Raises:
-            errors.PeerError: the update does not fit what is held.
+            errors.PeerError: the update does not apply to the replica.
         """
 
 
 class BaseSource(abc.ABC):
-    """Where a document comes from: a service of the platform."""
+    """A service of the platform from which a document is fetched."""
 
-    #: Name of the document that it gives.
+    #: Name of the document.
     topic = ''
-    #: Seconds between calls; 0 where a call waits for what is newer.
+    #: Seconds between fetches; 0 if a fetch waits for a newer revision.
     period_s = 0.0
 
     @abc.abstractmethod
     def fetch(self, wait_s):
-        """Wait up to `wait_s` for a newer revision; give it to the replica.
+        """Wait up to `wait_s` for a newer revision; update the replica.
 
         Raises:
-            errors.CatkinshuntError: the service gave no usable answer.
+            errors.CatkinshuntError: there was no valid reply.
         """
 
 
 class BasePeerTransport(abc.ABC):
-    """Calls to other processes; each returns a `concurrent.futures.Future`.
+    """RPC to peers; each method returns a `concurrent.futures.Future`.
 
-    A future ends with an `errors.PeerError` where the call failed.
+    A failed call sets an `errors.PeerError`.
     """
 
     @abc.abstractmethod
     def offer(self, peer, update):
-        """Offer `update`; the future gives the revision the peer holds."""
+        """Offer `update`; the future yields the revision of the peer."""
 
     @abc.abstractmethod
     def pull(self, peer, held):
-        """Ask for what is newer than `held`, a mapping of topic to revision.
+        """Request updates for `held`, a mapping of topic to revision.
 
-        The future gives a tuple of `Update`.
+        The future yields a tuple of `Update`.
         """
--- a/catkinshunt/dissemination/grpc_transport.py
+++ b/catkinshunt/dissemination/grpc_transport.py
@@ -1,4 +1,4 @@
-"""Dissemination over the control channel."""
+"""Transport of dissemination over gRPC."""
 
 import concurrent.futures
 import time
@@ -14,7 +14,7 @@
     """Calls the control port of other processes.
 
     Args:
-        name: name of the own instance.
+        name: name of this instance.
         pool: `peers.PeerPool`.
     """
 
@@ -44,13 +44,13 @@
 
 
 class Handler(dissemination_grpc.DisseminationBase):
-    """Answers the calls of other processes for a `Disseminator`."""
+    """Serves the calls of peers to a `Disseminator`."""
 
     def __init__(self, disseminator):
         self.disseminator = disseminator
 
     async def Offer(self, stream):
-        """Take what a peer offers."""
+        """Apply the update that a peer offers."""
         message = await stream.recv_message()
         update = _from_message(message.update)
         revision = await peers.run_blocking(
@@ -63,7 +63,7 @@
         await stream.send_message(_held_message(self.disseminator.name, held))
 
     async def Pull(self, stream):
-        """Give a peer what is newer than what it holds."""
+        """Return the updates that a peer lacks."""
         message = await stream.recv_message()
         held = {item.topic: item.revision for item in message.topics}
         updates = await peers.run_blocking(
@@ -108,7 +108,7 @@
 
 
 def _map_future(fut, function):
-    """Return a future of `function` of the result of `fut`."""
+    """Return a future of `function` applied to the result of `fut`."""
     mapped = concurrent.futures.Future()
 
     def finish(done):
--- a/catkinshunt/dissemination/tests/fakes.py
+++ b/catkinshunt/dissemination/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Processes in memory whose messages are counted and may be lost."""
+"""In-memory processes with a network that counts and drops messages."""
 
 import concurrent.futures
 import functools
@@ -14,7 +14,7 @@
 
 
 def make_instance(name, data_centre='larisa-a', port=1):
-    """Return an instance that other processes reach."""
+    """Return an instance with a control address."""
     address = httpio.Address('127.0.0.1', port)
     return instances.Instance(
         name=name,
@@ -28,13 +28,13 @@
 
 
 class Network:
-    """Carries offers from one round to the next, and pulls at once.
+    """Delivers offers in the next round, and pulls immediately.
 
     Attributes:
-        dead: names of processes that answer nothing.
-        groups: names by group; where set, groups do not reach each other.
-        messages: how many were sent.
-        sent_bytes: bytes of edits and documents, and of a header each.
+        dead: names of processes that do not reply.
+        groups: group of each name; different groups are partitioned.
+        messages: number of messages sent.
+        sent_bytes: bytes of edits, documents and headers.
     """
 
     def __init__(self):
@@ -46,29 +46,29 @@
         self._waiting = []
 
     def deliver(self, now):
-        """Hand over all offers that wait."""
+        """Deliver all pending offers."""
         waiting, self._waiting = self._waiting, []
         for deliver in waiting:
             deliver(now)
 
     def reaches(self, sender, name):
-        """Return whether a message from one process reaches another."""
+        """Return whether a message from `sender` reaches `name`."""
         if name in self.dead or sender in self.dead:
             return False
         return self.groups.get(sender) == self.groups.get(name)
 
     def count(self, size):
-        """Note a message with its reply."""
+        """Count a message with its reply."""
         self.messages += 1
         self.sent_bytes += size + 2 * HEADER_BYTES
 
     def send(self, deliver):
-        """Keep `deliver(now)` for the next round."""
+        """Schedule `deliver(now)` for the next round."""
         self._waiting.append(deliver)
 
 
 class FakePeerTransport(dissemination.BasePeerTransport):
-    """The calls of one process over a `Network`."""
+    """Transport of one process over a `Network`."""
 
     def __init__(self, name, network):
         self.name = name
@@ -101,11 +101,11 @@
 
 
 class Fleet:
-    """Spreaders of many processes, driven in rounds.
+    """Disseminators of many processes, driven in rounds.
 
     Args:
-        size: how many processes.
-        data_centres: how many data centres they stand in.
+        size: number of processes.
+        data_centres: number of data centres.
         fanout: as for `Disseminator`.
         random_state: seed.
     """
@@ -123,11 +123,11 @@
 
     @property
     def disseminators(self):
-        """The spreaders by name of their instance."""
+        """The disseminators by instance name."""
         return self.network.disseminators
 
     def add(self, member, fanout=4):
-        """Make the process of one member."""
+        """Create the process of one member."""
         config_replica = configuration.ConfigurationReplica()
         self.config_replicas[member.name] = config_replica
         disseminator = dissemination.Disseminator(
@@ -142,12 +142,12 @@
         self.network.disseminators[member.name] = disseminator
 
     def accept(self, found, names, now=0.0):
-        """Let the named processes learn a configuration by their watch."""
+        """Deliver a configuration to the named processes, as a watch would."""
         for name in names:
             self.config_replicas[name].offer(found, now)
 
     def push(self, now):
-        """Let every process push what is new to it; deliver it."""
+        """Let every process push its new revisions, and deliver them."""
         for name, disseminator in self.disseminators.items():
             if name not in self.network.dead:
                 disseminator.push(now)
--- a/catkinshunt/dissemination/tests/test_disseminator.py
+++ b/catkinshunt/dissemination/tests/test_disseminator.py
@@ -1,4 +1,4 @@
-"""Tests of handing documents on, over messages in memory."""
+"""Tests of dissemination over an in-memory network."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def settle(fleet, revision, rounds=12, now=0.0):
-    """Push and pull until nobody is behind; return the rounds taken."""
+    """Push and pull until no process is behind; return the rounds."""
     for number in range(rounds):
         if not fleet.behind(revision):
             return number
@@ -39,7 +39,7 @@
     assert settle(fleet, 2) < 8
 
 
-def test_pushes_alone_reach_nearly_all_and_each_offers_once():
+def test_pushes_reach_nearly_all_and_each_process_offers_once():
     fleet = fakes.Fleet(100)
     fleet.accept(HISTORY[1], list(fleet.config_replicas))
     fleet.push(0.0)
@@ -52,10 +52,10 @@
 
 
 def test_dead_processes_do_not_delay_the_others():
-    """One process in ten has died and the instance list still shows it.
+    """One process in ten has died but is still in the instance list.
 
-    Offers to the dead are lost; the living must get the revision all the
-    same, and after a while no more calls go to the dead.
+    Offers to dead processes are lost. The others must receive the revision
+    nevertheless, and dead processes must eventually not be called any more.
     """
     fleet = fakes.Fleet(60)
     fleet.network.dead = {f'i{n}' for n in range(0, 60, 10)}
@@ -68,11 +68,11 @@
     assert not set(chosen) & fleet.network.dead
 
 
-def test_a_group_that_was_cut_off_catches_up():
-    """A region loses the others for a while; edits go on outside of it.
+def test_a_partitioned_group_catches_up():
+    """A region is partitioned while edits continue elsewhere.
 
-    When the link is back, its processes must get the newest revision, also
-    those that have no neighbour outside.
+    After the partition its processes must get the newest revision, including
+    those without a neighbour outside of the region.
     """
     fleet = fakes.Fleet(40, data_centres=2)
     fleet.accept(HISTORY[1], ['i0'])
@@ -93,8 +93,8 @@
 def test_a_process_that_starts_in_an_outage_takes_the_highest():
     """The key-value service is down and some peers are behind.
 
-    The new process must start with the newest rules that a peer knows, and
-    a peer behind must not bring it back.
+    The new process must start with the newest rules of any peer, and must
+    not revert to those of a peer that is behind.
     """
     fleet = fakes.Fleet(4)
     fleet.accept(HISTORY[4], ['i0'])
@@ -115,10 +115,10 @@
     assert config_replica.current.document == HISTORY[4].document
 
 
-def test_an_offer_that_skips_revisions_is_completed_by_a_pull():
-    """A process missed a revision and is offered only the edit after it.
+def test_an_offer_that_skips_revisions_leads_to_a_pull():
+    """A process missed a revision and is offered only the next edit.
 
-    Taking the edit alone would leave it with rules that nobody accepted.
+    Applying that edit alone would result in rules that were never accepted.
     """
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i1'])
@@ -130,7 +130,7 @@
     assert fleet.config_replicas['i1'].current.document == HISTORY[3].document
 
 
-def test_a_header_with_a_newer_revision_leads_to_a_pull():
+def test_a_newer_revision_in_a_header_leads_to_a_pull():
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i0'])
     receiver = fleet.disseminators['i1']
@@ -144,9 +144,9 @@
 
 
 def test_pulls_for_revisions_without_a_sender_are_rate_limited():
-    """Each request of a burst names a newer revision than ours.
+    """Each request of a burst carries a newer revision.
 
-    A pull for each would be more work than the requests themselves.
+    A pull for each would cost more than the requests.
     """
     fleet = fakes.Fleet(2)
     receiver = fleet.disseminators['i1']
@@ -191,10 +191,10 @@
 
 
 def test_a_dead_watcher_is_replaced_by_one_standby():
-    """A watcher dies and the instance list still shows it.
+    """A watcher dies but is still in the instance list.
 
-    Its deputies find out by calling it. One of them must begin to watch,
-    and only one, even where every process has noticed.
+    Its standbys detect this by probes. Exactly one of them must start to
+    watch, even if every process has detected the failure.
     """
     members = fakes.Fleet(100).members
     elections = _make_elections(members)
--- a/catkinshunt/dissemination/tests/test_history.py
+++ b/catkinshunt/dissemination/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Checks the history of revisions in force over random runs."""
+"""Property test of the history of active revisions."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -21,7 +21,7 @@
 
 
 class Run:
-    """Carries out steps on a fleet and watches every revision in force."""
+    """Executes steps on a fleet and checks every active revision."""
 
     def __init__(self):
         self.fleet = fakes.Fleet(SIZE)
@@ -30,7 +30,7 @@
         self.seen = dict.fromkeys(self.fleet.config_replicas, 0)
 
     def do(self, kind, number):
-        """Carry out one step."""
+        """Execute one step."""
         self.now += 1.0
         name = f'i{number}'
         network = self.fleet.network
@@ -57,7 +57,7 @@
             self.seen[name] = 0
 
     def check(self):
-        """Compare what is in force with the accepted history."""
+        """Compare the active configurations with the accepted history."""
         for name, config_replica in self.fleet.config_replicas.items():
             revision = config_replica.revision
             assert revision >= self.seen[name]
@@ -71,10 +71,10 @@
 )
 @hypothesis.given(st.lists(_STEPS, max_size=40))
 def test_no_process_reverts_or_leaves_the_accepted_history(steps):
-    """Links break, processes die and restart, and old reads come in late.
+    """Links fail, processes die and restart, and outdated reads arrive late.
 
-    A process that went back to older rules, or to rules that were never
-    accepted, would answer some callers otherwise than its neighbours.
+    A process that reverted to older rules, or applied rules that were never
+    accepted, would treat requests differently from its peers.
     """
     run = Run()
     for kind, number in steps:
--- a/catkinshunt/dissemination/tests/test_watcher.py
+++ b/catkinshunt/dissemination/tests/test_watcher.py
@@ -12,7 +12,7 @@
 
 
 class Source(dissemination.BaseSource):
-    """Fails as often as told, then tells that it was asked."""
+    """Fails `failures` times, then sets `asked`."""
 
     topic = 'configuration'
 
@@ -49,10 +49,10 @@
     'exc', [errors.StoreUnavailableError('down'), ValueError('fault of ours')]
 )
 def test_a_watch_goes_on_after_a_failure(exc):
-    """The service is down for a while, or answers what nobody expects.
+    """The service is down for a while, or returns an unexpected reply.
 
-    If the thread ended, the process would still answer its deputies and
-    none of them would take over.
+    If the thread ended, the process would still answer probes, and no
+    standby would take over.
     """
     source = Source(exc, failures=1)
     with _make_watcher(source, fakes.Fleet(1).members):
