--- a/catkinshunt/instances/__init__.py
+++ b/catkinshunt/instances/__init__.py
@@ -1,4 +1,4 @@
-"""Instances, data centres and the platform's list of them."""
+"""Instances and the replica of the platform's instance list."""
 
 from catkinshunt.instances._directory import Directory
 from catkinshunt.instances._instance import Instance
--- a/catkinshunt/instances/_directory.py
+++ b/catkinshunt/instances/_directory.py
@@ -1,4 +1,4 @@
-"""The process's copy of the platform's list of instances."""
+"""Replica of the instance list of the platform."""
 
 import threading
 
@@ -11,7 +11,7 @@
 
 
 class Directory(base.BaseReplica):
-    """Keeps the newest list learnt from the platform or from a peer.
+    """Holds the newest list received from the platform or a peer.
 
     Examples:
         >>> directory = Directory()
@@ -34,9 +34,9 @@
 
     @property
     def members(self):
-        """Instances that our own processes reach, as a tuple.
+        """Instances with a control address, as a tuple.
 
-        It is the same object until the list changes.
+        The same object is returned until the list changes.
         """
         return self._members
 
@@ -46,11 +46,11 @@
         return tuple(self._listing.by_name.values())
 
     def find(self, name):
-        """Return the listed `Instance` of that name, or None."""
+        """Return the listed `Instance` with this name, or None."""
         return self._listing.by_name.get(name)
 
     def upstreams(self, service):
-        """Return the upstream instances listed for `service`."""
+        """Return the listed upstream instances of `service`."""
         return list(self._by_service.get(service, ()))
 
     def make_update(self, after_revision):
@@ -66,10 +66,10 @@
         return True
 
     def offer(self, listing, now):
-        """Take a `Listing` read from the platform if it is newer.
+        """Accept a `Listing` fetched from the platform if it is newer.
 
         Returns:
-            Whether it was taken.
+            Whether it was accepted.
         """
         with self._lock:
             before = self._listing
@@ -78,8 +78,8 @@
             change = before.find_change(
                 listing.revision, tuple(listing.by_name.values())
             )
-            # Made from the one before, so that it keeps the changes which
-            # others need.
+            # Derived from the previous listing to retain its changes, from
+            # which updates for peers are made.
             self._set_listing(before.apply(change))
         return True
 
@@ -96,7 +96,7 @@
             if instance.control_address is not None
         )
         _log.info(
-            'List {} shows {} instances.',
+            'Instance list at revision {} has {} instances.',
             listing.revision,
             len(listing.by_name),
         )
--- a/catkinshunt/instances/_instance.py
+++ b/catkinshunt/instances/_instance.py
@@ -1,4 +1,4 @@
-"""One machine as the platform's list shows it."""
+"""An entry of the instance list of the platform."""
 
 import json
 import sys
@@ -18,16 +18,16 @@
 
 @attrs.frozen(kw_only=True)
 class Instance:
-    """A machine of the deployment.
+    """A machine with one process of the deployment.
 
     Attributes:
-        name: its name.
+        name: unique name.
         role: ``entry`` or ``upstream``.
         service: service of its upstream; empty for an entry.
-        data_centre: where it stands.
+        data_centre: its data centre.
         region: region of that data centre.
         address: `httpio.Address` for requests.
-        control_address: `httpio.Address` for our own processes, or None.
+        control_address: `httpio.Address` of the control port, or None.
         state: ``live`` or ``leaving``.
     """
 
@@ -42,13 +42,13 @@
 
     @classmethod
     def from_listing(cls, value):
-        """Read one item of the platform's list.
+        """Decode one item of the list.
 
         Raises:
-            errors.PeerError: the item is no instance.
+            errors.PeerError: the item is not a valid instance.
         """
         try:
-            # Words that thousands of instances share are kept once.
+            # Interning saves memory: thousands of instances share values.
             texts = {
                 name: sys.intern(checks.check_text(value[name], name))
                 for name in _TEXT_FIELDS
@@ -61,11 +61,11 @@
             )
         except (KeyError, TypeError, ValueError, AttributeError) as exc:
             raise errors.PeerError(
-                f'not an instance: {exc!r}', step='read-listing'
+                f'invalid instance: {exc!r}', step='read-listing'
             ) from exc
 
     def to_listing(self):
-        """Return the instance as the platform's list shows it."""
+        """Return the instance as an item of the list."""
         value = attrs.asdict(self, recurse=False)
         value['address'] = str(self.address)
         control = self.control_address
@@ -73,7 +73,7 @@
         return value
 
     def to_canonical_json(self):
-        """Return the listing as canonical JSON bytes."""
+        """Return the item as canonical JSON, in bytes."""
         text = json.dumps(
             self.to_listing(), sort_keys=True, separators=(',', ':')
         )
--- a/catkinshunt/instances/_listing.py
+++ b/catkinshunt/instances/_listing.py
@@ -1,4 +1,4 @@
-"""One revision of the list of instances, and the way to the next."""
+"""Revisions of the instance list, and the changes between them."""
 
 import hashlib
 import json
@@ -11,24 +11,24 @@
 from catkinshunt import errors
 from catkinshunt.instances import _instance
 
-#: Name of the document among those that processes hand on.
+#: Name of the document in dissemination.
 TOPIC = 'instances'
-#: Changes kept, for processes that are a few revisions behind.
+#: Number of changes kept for peers that are a few revisions behind.
 MAX_CHANGES = 64
-#: Guards against a small message that unfolds into a huge list.
+#: Limits decompression, against a small message that inflates to a huge list.
 MAX_DOCUMENT_BYTES = 32_000_000
 _DIGEST_BYTES = 32
 
 
 @attrs.frozen
 class Change:
-    """What leads from one revision of the list to a later one.
+    """The difference between two revisions of the list.
 
     Args:
-        base_revision: revision that it starts from.
-        revision: revision that it leads to.
-        changed: instances that are new or other than before.
-        gone: names of instances that the list shows no more.
+        base_revision: revision to which it applies.
+        revision: resulting revision.
+        changed: added and modified instances.
+        removed: names of removed instances.
     """
 
     base_revision: int
@@ -38,7 +38,7 @@
 
     @classmethod
     def from_bytes(cls, line):
-        """Read what `to_bytes` wrote."""
+        """Decode the output of `to_bytes`."""
         value = checks.load_json(line)
         changed = map(_instance.Instance.from_listing, value['changed'])
         return cls(
@@ -61,16 +61,14 @@
 
 @attrs.frozen(eq=False)
 class Listing:
-    """The instances at one revision of the platform's list.
+    """The instances at one revision of the list.
 
     Args:
         revision: the platform's revision of its list.
         by_name: instances by name.
-        total: sum of the instances' digests. Unlike a digest of the whole
-            list it follows from the one before and a change, so that a
-            change of one instance does not cost a pass over all of them.
-        changes: the last changes, oldest first, each from where the one
-            before it led.
+        digest_sum: sum of the digests of all instances. Unlike a digest of
+            the whole list, it is updated incrementally by a change.
+        changes: the latest consecutive changes, oldest first.
     """
 
     revision: int = 0
@@ -80,11 +78,11 @@
 
     @property
     def digest(self):
-        """Equal for equal lists."""
+        """Digest of the list."""
         return self.digest_sum.to_bytes(_DIGEST_BYTES, 'big')
 
     def find_change(self, revision, instances):
-        """Return the `Change` that leads to `instances` at `revision`."""
+        """Return the `Change` from this list to `instances` at `revision`."""
         names = {instance.name for instance in instances}
         changed = tuple(
             instance
@@ -98,7 +96,7 @@
         """Return the list after `change`.
 
         Raises:
-            errors.PeerError: the change starts from another revision.
+            errors.PeerError: the change applies to another revision.
         """
         if change.base_revision != self.revision:
             raise errors.PeerError(
@@ -145,18 +143,18 @@
         """Return the list after an `Update` that is newer.
 
         Raises:
-            errors.PeerError: the update does not fit this list.
+            errors.PeerError: the update does not apply to this list.
         """
         try:
             found = self._decode_update(update)
         except (ValueError, KeyError, TypeError, zlib.error) as exc:
             raise errors.PeerError(
-                f'list {update.revision} cannot be read: {exc!r}',
+                f'instance list {update.revision} is malformed: {exc!r}',
                 step='apply-update',
             ) from exc
         if (found.revision, found.digest) != (update.revision, update.digest):
             raise errors.PeerError(
-                f'list {update.revision} leads to other instances',
+                f'instance list {update.revision} does not match its digest',
                 step='apply-update',
             )
         return found
@@ -181,31 +179,31 @@
 
 
 def read_listing(text):
-    """Return the `Listing` in the platform's answer or a peer's document.
+    """Decode a `Listing` from a reply of the platform or a document.
 
     Raises:
-        errors.PeerError: the text is no list of instances.
+        errors.PeerError: the text is not a valid instance list.
     """
     try:
         value = checks.load_json(text, _read_instance)
         instances = value['instances']
         if not all(isinstance(i, _instance.Instance) for i in instances):
-            raise ValueError('something else than an instance')
+            raise ValueError('an item is not an instance')
         revision = checks.check_count(value['revision'], 'revision')
         change = Listing().find_change(revision, instances)
     except (ValueError, KeyError, TypeError) as exc:
         raise errors.PeerError(
-            f'not a list of instances: {exc!r}', step='read-listing'
+            f'invalid instance list: {exc!r}', step='read-listing'
         ) from exc
     found = Listing().apply(change)
     return attrs.evolve(found, changes=())
 
 
 def _read_instance(value):
-    """Make an instance of its mapping as soon as that is read.
+    """Convert the mapping of an instance while the JSON is decoded.
 
-    The mappings of 10,000 instances together take twice the memory of the
-    instances, and a process never gives it back.
+    The mappings of 10,000 instances together need twice the memory of the
+    instances, which a process never returns to the system.
     """
     if 'instances' in value:
         return value
--- a/catkinshunt/instances/_source.py
+++ b/catkinshunt/instances/_source.py
@@ -1,4 +1,4 @@
-"""The platform's list as the source of the directory."""
+"""The instance list of the platform as a dissemination source."""
 
 import time
 
@@ -13,12 +13,12 @@
 
 
 class ListSource(shared.ParamsMixin, base.BaseSource):
-    """Reads the list where it is newer than the directory.
+    """Fetches the list if it is newer than the directory.
 
     Args:
-        address: `httpio.Address` of the platform's list.
-        directory: the process's `Directory`.
-        period_s: seconds between reads while on duty.
+        address: `httpio.Address` of the instance list service.
+        directory: the `Directory` of the process.
+        period_s: seconds between fetches while elected as watcher.
     """
 
     topic = _listing.TOPIC
@@ -29,7 +29,7 @@
         self.period_s = period_s
 
     def fetch(self, wait_s):
-        """See `base.BaseSource.fetch`; the list itself never waits."""
+        """See `base.BaseSource.fetch`; replies immediately."""
         try:
             reply = httpio.exchange(
                 self.address,
@@ -45,7 +45,7 @@
             return
         if reply.status != 200:
             raise errors.PeerError(
-                f'status {reply.status}',
+                f'unexpected status {reply.status}',
                 step='read-list',
                 peer=str(self.address),
             )
--- a/catkinshunt/instances/tests/test_directory.py
+++ b/catkinshunt/instances/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the process's copy of the instance list."""
+"""Tests of the replica of the instance list."""
 
 import json
 
@@ -72,10 +72,10 @@
     assert update.size < directory.make_update(0).size
 
 
-def test_a_change_from_another_revision_is_refused():
-    """A peer's change starts from a list that we never had.
+def test_a_change_from_another_revision_is_rejected():
+    """A peer offers a change that applies to another revision.
 
-    Taking it would leave instances in our list that are long gone.
+    Applying it would keep instances in the list that have been removed.
     """
     source_directory, other = instances.Directory(), instances.Directory()
     source_directory.offer(make_listing(1, 'abcdefgh'), now=0.0)
@@ -90,8 +90,8 @@
     assert _names(other) == list('bcdefgh')
 
 
-def test_an_old_list_does_not_bring_gone_instances_back():
-    """A slow reader of the platform's list speaks up late."""
+def test_an_old_list_does_not_restore_removed_instances():
+    """An outdated list arrives late from a slow process."""
     directory = instances.Directory()
     directory.offer(make_listing(5, 'ab'), now=0.0)
     assert not directory.offer(make_listing(4, 'abc'), now=1.0)
@@ -108,7 +108,7 @@
         '{"revision": 1, "instances": [7]}',
     ],
 )
-def test_a_broken_list_is_refused(text):
+def test_an_invalid_list_is_rejected(text):
     with pytest.raises(errors.PeerError):
         instances.read_listing(text)
 
