--- a/catkinshunt/control/__init__.py
+++ b/catkinshunt/control/__init__.py
@@ -1,4 +1,4 @@
-"""What each process needs to take part in the whole."""
+"""Control plane of a process: configuration, instances, placement."""
 
 from catkinshunt.control._placement import choose_placement
 from catkinshunt.control._placement import find_replica_names
--- a/catkinshunt/control/_placement.py
+++ b/catkinshunt/control/_placement.py
@@ -1,4 +1,4 @@
-"""Which model version an instance is to hold."""
+"""Placement of model versions on instances by rules."""
 
 import attrs
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen
 class Placement:
-    """What the rules want of an instance.
+    """Desired model version of an instance.
 
     Args:
-        rule: the `rules.Rule` that decided, or None where none matches.
-        place: the `rules.Place` to hold, or None to hold nothing.
+        rule: the `rules.Rule` that matched, or None.
+        place: the `rules.Place` with the version, or None for no version.
     """
 
     rule: rules.Rule | None = None
@@ -24,18 +24,18 @@
 def choose_placement(rule_set, instance, instances):
     """Return the `Placement` of one instance.
 
-    Every process computes the same from the same rules and list, so nobody
-    has to tell an instance what it holds. Where a rule wants fewer replicas
-    than it matches instances, the first in an order by rendezvous hashing
-    hold it; when one of them goes from the list, the next takes its place
-    and the others keep theirs. The rest hold nothing by that rule, and by
-    no later one, since the first that matches decides.
+    The result is a deterministic function of rules and list, so instances
+    need no coordinator. If a rule has fewer replicas than matching
+    instances, rendezvous hashing selects them: when a replica leaves the
+    list, the next instance of the order replaces it and the others stay. The
+    remaining instances get no version, not even from later rules, since the
+    first matching rule decides.
 
     Args:
-        rule_set: the `rules.RuleSet` in force.
-        instance: the `instances.Instance` asked for, listed or not yet.
-        instances: the instances known; entries and those that leave do not
-            count.
+        rule_set: the active `rules.RuleSet`.
+        instance: the `instances.Instance` to place; may not be listed yet.
+        instances: the listed instances; entries and leaving instances are
+            ignored.
     """
     rule = rule_set.match(_make_event(instance))
     if rule is None or not isinstance(rule.then, rules.Place):
@@ -49,12 +49,12 @@
 
 
 def find_replica_names(rule_set, instance, instances):
-    """Return the names of the instances that hold what `instance` may hold.
+    """Return the names of the replicas of the rule that matches `instance`.
 
     Args:
-        rule_set: the `rules.RuleSet` in force.
-        instance: the `instances.Instance` asked for, listed or not yet.
-        instances: the instances known.
+        rule_set: the active `rules.RuleSet`.
+        instance: an `instances.Instance`; may not be listed yet.
+        instances: the listed instances.
     """
     rule = rule_set.match(_make_event(instance))
     if rule is None or not isinstance(rule.then, rules.Place):
@@ -68,7 +68,7 @@
 
 
 def _find_matching_names(rule_set, rule, instance, instances):
-    """Return the names of the instances for which `rule` decides."""
+    """Return the names of the instances whose first match is `rule`."""
     names = {instance.name}
     for other in instances:
         if other.role != 'upstream' or other.state != 'live':
--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -1,4 +1,4 @@
-"""The control parts of a process, started and stopped together."""
+"""The control services of a process, started and stopped together."""
 
 from catkinshunt import base
 from catkinshunt import configuration
@@ -15,18 +15,19 @@
 
 
 class ControlPlane(base.BaseService):
-    """Keeps configuration and instance list up to date with the others.
+    """Keeps the configuration and the instance list up to date.
 
     Args:
         cfg: `settings.EntrySettings` or `settings.SidecarSettings`.
-        pull_period_s: mean seconds between pulls from peers.
-        watch_wait_s: seconds that a watch of the key-value service waits.
+        pull_period_s: mean time between pulls from peers, in seconds.
+        watch_wait_s: long-poll timeout of a watch, in seconds.
 
     Attributes:
-        keeper: `configuration.ConfigurationReplica`, the rules in force.
-        directory: `instances.Directory`, the instances known.
-        loop: `peers.LoopThread` of the process.
-        pool: `peers.PeerPool` for calls to other processes.
+        config_replica: `configuration.ConfigurationReplica`, the active
+            rules.
+        directory: `instances.Directory`, the listed instances.
+        loop: the `peers.LoopThread` of the process.
+        pool: the `peers.PeerPool` for calls to other processes.
     """
 
     def __init__(
@@ -47,12 +48,12 @@
 
     @property
     def address(self):
-        """Address that other processes call."""
+        """Address of the control port."""
         return httpio.Address(self.cfg.host, self._server.port)
 
     @property
     def watching(self):
-        """Topics whose source this process watches."""
+        """Topics that this process watches."""
         return tuple(
             watcher.source.topic
             for watcher in self._watchers
@@ -60,7 +61,7 @@
         )
 
     def start(self):
-        """Listen, learn what the others know, then keep up with them."""
+        """Start listening, synchronize with peers, then follow updates."""
         self.loop.start()
         self._server = peers.PeerServer(
             [grpc_transport.Handler(self._disseminator)],
@@ -75,14 +76,14 @@
             self.config_replica.revision == 0
             and not self._disseminator.answered
         ):
-            # Nobody to ask. One read brings the rules, if the service is up.
+            # No peer replied, so the rules are read from the service.
             self._fetch(self._store_source)
         for watcher in self._watchers:
             watcher.start()
         return self
 
     def stop(self):
-        """Finish calls in progress, and end all threads."""
+        """Drain calls in progress, and stop all threads."""
         if self._server is None:
             return
         for watcher in self._watchers:
@@ -146,4 +147,4 @@
         try:
             source.fetch(0)
         except errors.CatkinshuntError as exc:
-            _log.warning('Not read at start: {}', exc)
+            _log.warning('Initial fetch failed: {}', exc)
--- a/catkinshunt/control/_revision_middleware.py
+++ b/catkinshunt/control/_revision_middleware.py
@@ -1,4 +1,4 @@
-"""Lets the revision in force ride on requests between our processes."""
+"""Propagates the configuration revision in headers of requests."""
 
 import hmac
 import time
@@ -8,16 +8,17 @@
 
 
 class RevisionMiddleware(base.ParamsMixin):
-    """Wraps a WSGI application that other processes of the system call.
+    """WSGI middleware for requests between processes of a deployment.
 
-    It notes the revision that a request names and names its own in the
-    reply. A process that has missed pushes learns so from the traffic, and
-    does not go on deciding by old rules until its next pull.
+    It reads the revision in the header of a request and adds the own one to
+    the reply. A process that missed pushes thus detects that its rules are
+    outdated without waiting for its next pull.
 
     Args:
-        app: the application.
-        keeper: `configuration.ConfigurationReplica` of the process.
-        key: the deployment's key; requests without it are not believed.
+        app: the WSGI application.
+        config_replica: `configuration.ConfigurationReplica` of the process.
+        key: the deployment's key; revisions of requests without it are
+            ignored.
     """
 
     def __init__(self, app, config_replica, key):
@@ -26,11 +27,11 @@
         self.key = key
 
     def __repr__(self):
-        # The key must not reach a log through repr.
+        # Excludes the key, which must not be logged.
         return f'RevisionApp(app={self.app!r})'
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Handle one request."""
         revision = environ.get(_environ_key(headers.REVISION))
         if revision and self._has_valid_key(environ):
             self.config_replica.observe_revision(revision, time.monotonic())
--- a/catkinshunt/control/tests/test_placement.py
+++ b/catkinshunt/control/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the decision which model version an instance holds."""
+"""Tests of the placement of model versions on instances."""
 
 import attrs
 import pytest
@@ -60,10 +60,10 @@
 
 
 def test_a_dead_replica_is_replaced_and_the_others_stay():
-    """An instance that holds the model dies and leaves the list.
+    """An instance with a replica dies and is removed from the list.
 
-    Its replica must come back elsewhere, and the other ones must not move,
-    since each move is a whole transfer.
+    The replica must be placed elsewhere, and the others must not move, since
+    each move transfers the whole model.
     """
     rule_set = _load(({}, _place('7', replicas=4)))
     before = set(_holders(rule_set, FLEET))
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -1,4 +1,4 @@
-"""Tests of control planes over real sockets, with platform stand-ins."""
+"""Tests of control planes over real sockets, with a stand-in platform."""
 
 import threading
 import time
@@ -40,7 +40,7 @@
         )
 
     def make_plane(self, name, key=KEY):
-        """Return a plane that is neither started nor listed."""
+        """Return a control plane that is neither started nor listed."""
         cfg = settings.EntrySettings(
             name=name,
             region='thessalia',
@@ -57,17 +57,17 @@
         return control.ControlPlane(cfg, pull_period_s=0.1, watch_wait_s=1.0)
 
     def list_plane(self, plane):
-        """Show a started plane in the list."""
+        """Add a started control plane to the instance list."""
         name, port = plane.cfg.name, plane.address.port
         self.members.append(fakes.make_instance(name, port=port))
         self.show()
 
     def show(self):
-        """Show all members in the list."""
+        """Publish all members in the instance list."""
         self.listing.update([item.to_listing() for item in self.members])
 
     def set_down(self, down):
-        """Begin or end an outage of the key-value service."""
+        """Start or end an outage of the key-value service."""
         with self.store._changed:
             self.store.faults = key_value.Faults(down=down)
             self.store._changed.notify_all()
@@ -79,7 +79,7 @@
 
 
 def wait_until(condition):
-    """Wait for a condition that other threads bring about."""
+    """Wait until a condition that other threads change is true."""
     deadline = time.monotonic() + WAIT_S
     pause = threading.Event()
     while not condition():
@@ -120,12 +120,10 @@
     assert len(_watchers(planes)) == 2
 
 
-def test_a_process_that_starts_in_an_outage_learns_from_peers(
-    platform, planes
-):
+def test_a_process_that_starts_in_an_outage_pulls_from_peers(platform, planes):
     """The key-value service is down while an instance is replaced.
 
-    The new process must not serve without rules, nor with old ones.
+    The new process must not serve without rules or with outdated ones.
     """
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in planes:
@@ -142,9 +140,9 @@
 
 
 def test_another_process_watches_when_a_watcher_dies(platform, planes):
-    """Both watchers stop at once, and the list goes on showing them.
+    """Both watchers stop at once but remain in the instance list.
 
-    Edits must still reach the others, without a watch from each of them.
+    Edits must still reach the other processes, without a watch by each.
     """
     wait_until(lambda: len(_watchers(planes)) == 2)
     dead = _watchers(planes)
@@ -160,10 +158,9 @@
 def test_an_edit_is_in_force_though_the_service_fails_right_after_it(
     platform, planes
 ):
-    """The key-value service accepts an edit and goes down at once.
+    """The key-value service accepts an edit and fails before a watcher reads.
 
-    No watcher has seen it, and the operator has been told that it is in
-    force within seconds.
+    The operator was informed that the edit is active within seconds.
     """
     wait_until(lambda: len(planes[0].directory.members) == 5)
     cfg = settings.OperatorSettings(
@@ -195,7 +192,7 @@
 
 
 def test_a_process_of_another_deployment_changes_nothing(platform, planes):
-    """Two deployments are mixed up in an instance list."""
+    """An instance list contains processes of two deployments."""
     stranger = platform.make_plane('stranger', key='another key, not ours')
     found = configuration.EMPTY.edited(
         'x', (configuration.Add(store_fakes.make_rule('x'), 0),)
@@ -211,7 +208,7 @@
 
 
 class FakeApp:
-    """Answers every request with 204."""
+    """Replies with 204 to every request."""
 
     def __call__(self, environ, start_response):
         start_response('204 No Content', [('A', 'b')])
@@ -230,9 +227,10 @@
     ],
 )
 def test_only_requests_with_the_key_carry_a_revision(key, revision, heard):
-    """An entry missed a push and goes on routing by old rules.
+    """An entry missed a push and would keep routing by outdated rules.
 
-    Only our own processes are believed; a caller must not make us pull.
+    Revisions of requests without the key are ignored, since an outside
+    caller must not be able to trigger pulls.
     """
     config_replica = configuration.ConfigurationReplica()
     noted = []
