--- a/catkinshunt/engines/__init__.py
+++ b/catkinshunt/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to model engines."""
+"""Clients of model engines: load orders and delivery of weights."""
 
 from catkinshunt.engines._http import HttpEngine
 from catkinshunt.engines._weights_endpoint import WeightsEndpoint
--- a/catkinshunt/engines/_http.py
+++ b/catkinshunt/engines/_http.py
@@ -1,4 +1,4 @@
-"""Engines that take orders over HTTP."""
+"""Client of model engines over HTTP."""
 
 import http.client
 import json
@@ -15,11 +15,11 @@
 
 
 class HttpEngine(base.BaseEngine):
-    """An engine reached by HTTP.
+    """Sends orders to an engine over HTTP.
 
     Args:
         address: `httpio.Address` of the engine.
-        timeout_s: longest wait for a load.
+        timeout_s: timeout of a load, in seconds.
     """
 
     def __init__(self, address, timeout_s=LOAD_TIMEOUT_S):
@@ -31,7 +31,7 @@
         reply = self._exchange('load', '/orders', body, self.timeout_s)
         if reply.status == http.client.CONFLICT:
             raise errors.StaleFencingError(
-                f'number {order.fencing_number} is older than one seen',
+                f'fencing number {order.fencing_number} is stale',
                 step='load',
                 peer=str(self.address),
             )
@@ -44,7 +44,7 @@
             return dict(checks.load_json(reply.body)['models'])
         except (ValueError, KeyError, TypeError) as exc:
             raise errors.OrderError(
-                f'state cannot be read: {exc!r}',
+                f'invalid state reply: {exc!r}',
                 step='report',
                 peer=str(self.address),
             ) from exc
@@ -63,5 +63,7 @@
     def _check_status(self, step, reply):
         if reply.status != http.client.OK:
             raise errors.OrderError(
-                f'status {reply.status}', step=step, peer=str(self.address)
+                f'unexpected status {reply.status}',
+                step=step,
+                peer=str(self.address),
             )
--- a/catkinshunt/engines/_weights_endpoint.py
+++ b/catkinshunt/engines/_weights_endpoint.py
@@ -1,4 +1,4 @@
-"""Which pulls of weights an engine is given."""
+"""HTTP endpoint from which an engine pulls weights."""
 
 import secrets
 
@@ -11,21 +11,21 @@
 
 
 class WeightsEndpoint(base.ParamsMixin):
-    """Gives the engine beside it the whole weights of one version.
+    """Serves the weights of the version that is placed here.
 
-    Some engines ignore fencing numbers. An order of an earlier process in
-    this slot, delayed in the network, would make such an engine load an old
-    version; one notices by answers of a version that no rule places. Each
-    order names a URL with a token made at the start of the process. This
-    process knows only its own token and the version wanted now, so the
-    engine finds no weights behind an older order.
+    Some engines ignore fencing numbers. An order of an earlier process that
+    is delayed in the network would make such an engine load, and reply with,
+    a version that no rule places. Therefore the URL in an order contains a
+    token that is generated at process start. Only pulls with the token of
+    this process for the placed version succeed, so an engine gets no weights
+    for an older order.
 
     Args:
         host: address on which this process listens.
-        port: port on which this process listens. Binding it holds the slot:
-            a paused process keeps it, and two cannot share it.
+        port: port on which this process listens. It also serves as a lock: a
+            paused process keeps it bound, and no other can bind it.
         get_transfer: function of model and version that returns the
-            transfer, or None if the version is not wanted now.
+            transfer, or None if the version is not placed here.
     """
 
     def __init__(self, host, port, get_transfer):
@@ -35,16 +35,16 @@
         self._token = secrets.token_hex(_TOKEN_BYTES)
 
     def make_url(self, model, version):
-        """Return the URL that an order for this version names."""
+        """Return the weights URL for an order of this version."""
         path = f'{PREFIX}{self._token}/{model}/{version}'
         return f'http://{self.host}:{self.port}{path}'
 
     def handle(self, path):
-        """Return the `httpio.Response` to a pull of the engine.
+        """Return the `httpio.Response` to a pull by the engine.
 
         Raises:
-            InvalidRequestError: the token is not of this process, or the
-                version is not wanted now or not whole.
+            InvalidRequestError: the token is invalid, or the version is not
+                placed here or not complete.
         """
         parts = path.removeprefix(PREFIX).split('/')
         if len(parts) != 3 or not secrets.compare_digest(
--- a/catkinshunt/engines/base.py
+++ b/catkinshunt/engines/base.py
@@ -1,4 +1,4 @@
-"""What every kind of model engine takes."""
+"""Base class of clients for model engines."""
 
 import abc
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen
 class LoadOrder:
-    """Load one version of a model.
+    """An order to load one version of a model.
 
     Args:
         model: name of the model.
         version: version of its weights.
-        digest: SHA-256 of the whole, which the engine checks.
-        weights_url: where the engine pulls the weights from.
-        fencing_number: revision of the configuration that wants it.
+        digest: SHA-256 of the weights, verified by the engine.
+        weights_url: URL from which the engine pulls the weights.
+        fencing_number: revision of the configuration that requires it.
     """
 
     model = attrs.field()
@@ -27,21 +27,22 @@
 
 
 class BaseEngine(base.ParamsMixin, abc.ABC):
-    """A model engine that takes orders."""
+    """Client of a model engine."""
 
     @abc.abstractmethod
     def load(self, order):
-        """Carry out a `LoadOrder`; returns when the engine serves it.
+        """Execute a `LoadOrder`; returns when the engine serves the version.
 
         Raises:
-            StaleFencingError: the engine has seen a newer number.
-            OrderError: the engine refused, failed or gave no answer.
+            StaleFencingError: the engine has received a newer number.
+            OrderError: the engine rejected the order, failed or did not
+                reply.
         """
 
     @abc.abstractmethod
     def report(self):
-        """Return the versions that the engine holds, by model.
+        """Return the loaded versions, by model.
 
         Raises:
-            OrderError: the engine gave no answer.
+            OrderError: the engine did not reply.
         """
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests that no old order acts on an engine, whichever kind it is."""
+"""Tests that a stale order never takes effect on an engine."""
 
 import contextlib
 import signal
@@ -22,7 +22,7 @@
 
 
 class Transfer:
-    """A whole transfer, as the agent gives it."""
+    """A complete transfer, as returned by the agent."""
 
     def __init__(self, version):
         data = DATA[version]
@@ -34,7 +34,7 @@
 
 
 class Process:
-    """What of a sidecar an engine meets: a port and a slot."""
+    """The part of a sidecar that an engine uses: a port and an endpoint."""
 
     def __init__(self, port=0):
         self.transfer = None
@@ -69,7 +69,7 @@
 
 @pytest.fixture(params=[True, False], ids=['refuses', 'ignores'])
 def target(request):
-    """An engine that refuses old fencing numbers, and one that does not."""
+    """An engine that rejects stale fencing numbers, and one that does not."""
     made = engine.Engine(refuse_stale=request.param)
     with contextlib.ExitStack() as stack:
         server = httpio.HttpServer(made.app, threads=4).start()
@@ -91,12 +91,12 @@
     return [order['version'] for order in target.orders]
 
 
-def test_an_order_of_an_earlier_process_never_acts(target, process):
-    """A sidecar dies; its order is delayed on the way to the engine.
+def test_an_order_of_an_earlier_process_has_no_effect(target, process):
+    """A sidecar dies while its order to the engine is delayed.
 
-    The next sidecar in the slot has loaded a newer version when the old
-    order arrives. An engine that ignores fencing numbers would go back, and
-    callers would get answers of a version that no rule places.
+    The order arrives after the next sidecar has loaded a newer version. An
+    engine that ignores fencing numbers would revert, and serve a version
+    that no rule places.
     """
     old_order = process.make_order('v1', 1)
     process.server.stop()
@@ -110,10 +110,10 @@
         successor.server.stop()
 
 
-def test_an_earlier_process_in_the_same_revision_never_acts(target, process):
-    """The delayed order carries the number of the configuration in force.
+def test_an_earlier_order_of_the_same_revision_has_no_effect(target, process):
+    """The delayed order has the revision of the active configuration.
 
-    The fencing number alone does not tell the two processes apart.
+    The fencing number alone does not distinguish the two processes.
     """
     old_order = process.make_order('v1', 2)
     process.server.stop()
@@ -127,10 +127,10 @@
         successor.server.stop()
 
 
-def test_an_own_order_that_was_overtaken_never_acts(target, process):
-    """An order is lost on the way and arrives after the next version's.
+def test_a_delayed_order_of_the_same_process_has_no_effect(target, process):
+    """An order is delayed and arrives after that of the next version.
 
-    The process no longer holds the old version, so the engine finds none.
+    The endpoint no longer serves the old version.
     """
     old_order = process.make_order('v1', 1)
     target.http.load(process.make_order('v2', 2))
@@ -139,7 +139,7 @@
     assert loaded(target) == ['v2']
 
 
-def test_an_engine_that_refuses_names_the_cause(process):
+def test_a_stale_fencing_number_is_reported(process):
     made = engine.Engine(refuse_stale=True)
     server = httpio.HttpServer(made.app, threads=4).start()
     target = engines.HttpEngine(httpio.Address('127.0.0.1', server.port))
@@ -152,19 +152,19 @@
 
 
 def test_two_processes_cannot_share_a_port(process):
-    """A second sidecar is started beside the same upstream by mistake.
+    """A second sidecar is started for the same upstream by mistake.
 
-    Both would order the engine about in turn. The second cannot listen.
+    Both would send conflicting orders. The second cannot bind the port.
     """
     with pytest.raises(OSError, match='in use'):
         Process(process.server.port)
 
 
 def test_a_paused_process_keeps_its_port():
-    """A sidecar is paused by the machine and still believes it is in charge.
+    """A sidecar is paused by the machine and later resumes.
 
-    If another could take its place meanwhile, the paused one would give its
-    old order on waking.
+    If another sidecar could replace it meanwhile, the paused one would send
+    an outdated order when it resumes.
     """
     popen = subprocess.Popen(
         [sys.executable, '-c', LISTEN],
@@ -185,13 +185,13 @@
 @pytest.mark.parametrize(
     'path', ['/weights/', '/weights/x/m/v1', '/weights/é/m/v1', '/weights/a']
 )
-def test_a_pull_without_the_token_gets_nothing(process, path):
+def test_a_pull_without_the_token_is_rejected(process, path):
     process.make_order('v1', 1)
     with pytest.raises(errors.InvalidRequestError):
         process.endpoint.handle(path)
 
 
-def test_an_engine_that_is_away_is_told_apart(process):
+def test_an_unreachable_engine_fails_the_load_step(process):
     target = engines.HttpEngine(process_address_closed())
     with pytest.raises(errors.OrderError) as caught:
         target.load(process.make_order('v1', 1))
