--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -27,7 +27,7 @@
 _CLAIMS = 'catkinshunt/claims/_ledger.py'
 _DOCUMENT = 'catkinshunt/claims/_document.py'
 _ATTEMPTS = 'catkinshunt/claims/_attempts.py'
-_ONCE = 'catkinshunt/entry/_once.py'
+_ONCE = 'catkinshunt/entry/_at_most_once.py'
 _DELIVERY = 'catkinshunt/entry/_delivery.py'
 _RELAY = 'catkinshunt/entry/_relay.py'
 _LINES = 'catkinshunt/entry/_lines.py'
@@ -188,7 +188,7 @@
     # Queues past capacity.
     Mutation(
         'various-deadlines-are-no-return',
-        'catkinshunt/dispatch/_returning.py',
+        'catkinshunt/dispatch/_client_retry.py',
         'timeouts.max_share >= self.constant_share',
         'True',
     ),
