--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -74,7 +74,7 @@
         self._disseminator.start()
         if (
             self.config_replica.revision == 0
-            and not self._disseminator.answered
+            and not self._disseminator.initial_replies
         ):
             # No peer replied, so the rules are read from the service.
             self._fetch(self._store_source)
--- a/catkinshunt/control/_revision_middleware.py
+++ b/catkinshunt/control/_revision_middleware.py
@@ -37,14 +37,19 @@
             self.config_replica.observe_revision(revision, time.monotonic())
 
         def start(status, fields, *exc_info):
-            own = (headers.REVISION, str(self.config_replica.revision))
-            return start_response(status, [*fields, own], *exc_info)
+            revision_header = (
+                headers.REVISION,
+                str(self.config_replica.revision),
+            )
+            return start_response(
+                status, [*fields, revision_header], *exc_info
+            )
 
         return self.app(environ, start)
 
     def _has_valid_key(self, environ):
-        given = environ.get(_environ_key(headers.DEPLOYMENT_KEY), '')
-        return hmac.compare_digest(given.encode(), self.key.encode())
+        presented_key = environ.get(_environ_key(headers.DEPLOYMENT_KEY), '')
+        return hmac.compare_digest(presented_key.encode(), self.key.encode())
 
 
 def _environ_key(header):
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -193,18 +193,18 @@
 
 def test_a_process_of_another_deployment_changes_nothing(platform, planes):
     """An instance list contains processes of two deployments."""
-    stranger = platform.make_plane('stranger', key='another key, not ours')
+    foreign = platform.make_plane('stranger', key='another key, not ours')
     found = configuration.EMPTY.edited(
         'x', (configuration.Add(store_fakes.make_rule('x'), 0),)
     )
-    stranger.config_replica.offer(found, now=0.0)
-    with stranger:
-        platform.list_plane(stranger)
+    foreign.config_replica.offer(found, now=0.0)
+    with foreign:
+        platform.list_plane(foreign)
         wait_until(lambda: len(planes[0].directory.members) == 6)
         platform.editor.add(store_fakes.make_rule('a'))
         for plane in planes:
-            held = plane.config_replica.wait(0, WAIT_S)
-            assert [item.rule.name for item in held.encoded_rules] == ['a']
+            current = plane.config_replica.wait(0, WAIT_S)
+            assert [item.rule.name for item in current.encoded_rules] == ['a']
 
 
 class FakeApp:
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize(
-    ('key', 'revision', 'heard'),
+    ('key', 'revision', 'expected'),
     [
         (KEY, '7', [7]),
         (KEY, '0', []),
@@ -226,15 +226,17 @@
         ('', '7', []),
     ],
 )
-def test_only_requests_with_the_key_carry_a_revision(key, revision, heard):
+def test_only_requests_with_the_key_carry_a_revision(key, revision, expected):
     """An entry missed a push and would keep routing by outdated rules.
 
     Revisions of requests without the key are ignored, since an outside
     caller must not be able to trigger pulls.
     """
     config_replica = configuration.ConfigurationReplica()
-    noted = []
-    config_replica.on_newer_revision(lambda number, now: noted.append(number))
+    observed = []
+    config_replica.on_newer_revision(
+        lambda number, now: observed.append(number)
+    )
     app = control.RevisionMiddleware(FakeApp(), config_replica, KEY)
     environ = {
         'HTTP_CATKINSHUNT_REVISION': revision,
@@ -242,6 +244,6 @@
     }
     replies = []
     app(environ, lambda status, fields: replies.append((status, fields)))
-    assert noted == heard
+    assert observed == expected
     fields = [('A', 'b'), ('Catkinshunt-Revision', '0')]
     assert replies == [('204 No Content', fields)]
--- a/catkinshunt/dissemination/_disseminator.py
+++ b/catkinshunt/dissemination/_disseminator.py
@@ -41,7 +41,7 @@
         random_state: seed or `random.Random`.
 
     Attributes:
-        answered: number of peers that replied at start.
+        initial_replies: number of peers that replied at start.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.random_state = random_state
         self.neighbours = _neighbours.Neighbours(name, data_centre)
         self.peer_health = self.neighbours.peer_health
-        self.answered = 0
+        self.initial_replies = 0
         self._by_topic = {replica.topic: replica for replica in replicas}
         self._pushed = {replica.topic: 0 for replica in replicas}
         self._pull_from = None
@@ -80,7 +80,7 @@
     def start(self):
         """Pull from a few peers, then push and pull in the background."""
         self._prepare()
-        self.answered = self.catch_up(time.monotonic())
+        self.initial_replies = self.catch_up(time.monotonic())
         self._thread = threading.Thread(
             target=self._run, name='spreader', daemon=True
         )
@@ -142,12 +142,12 @@
             self.observe_revision(update.topic, update.revision, now, sender)
         return replica.revision
 
-    def handle_pull(self, held, sender, now):
-        """Return the updates for a peer with the revisions `held`."""
+    def handle_pull(self, revisions, sender, now):
+        """Return the updates that a peer at `revisions` lacks."""
         self.peer_health.observe(sender, True, now)
         updates = []
         for topic, replica in self._by_topic.items():
-            revision = held.get(topic, 0)
+            revision = revisions.get(topic, 0)
             if revision < replica.revision:
                 updates.append(replica.make_update(revision))
             self.observe_revision(topic, revision, now, sender)
@@ -176,7 +176,7 @@
             Whether a peer replied.
         """
         self._prepare()
-        peer = self._choose_pull(now)
+        peer = self._choose_pull_peer(now)
         if peer is None:
             return False
         fut = self._send_pull(peer)
@@ -192,8 +192,8 @@
         """
         self._prepare()
         peers = self.neighbours.choose(self.members(), START_PEERS, now)
-        asked = [(peer, self._send_pull(peer)) for peer in peers]
-        return sum(self._apply_reply(peer, fut, now) for peer, fut in asked)
+        pending = [(peer, self._send_pull(peer)) for peer in peers]
+        return sum(self._apply_reply(peer, fut, now) for peer, fut in pending)
 
     def _run(self):
         next_pull = time.monotonic() + self._pause_s()
@@ -218,18 +218,18 @@
         )
         return self._stopped or new or self._pull_from is not None
 
-    def _choose_pull(self, now):
+    def _choose_pull_peer(self, now):
         with self._wake:
             pull_from, self._pull_from = self._pull_from, None
         members = self.members()
-        found = None
+        peer = None
         if pull_from:
-            found = self.neighbours.find(members, pull_from, now)
-        if found is None and pull_from is None:
-            found = self._choose_probe(members, now)
-        if found is None:
-            found = next(iter(self.neighbours.choose(members, 1, now)), None)
-        return found
+            peer = self.neighbours.find(members, pull_from, now)
+        if peer is None and pull_from is None:
+            peer = self._choose_probe(members, now)
+        if peer is None:
+            peer = next(iter(self.neighbours.choose(members, 1, now)), None)
+        return peer
 
     def _choose_probe(self, members, now):
         """Return a watcher for every second pull of a standby, or None."""
@@ -240,11 +240,11 @@
         return self.neighbours.find(members, name, now) if name else None
 
     def _send_pull(self, peer):
-        held = {
+        revisions = {
             topic: replica.revision
             for topic, replica in self._by_topic.items()
         }
-        return self.transport.pull(peer, held)
+        return self.transport.pull(peer, revisions)
 
     def _apply_reply(self, peer, fut, now):
         """Wait for a reply and apply it; return whether the peer replied."""
@@ -263,13 +263,13 @@
         replica = self._by_topic.get(update.topic)
         if replica is None:
             return
-        starting = replica.revision == 0
+        was_empty = replica.revision == 0
         try:
             replica.apply_update(update, now)
         except errors.PeerError as exc:
             _log.warning('Rejected an update from {}: {}', peer.name, exc)
             return
-        if starting:
+        if was_empty:
             # Peers have this revision already, so it is not pushed.
             self._pushed[update.topic] = replica.revision
 
--- a/catkinshunt/dissemination/_neighbours.py
+++ b/catkinshunt/dissemination/_neighbours.py
@@ -102,14 +102,14 @@
         self._local_names = []
         self._remote_names = []
         for member in self._by_name.values():
-            near = member.data_centre == self.data_centre
-            names = self._local_names if near else self._remote_names
+            is_local = member.data_centre == self.data_centre
+            names = self._local_names if is_local else self._remote_names
             names.append(member.name)
         self.peer_health.forget(self._by_name)
         # If one kind has too few peers, the other fills its share.
-        room = self.local + self.remote
-        local = max(self.local, room - len(self._remote_names))
-        remote = max(self.remote, room - len(self._local_names))
+        total = self.local + self.remote
+        local = max(self.local, total - len(self._remote_names))
+        remote = max(self.remote, total - len(self._local_names))
         self._chosen = [
             *self._sample_names(self._local_names, local),
             *self._sample_names(self._remote_names, remote),
--- a/catkinshunt/dissemination/_peer_health.py
+++ b/catkinshunt/dissemination/_peer_health.py
@@ -45,28 +45,28 @@
         self._failures = {}
         self._lock = threading.Lock()
 
-    def observe(self, name, answered, now):
+    def observe(self, name, replied, now):
         """Record whether the peer `name` replied to a call."""
         with self._lock:
-            if answered:
+            if replied:
                 self._failures.pop(name, None)
                 return
             checks.check_positive(self.backoff_s, 'backoff_s')
-            found = self._failures.get(name)
-            count = found.count + 1 if found else 1
+            failures = self._failures.get(name)
+            count = failures.count + 1 if failures else 1
             pause_s = self.backoff_s * 2 ** min(count - 1, 16)
             retry_at = now + min(pause_s, self.max_backoff_s)
             self._failures[name] = _Failures(count, retry_at)
 
     def may_call(self, name, now):
         """Return whether the peer is not in backoff."""
-        found = self._failures.get(name)
-        return found is None or now >= found.retry_at
+        failures = self._failures.get(name)
+        return failures is None or now >= failures.retry_at
 
     def is_unresponsive(self, name):
         """Return whether `UNRESPONSIVE_FAILURES` calls failed in a row."""
-        found = self._failures.get(name)
-        return found is not None and found.count >= UNRESPONSIVE_FAILURES
+        failures = self._failures.get(name)
+        return failures is not None and failures.count >= UNRESPONSIVE_FAILURES
 
     def forget(self, names):
         """Delete the records of all peers except `names`."""
--- a/catkinshunt/dissemination/base.py
+++ b/catkinshunt/dissemination/base.py
@@ -89,8 +89,8 @@
         """Offer `update`; the future yields the revision of the peer."""
 
     @abc.abstractmethod
-    def pull(self, peer, held):
-        """Request updates for `held`, a mapping of topic to revision.
+    def pull(self, peer, revisions):
+        """Request updates for `revisions`, a mapping of topic to revision.
 
         The future yields a tuple of `Update`.
         """
--- a/catkinshunt/dissemination/grpc_transport.py
+++ b/catkinshunt/dissemination/grpc_transport.py
@@ -28,11 +28,11 @@
             sender=self.name, update=_to_message(update)
         )
         fut = self._call(peer, 'Offer', message)
-        return _map_future(fut, lambda held: held.topics[0].revision)
+        return _map_future(fut, lambda reply: reply.topics[0].revision)
 
-    def pull(self, peer, held):
+    def pull(self, peer, revisions):
         """See `base.BasePeerTransport.pull`."""
-        message = _held_message(self.name, held)
+        message = _make_held_message(self.name, revisions)
         fut = self._call(peer, 'Pull', message)
         return _map_future(
             fut, lambda reply: tuple(map(_from_message, reply.updates))
@@ -59,16 +59,18 @@
             message.sender,
             time.monotonic(),
         )
-        held = {update.topic: revision}
-        await stream.send_message(_held_message(self.disseminator.name, held))
+        revisions = {update.topic: revision}
+        await stream.send_message(
+            _make_held_message(self.disseminator.name, revisions)
+        )
 
     async def Pull(self, stream):
         """Return the updates that a peer lacks."""
         message = await stream.recv_message()
-        held = {item.topic: item.revision for item in message.topics}
+        revisions = {item.topic: item.revision for item in message.topics}
         updates = await peers.run_blocking(
             self.disseminator.handle_pull,
-            held,
+            revisions,
             message.sender,
             time.monotonic(),
         )
@@ -77,10 +79,10 @@
         )
 
 
-def _held_message(sender, held):
+def _make_held_message(sender, revisions):
     topics = [
         dissemination_pb2.TopicRevision(topic=topic, revision=revision)
-        for topic, revision in held.items()
+        for topic, revision in revisions.items()
     ]
     return dissemination_pb2.Held(sender=sender, topics=topics)
 
--- a/catkinshunt/dissemination/tests/fakes.py
+++ b/catkinshunt/dissemination/tests/fakes.py
@@ -87,14 +87,14 @@
         disseminator = self.network.disseminators[peer.name]
         fut.set_result(disseminator.handle_offer(update, self.name, now))
 
-    def pull(self, peer, held):
+    def pull(self, peer, revisions):
         fut = concurrent.futures.Future()
         if not self.network.reaches(self.name, peer.name):
             self.network.count(0)
             fut.set_exception(errors.PeerUnavailableError('no answer'))
             return fut
         disseminator = self.network.disseminators[peer.name]
-        updates = disseminator.handle_pull(held, self.name, 0.0)
+        updates = disseminator.handle_pull(revisions, self.name, 0.0)
         self.network.count(sum(update.size for update in updates))
         fut.set_result(updates)
         return fut
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -192,13 +192,13 @@
 
 
 def test_an_unreachable_engine_fails_the_load_step(process):
-    target = engines.HttpEngine(process_address_closed())
+    target = engines.HttpEngine(closed_address())
     with pytest.raises(errors.OrderError) as caught:
         target.load(process.make_order('v1', 1))
     assert caught.value.step == 'load'
 
 
-def process_address_closed():
-    gone = Process()
-    gone.server.stop()
-    return httpio.Address('127.0.0.1', gone.server.port)
+def closed_address():
+    stopped = Process()
+    stopped.server.stop()
+    return httpio.Address('127.0.0.1', stopped.server.port)
--- a/catkinshunt/instances/_instance.py
+++ b/catkinshunt/instances/_instance.py
@@ -57,7 +57,7 @@
             return cls(
                 **texts,
                 address=address,
-                control_address=_control_address(value, address),
+                control_address=_decode_control_address(value, address),
             )
         except (KeyError, TypeError, ValueError, AttributeError) as exc:
             raise errors.PeerError(
@@ -80,11 +80,11 @@
         return text.encode()
 
 
-def _control_address(value, address):
+def _decode_control_address(value, address):
     text = value.get('control_address')
     if not text:
         return None
-    found = httpio.Address.parse(text)
-    if found.host == address.host:
-        return httpio.Address(address.host, found.port)
-    return found
+    control = httpio.Address.parse(text)
+    if control.host == address.host:
+        return httpio.Address(address.host, control.port)
+    return control
--- a/catkinshunt/instances/_listing.py
+++ b/catkinshunt/instances/_listing.py
@@ -146,18 +146,21 @@
             errors.PeerError: the update does not apply to this list.
         """
         try:
-            found = self._decode_update(update)
+            listing = self._decode_update(update)
         except (ValueError, KeyError, TypeError, zlib.error) as exc:
             raise errors.PeerError(
                 f'instance list {update.revision} is malformed: {exc!r}',
                 step='apply-update',
             ) from exc
-        if (found.revision, found.digest) != (update.revision, update.digest):
+        if (listing.revision, listing.digest) != (
+            update.revision,
+            update.digest,
+        ):
             raise errors.PeerError(
                 f'instance list {update.revision} does not match its digest',
                 step='apply-update',
             )
-        return found
+        return listing
 
     def to_bytes(self):
         """Return the whole list as JSON."""
@@ -170,12 +173,12 @@
             inflater = zlib.decompressobj()
             text = inflater.decompress(update.document, MAX_DOCUMENT_BYTES)
             return read_listing(text)
-        found = self
+        listing = self
         for line in update.edits:
             change = Change.from_bytes(line)
-            if change.revision > found.revision:
-                found = found.apply(change)
-        return found
+            if change.revision > listing.revision:
+                listing = listing.apply(change)
+        return listing
 
 
 def read_listing(text):
@@ -195,8 +198,8 @@
         raise errors.PeerError(
             f'invalid instance list: {exc!r}', step='read-listing'
         ) from exc
-    found = Listing().apply(change)
-    return attrs.evolve(found, changes=())
+    listing = Listing().apply(change)
+    return attrs.evolve(listing, changes=())
 
 
 def _read_instance(value):
--- a/catkinshunt/routing/_router.py
+++ b/catkinshunt/routing/_router.py
@@ -178,14 +178,14 @@
         version_probe = self._pick_version_probe(ranked.other, req, now)
         if version_probe is not None:
             return [version_probe]
-        found = self._pick_usable(ranked.matching, req, now)
-        if not found and ranked.other:
+        usable = self._pick_usable(ranked.matching, req, now)
+        if not usable and ranked.other:
             # Version data is as old as the last reply. If all upstreams have
             # changed their version since, only a request can reveal it.
-            found = self._pick_usable(ranked.other, req, now)
-        if not found:
+            usable = self._pick_usable(ranked.other, req, now)
+        if not usable:
             raise self._make_refusal(req, ranked.matching + ranked.other, now)
-        return found
+        return usable
 
     def _pick_version_probe(self, views, req, now):
         """Return an upstream whose version data is outdated, or None.
--- a/catkinshunt/routing/_subset.py
+++ b/catkinshunt/routing/_subset.py
@@ -38,18 +38,20 @@
         return digest.digest()
 
     order = sorted(upstreams, key=weight, reverse=True)
-    near = [view for view in order if view.data_centre == data_centre]
-    far = [view for view in order if view.data_centre != data_centre]
-    return list(_interleave(near, far, remote_interval))
+    local = [view for view in order if view.data_centre == data_centre]
+    remote = [view for view in order if view.data_centre != data_centre]
+    return list(_interleave(local, remote, remote_interval))
 
 
-def _interleave(near, far, remote_interval):
-    near, far = iter(near), iter(far)
+def _interleave(local, remote, remote_interval):
+    local, remote = iter(local), iter(remote)
     position = 0
     while True:
         position += 1
         first, second = (
-            (far, near) if position % remote_interval == 0 else (near, far)
+            (remote, local)
+            if position % remote_interval == 0
+            else (local, remote)
         )
         view = next(first, None) or next(second, None)
         if view is None:
--- a/catkinshunt/routing/tests/test_router.py
+++ b/catkinshunt/routing/tests/test_router.py
@@ -73,11 +73,13 @@
     """
     views = make_views(2)
     router = make_router(views)
-    left = send(router, 0.0, 'refused', state='leaving')
-    late = next(view for view in views if view.name == left)
+    leaving = send(router, 0.0, 'refused', state='leaving')
+    leaving_view = next(view for view in views if view.name == leaving)
     router.offer(make_views(2))
-    router.observe(routing.Observation(late, routing.Result.ANSWERED), 0.1)
-    assert left not in {send(router, 1.0 + i / 10) for i in range(50)}
+    router.observe(
+        routing.Observation(leaving_view, routing.Result.ANSWERED), 0.1
+    )
+    assert leaving not in {send(router, 1.0 + i / 10) for i in range(50)}
 
 
 def test_follows_the_leaving_state_in_the_list():
