--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -170,8 +170,8 @@
     Mutation(
         'retries-kept-for-moves',
         'catkinshunt/retries/_policy.py',
-        'self.budget.choose(self.reserve if is_full else 0.0)',
-        'self.budget.choose()',
+        'self.budget.try_take(self.reserve if is_full else 0.0)',
+        'self.budget.try_take()',
     ),
     Mutation(
         'retries-shared-by-number',
