--- a/benchmarks/bench_configuration.py
+++ b/benchmarks/bench_configuration.py
@@ -85,7 +85,7 @@
         for number in range(1, MAX_ROUNDS):
             self.round += 1
             self.fleet.push(self.round * HOP_S)
-            behind = self.fleet.behind(found.revision)
+            behind = self.fleet.find_behind(found.revision)
             if not behind and last is None:
                 last = number
             if number == PUSH_ROUNDS:
@@ -102,7 +102,7 @@
         """Bring the processes that were missed up to date, uncounted."""
         network = self.fleet.network
         counted = network.messages, network.sent_bytes
-        while behind := self.fleet.behind(revision):
+        while behind := self.fleet.find_behind(revision):
             self.fleet.pull(self.round * HOP_S, behind)
         self.fleet.push(self.round * HOP_S)
         network.messages, network.sent_bytes = counted
--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -70,14 +70,14 @@
             self.cfg.deployment_key,
             self.loop,
         ).start()
-        self._fetch(self._list_source)
+        self._fetch_initial(self._list_source)
         self._disseminator.start()
         if (
             self.config_replica.revision == 0
             and not self._disseminator.initial_replies
         ):
             # No peer replied, so the rules are read from the service.
-            self._fetch(self._store_source)
+            self._fetch_initial(self._store_source)
         for watcher in self._watchers:
             watcher.start()
         return self
@@ -143,7 +143,7 @@
     def _members(self):
         return self.directory.members
 
-    def _fetch(self, source):
+    def _fetch_initial(self, source):
         try:
             source.fetch(0)
         except errors.CatkinshuntError as exc:
--- a/catkinshunt/control/tests/test_placement.py
+++ b/catkinshunt/control/tests/test_placement.py
@@ -32,7 +32,7 @@
     return {'place': {'model': 'm', 'version': version, **fields}}
 
 
-def _holders(rule_set, fleet):
+def _place_all(rule_set, fleet):
     found = {}
     for instance in fleet:
         placed = control.choose_placement(rule_set, instance, fleet)
@@ -47,7 +47,7 @@
         ({'instance': 'i1'}, _place('8')),
         ({}, _place('7')),
     )
-    found = _holders(rule_set, FLEET)
+    found = _place_all(rule_set, FLEET)
     assert found['i1'] == '8'
     assert 'i0' not in found
     assert len(found) == 8
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize('replicas', [1, 4, 12, 99])
 def test_as_many_replicas_as_wanted(replicas):
     rule_set = _load(({}, _place('7', replicas=replicas)))
-    assert len(_holders(rule_set, FLEET)) == min(replicas, 12)
+    assert len(_place_all(rule_set, FLEET)) == min(replicas, 12)
 
 
 def test_a_dead_replica_is_replaced_and_the_others_stay():
@@ -66,10 +66,10 @@
     each move transfers the whole model.
     """
     rule_set = _load(({}, _place('7', replicas=4)))
-    before = set(_holders(rule_set, FLEET))
+    before = set(_place_all(rule_set, FLEET))
     dead = sorted(before)[0]
     fleet = [item for item in FLEET if item.name != dead]
-    after = set(_holders(rule_set, fleet))
+    after = set(_place_all(rule_set, fleet))
     assert len(after) == 4
     assert before - {dead} < after
     leaving = [
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -60,9 +60,9 @@
         """Add a started control plane to the instance list."""
         name, port = plane.cfg.name, plane.address.port
         self.members.append(fakes.make_instance(name, port=port))
-        self.show()
+        self.publish()
 
-    def show(self):
+    def publish(self):
         """Publish all members in the instance list."""
         self.listing.update([item.to_listing() for item in self.members])
 
@@ -104,20 +104,20 @@
         plane.stop()
 
 
-def _watchers(planes):
+def _find_watchers(planes):
     topic = configuration.ConfigurationReplica.topic
     return [plane for plane in planes if topic in plane.watching]
 
 
 def test_an_edit_reaches_all_and_few_watch(platform, planes):
-    wait_until(lambda: len(_watchers(planes)) == 2)
+    wait_until(lambda: len(_find_watchers(planes)) == 2)
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in planes:
         assert plane.config_replica.wait(0, WAIT_S).revision == 1
     platform.editor.add(store_fakes.make_rule('b'))
     for plane in planes:
         assert plane.config_replica.wait(1, WAIT_S).revision == 2
-    assert len(_watchers(planes)) == 2
+    assert len(_find_watchers(planes)) == 2
 
 
 def test_a_process_that_starts_in_an_outage_pulls_from_peers(platform, planes):
@@ -144,12 +144,12 @@
 
     Edits must still reach the other processes, without a watch by each.
     """
-    wait_until(lambda: len(_watchers(planes)) == 2)
-    dead = _watchers(planes)
+    wait_until(lambda: len(_find_watchers(planes)) == 2)
+    dead = _find_watchers(planes)
     alive = [plane for plane in planes if plane not in dead]
     for plane in dead:
         plane.stop()
-    wait_until(lambda: len(_watchers(alive)) == 2)
+    wait_until(lambda: len(_find_watchers(alive)) == 2)
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in alive:
         assert plane.config_replica.wait(0, WAIT_S).revision == 1
--- a/catkinshunt/dissemination/tests/fakes.py
+++ b/catkinshunt/dissemination/tests/fakes.py
@@ -159,7 +159,7 @@
             if name not in self.network.dead:
                 self.disseminators[name].pull(now)
 
-    def behind(self, revision):
+    def find_behind(self, revision):
         """Return the names of live processes below `revision`."""
         return [
             name
--- a/catkinshunt/dissemination/tests/test_disseminator.py
+++ b/catkinshunt/dissemination/tests/test_disseminator.py
@@ -23,7 +23,7 @@
 def settle(fleet, revision, rounds=12, now=0.0):
     """Push and pull until no process is behind; return the rounds."""
     for number in range(rounds):
-        if not fleet.behind(revision):
+        if not fleet.find_behind(revision):
             return number
         fleet.push(now + number)
         fleet.pull(now + number)
@@ -47,7 +47,7 @@
     fleet.accept(HISTORY[2], ['i0'])
     for number in range(10):
         fleet.push(float(number))
-    assert len(fleet.behind(2)) < 10
+    assert len(fleet.find_behind(2)) < 10
     assert fleet.network.messages <= 4 * 100
 
 
@@ -83,7 +83,7 @@
         settle(fleet, revision, rounds=2, now=revision)
     settle(fleet, 79, now=100.0)
     inside = {m.name for m in fleet.members if m.data_centre == 'dc1'}
-    assert set(fleet.behind(79)) == inside
+    assert set(fleet.find_behind(79)) == inside
     fleet.network.groups = {}
     assert settle(fleet, 79, now=1000.0) < 10
     documents = {k.current.document for k in fleet.config_replicas.values()}
--- a/catkinshunt/dissemination/tests/test_history.py
+++ b/catkinshunt/dissemination/tests/test_history.py
@@ -85,4 +85,4 @@
     highest = max(run.seen.values())
     test_disseminator.settle(run.fleet, highest, rounds=40, now=10_000.0)
     run.check()
-    assert not run.fleet.behind(highest)
+    assert not run.fleet.find_behind(highest)
--- a/catkinshunt/instances/_listing.py
+++ b/catkinshunt/instances/_listing.py
@@ -124,7 +124,9 @@
         for position, change in enumerate(self.changes):
             if change.base_revision == after_revision:
                 tail = self.changes[position:]
-        if tail is None or sum(_size(c) for c in tail) >= len(self.by_name):
+        if tail is None or sum(_count_entries(c) for c in tail) >= len(
+            self.by_name
+        ):
             return base.Update(
                 TOPIC,
                 self.revision,
@@ -222,5 +224,5 @@
     return int.from_bytes(digest.digest(), 'big')
 
 
-def _size(change):
+def _count_entries(change):
     return len(change.changed) + len(change.removed)
--- a/catkinshunt/routing/_health.py
+++ b/catkinshunt/routing/_health.py
@@ -42,7 +42,7 @@
         self.leaving_s = leaving_s
         self.random_state = random_state
 
-    def _records(self):
+    def _get_records(self):
         if not hasattr(self, 'records_'):
             checks.check_positive(self.backoff_s, 'backoff_s')
             checks.check_positive(self.max_backoff_s, 'max_backoff_s')
@@ -55,25 +55,25 @@
         """Return whether an upstream may get a request or a probe."""
         if view.state is base.State.SERVING:
             return True
-        record = self._records().get(view.name)
+        record = self._get_records().get(view.name)
         if record is None:
             return view.state != base.State.LEAVING
         return not record.probing and now >= record.retry_at
 
     def retry_at(self, view):
         """Return the time of the next probe of an upstream, in seconds."""
-        record = self._records().get(view.name)
+        record = self._get_records().get(view.name)
         return record.retry_at if record else 0.0
 
     def has_record(self, name):
         """Return whether the upstream is recorded as leaving or failed."""
-        return name in self._records()
+        return name in self._get_records()
 
     def start_probe(self, view):
         """Record the request as the probe if the upstream is not serving."""
         if view.state is base.State.SERVING:
             return
-        self._records().setdefault(view.name, _Record()).probing = True
+        self._get_records().setdefault(view.name, _Record()).probing = True
 
     def observe(self, observation, now):
         """Set the state of an upstream by the outcome of an exchange."""
@@ -89,26 +89,26 @@
 
     def forget(self, name):
         """Delete the record of a removed upstream."""
-        self._records().pop(name, None)
+        self._get_records().pop(name, None)
 
     def _mark_serving(self, view):
-        record = self._records().get(view.name)
+        record = self._get_records().get(view.name)
         leaving = view.state == base.State.LEAVING
         if leaving and not (record and record.probing):
             # A long reply may have begun before the upstream started leaving;
             # counted as recovery, it would direct new requests there.
             return
-        self._records().pop(view.name, None)
+        self._get_records().pop(view.name, None)
         view.state = base.State.SERVING
 
     def _mark_leaving(self, view, now):
-        record = self._records().setdefault(view.name, _Record())
+        record = self._get_records().setdefault(view.name, _Record())
         record.probing = False
         record.retry_at = now + self.leaving_s
         view.state = base.State.LEAVING
 
     def _mark_failed(self, view, now):
-        records = self._records()
+        records = self._get_records()
         record = records.setdefault(view.name, _Record())
         was_probe = record.probing
         if view.state != base.State.SERVING and not was_probe:
@@ -123,6 +123,6 @@
         view.state = base.State.SUSPECT
 
     def _end_probe(self, view):
-        record = self._records().get(view.name)
+        record = self._get_records().get(view.name)
         if record is not None:
             record.probing = False
--- a/catkinshunt/routing/_load.py
+++ b/catkinshunt/routing/_load.py
@@ -7,7 +7,7 @@
 class _RandomStateMixin:
     """Creates the random generator on first use."""
 
-    def _random(self):
+    def _get_random(self):
         if not hasattr(self, 'random_state_'):
             self.random_state_ = checks.check_random_state(self.random_state)
         return self.random_state_
@@ -31,7 +31,7 @@
 
     def choose(self, req, candidates, now):
         """Return a random candidate."""
-        view = self._random().choice(candidates)
+        view = self._get_random().choice(candidates)
         return base.Choice(view, 'random', len(candidates))
 
 
@@ -49,7 +49,7 @@
         """Return a candidate with the fewest requests in flight."""
         least = min(view.in_flight for view in candidates)
         ties = [view for view in candidates if view.in_flight == least]
-        view = self._random().choice(ties)
+        view = self._get_random().choice(ties)
         grounds = f'least in flight ({least})'
         return base.Choice(view, grounds, len(candidates))
 
@@ -73,7 +73,7 @@
     def choose(self, req, candidates, now):
         """Return the less loaded of two random candidates."""
         checks.check_positive(self.half_life_s, 'half_life_s')
-        pair = self._random().sample(candidates, min(2, len(candidates)))
+        pair = self._get_random().sample(candidates, min(2, len(candidates)))
         loads = [
             base.estimate_load(view, now, self.half_life_s) for view in pair
         ]
--- a/catkinshunt/routing/_router.py
+++ b/catkinshunt/routing/_router.py
@@ -85,7 +85,7 @@
                 modifies them.
         """
         with self._lock:
-            health = self._health()
+            health = self._get_health()
             known, self._views = self._views, {}
             for view in upstreams:
                 old = known.pop(view.name, None)
@@ -112,7 +112,7 @@
                 usable, self.data_centre, self.region, self.spill_load, now
             )
             choice = (policy or self.policy).choose(req, candidates, now)
-            self._health().start_probe(choice.upstream)
+            self._get_health().start_probe(choice.upstream)
             choice.upstream.in_flight += 1
             return choice
 
@@ -129,7 +129,7 @@
                 view.in_flight = max(0, view.in_flight - 1)
             if self._views.get(view.name) is not view:
                 return
-            self._health().observe(observation, now)
+            self._get_health().observe(observation, now)
             if observation.load is not None:
                 view.reported_load = observation.load
                 view.in_flight_at_report = view.in_flight
@@ -147,7 +147,7 @@
         with self._lock:
             return [self._views[name] for name in sorted(self._views)]
 
-    def _health(self):
+    def _get_health(self):
         if self.health is None:
             self.health = _health.HealthTracker()
         return self.health
@@ -209,7 +209,7 @@
 
     def _pick_usable(self, ranked, req, now):
         """Return the first usable upstreams, or one that is to be probed."""
-        health = self._health()
+        health = self._get_health()
         usable, probes = [], []
         for view in ranked:
             if view.name in req.excluded:
@@ -229,10 +229,20 @@
         key = (req.service, req.model, req.model_version)
         if key not in self._ranked:
             order = self._order(req.service)
-            fits = [v.may_serve(req.model, req.model_version) for v in order]
+            matches = [
+                v.may_serve(req.model, req.model_version) for v in order
+            ]
             self._ranked[key] = _Ranked(
-                [v for v, fit in zip(order, fits, strict=True) if fit],
-                [v for v, fit in zip(order, fits, strict=True) if not fit],
+                [
+                    v
+                    for v, is_match in zip(order, matches, strict=True)
+                    if is_match
+                ],
+                [
+                    v
+                    for v, is_match in zip(order, matches, strict=True)
+                    if not is_match
+                ],
             )
         return self._ranked[key]
 
@@ -251,13 +261,13 @@
         return self._orders[service]
 
     def _make_refusal(self, req, ranked, now):
-        waits = [self._health().retry_at(view) - now for view in ranked]
+        waits = [self._get_health().retry_at(view) - now for view in ranked]
         waits = [wait_s for wait_s in waits if wait_s > 0]
-        what = f'service {req.service}'
+        target = f'service {req.service}'
         if req.model:
-            what += f' with {req.model} {req.model_version}'
+            target += f' with {req.model} {req.model_version}'
         return errors.RefusedError(
-            f'no upstream of {what} is available; {len(ranked)} known',
+            f'no upstream of {target} is available; {len(ranked)} known',
             step='choose',
             peer=req.service,
             retry_after_s=min(waits, default=DEFAULT_RETRY_AFTER_S),
