--- a/catkinshunt/peers/_loop.py
+++ b/catkinshunt/peers/_loop.py
@@ -74,7 +74,7 @@
 async def run_blocking(function, *args):
     """Run `function` in a worker thread and return its result.
 
-    For handlers: `await run_blocking(keeper.offer, configuration, now)`.
+    For handlers: `await run_blocking(replica.apply_update, update, now)`.
     """
     loop = asyncio.get_running_loop()
     return await loop.run_in_executor(None, function, *args)
