--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -172,8 +172,8 @@
     Mutation(
         'retries-kept-for-moves',
         'catkinshunt/retries/_policy.py',
-        'self.budget.choose(self.reserve if is_full else 0.0)',
-        'self.budget.choose()',
+        'self.budget.try_take(self.reserve if is_full else 0.0)',
+        'self.budget.try_take()',
     ),
     Mutation(
         'retries-shared-by-number',
@@ -582,8 +582,8 @@
     Mutation(
         'deputy-takes-over',
         'catkinshunt/dissemination/_watch_election.py',
-        'if not self.peer_health.lost(name)]',
-        'if True]',
+        'if not self.peer_health.is_unresponsive(name)',
+        'if True',
     ),
     # Requests that crash their upstreams.
     Mutation(
@@ -646,7 +646,7 @@
     Mutation(
         'peer-shows-key',
         'catkinshunt/peers/_server.py',
-        'if not hmac.compare_digest(shown, self.key.encode()):',
+        'if not hmac.compare_digest(presented_key, self.key.encode()):',
         'if False:',
     ),
     Mutation(
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -1,4 +1,4 @@
-"""Tests of control planes over real sockets, with platform stand-ins."""
+"""Tests of control planes over real sockets, with a stand-in platform."""
 
 import threading
 import time
@@ -40,7 +40,7 @@
         )
 
     def make_plane(self, name, key=KEY):
-        """Return a plane that is neither started nor listed."""
+        """Return a control plane that is neither started nor listed."""
         cfg = settings.EntrySettings(
             name=name,
             region='thessalia',
@@ -57,17 +57,17 @@
         return control.ControlPlane(cfg, pull_period_s=0.1, watch_wait_s=1.0)
 
     def list_plane(self, plane):
-        """Show a started plane in the list."""
+        """Add a started control plane to the instance list."""
         name, port = plane.cfg.name, plane.address.port
         self.members.append(fakes.make_instance(name, port=port))
-        self.show()
+        self.publish()
 
-    def show(self):
-        """Show all members in the list."""
+    def publish(self):
+        """Publish all members in the instance list."""
         self.listing.update([item.to_listing() for item in self.members])
 
     def set_down(self, down):
-        """Begin or end an outage of the key-value service."""
+        """Start or end an outage of the key-value service."""
         with self.store._changed:
             self.store.faults = key_value.Faults(down=down)
             self.store._changed.notify_all()
@@ -79,7 +79,7 @@
 
 
 def wait_until(condition):
-    """Wait for a condition that other threads bring about."""
+    """Wait until a condition that other threads change is true."""
     deadline = time.monotonic() + WAIT_S
     pause = threading.Event()
     while not condition():
@@ -104,28 +104,26 @@
         plane.stop()
 
 
-def _watchers(planes):
+def _find_watchers(planes):
     topic = configuration.ConfigurationReplica.topic
     return [plane for plane in planes if topic in plane.watching]
 
 
 def test_an_edit_reaches_all_and_few_watch(platform, planes):
-    wait_until(lambda: len(_watchers(planes)) == 2)
+    wait_until(lambda: len(_find_watchers(planes)) == 2)
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in planes:
         assert plane.config_replica.wait(0, WAIT_S).revision == 1
     platform.editor.add(store_fakes.make_rule('b'))
     for plane in planes:
         assert plane.config_replica.wait(1, WAIT_S).revision == 2
-    assert len(_watchers(planes)) == 2
+    assert len(_find_watchers(planes)) == 2
 
 
-def test_a_process_that_starts_in_an_outage_learns_from_peers(
-    platform, planes
-):
+def test_a_process_that_starts_in_an_outage_pulls_from_peers(platform, planes):
     """The key-value service is down while an instance is replaced.
 
-    The new process must not serve without rules, nor with old ones.
+    The new process must not serve without rules or with outdated ones.
     """
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in planes:
@@ -142,16 +140,16 @@
 
 
 def test_another_process_watches_when_a_watcher_dies(platform, planes):
-    """Both watchers stop at once, and the list goes on showing them.
+    """Both watchers stop at once but remain in the instance list.
 
-    Edits must still reach the others, without a watch from each of them.
+    Edits must still reach the other processes, without a watch by each.
     """
-    wait_until(lambda: len(_watchers(planes)) == 2)
-    dead = _watchers(planes)
+    wait_until(lambda: len(_find_watchers(planes)) == 2)
+    dead = _find_watchers(planes)
     alive = [plane for plane in planes if plane not in dead]
     for plane in dead:
         plane.stop()
-    wait_until(lambda: len(_watchers(alive)) == 2)
+    wait_until(lambda: len(_find_watchers(alive)) == 2)
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in alive:
         assert plane.config_replica.wait(0, WAIT_S).revision == 1
@@ -160,10 +158,9 @@
 def test_an_edit_is_in_force_though_the_service_fails_right_after_it(
     platform, planes
 ):
-    """The key-value service accepts an edit and goes down at once.
+    """The key-value service accepts an edit and fails before a watcher reads.
 
-    No watcher has seen it, and the operator has been told that it is in
-    force within seconds.
+    The operator was informed that the edit is active within seconds.
     """
     wait_until(lambda: len(planes[0].directory.members) == 5)
     cfg = settings.OperatorSettings(
@@ -195,23 +192,23 @@
 
 
 def test_a_process_of_another_deployment_changes_nothing(platform, planes):
-    """Two deployments are mixed up in an instance list."""
-    stranger = platform.make_plane('stranger', key='another key, not ours')
+    """An instance list contains processes of two deployments."""
+    foreign = platform.make_plane('stranger', key='another key, not ours')
     found = configuration.EMPTY.edited(
         'x', (configuration.Add(store_fakes.make_rule('x'), 0),)
     )
-    stranger.config_replica.offer(found, now=0.0)
-    with stranger:
-        platform.list_plane(stranger)
+    foreign.config_replica.offer(found, now=0.0)
+    with foreign:
+        platform.list_plane(foreign)
         wait_until(lambda: len(planes[0].directory.members) == 6)
         platform.editor.add(store_fakes.make_rule('a'))
         for plane in planes:
-            held = plane.config_replica.wait(0, WAIT_S)
-            assert [item.rule.name for item in held.encoded_rules] == ['a']
+            current = plane.config_replica.wait(0, WAIT_S)
+            assert [item.rule.name for item in current.encoded_rules] == ['a']
 
 
 class FakeApp:
-    """Answers every request with 204."""
+    """Replies with 204 to every request."""
 
     def __call__(self, environ, start_response):
         start_response('204 No Content', [('A', 'b')])
@@ -219,7 +216,7 @@
 
 
 @pytest.mark.parametrize(
-    ('key', 'revision', 'heard'),
+    ('key', 'revision', 'expected'),
     [
         (KEY, '7', [7]),
         (KEY, '0', []),
@@ -229,14 +226,17 @@
         ('', '7', []),
     ],
 )
-def test_revisions_ride_on_requests_of_our_own(key, revision, heard):
-    """An entry missed a push and goes on routing by old rules.
+def test_only_requests_with_the_key_carry_a_revision(key, revision, expected):
+    """An entry missed a push and would keep routing by outdated rules.
 
-    Only our own processes are believed; a caller must not make us pull.
+    Revisions of requests without the key are ignored, since an outside
+    caller must not be able to trigger pulls.
     """
     config_replica = configuration.ConfigurationReplica()
-    noted = []
-    config_replica.on_newer_revision(lambda number, now: noted.append(number))
+    observed = []
+    config_replica.on_newer_revision(
+        lambda number, now: observed.append(number)
+    )
     app = control.RevisionMiddleware(FakeApp(), config_replica, KEY)
     environ = {
         'HTTP_CATKINSHUNT_REVISION': revision,
@@ -244,6 +244,6 @@
     }
     replies = []
     app(environ, lambda status, fields: replies.append((status, fields)))
-    assert noted == heard
+    assert observed == expected
     fields = [('A', 'b'), ('Catkinshunt-Revision', '0')]
     assert replies == [('204 No Content', fields)]
--- a/catkinshunt/dissemination/__init__.py
+++ b/catkinshunt/dissemination/__init__.py
@@ -1,15 +1,15 @@
-"""Hands revised documents on among the processes of the system.
+"""Gossips documents with revisions among the processes of a deployment.
 
-The calls over grpclib are in `catkinshunt.dissemination.grpc_transport`, which only
-processes load that make them.
+The gRPC transport is in `catkinshunt.dissemination.grpc_transport`, which only
+processes import that call peers.
 """
 
-from catkinshunt.dissemination._peer_health import PeerHealth
-from catkinshunt.dissemination._watch_election import WatchElection
-from catkinshunt.dissemination._neighbours import Neighbours
+from catkinshunt.dissemination._disseminator import Disseminator
 from catkinshunt.dissemination._disseminator import FANOUT
 from catkinshunt.dissemination._disseminator import PULL_PERIOD_S
-from catkinshunt.dissemination._disseminator import Disseminator
+from catkinshunt.dissemination._neighbours import Neighbours
+from catkinshunt.dissemination._peer_health import PeerHealth
+from catkinshunt.dissemination._watch_election import WatchElection
 from catkinshunt.dissemination._watcher import WAIT_S as WATCH_WAIT_S
 from catkinshunt.dissemination._watcher import Watcher
 from catkinshunt.dissemination.base import BasePeerTransport
@@ -21,13 +21,13 @@
     'BasePeerTransport',
     'BaseReplica',
     'BaseSource',
-    'PeerHealth',
-    'WatchElection',
+    'Disseminator',
     'FANOUT',
     'Neighbours',
     'PULL_PERIOD_S',
-    'Disseminator',
+    'PeerHealth',
     'Update',
     'WATCH_WAIT_S',
+    'WatchElection',
     'Watcher',
 ]
--- a/catkinshunt/dissemination/_disseminator.py
+++ b/catkinshunt/dissemination/_disseminator.py
@@ -1,4 +1,4 @@
-"""Hands revised documents on from process to process."""
+"""Gossip: push and pull of document revisions between processes."""
 
 import functools
 import threading
@@ -13,34 +13,35 @@
 FANOUT = 4
 PULL_PERIOD_S = 1.0
 START_PEERS = 3
-CALL_S = 2.0
-#: Least seconds between pulls from any neighbour for a hint without a name.
-GUESS_S = 0.2
+REPLY_TIMEOUT_S = 2.0
+#: Least time between pulls that are triggered by an unnamed peer.
+ANONYMOUS_PULL_INTERVAL_S = 0.2
 _log = logs.get_logger('dissemination')
 
 
 class Disseminator(base.BaseService):
-    """Pushes what is new to a few neighbours, and pulls from one in turn.
+    """Pushes new revisions to random neighbours, and pulls periodically.
 
-    Each process that learns of a revision offers it once to `fanout`
-    neighbours, so that it reaches nearly all within a few hops. A push can
-    miss some processes; the regular pull finds these. Both carry edits
-    where the other side is a few revisions behind.
+    Each process that receives a revision offers it once to `fanout`
+    neighbours, so that it reaches nearly all processes within a few hops.
+    Periodic pulls (anti-entropy) reach those that the pushes miss. Both send
+    edits instead of the document to a peer that is a few revisions behind.
 
     Args:
-        name: name of the own instance.
-        data_centre: data centre of the own instance.
+        name: name of this instance.
+        data_centre: data centre of this instance.
         replicas: the `BaseReplica` of each topic.
-        peering: a `BasePeerTransport`.
+        transport: a `BasePeerTransport`.
         members: function that returns the instances with a control address
             as a tuple, the same object while unchanged.
-        duties: the `WatchElection` of each source, for its probes.
-        fanout: neighbours that get each new revision.
-        pull_period_s: mean seconds between pulls.
+        elections: the `WatchElection` of each source, for probes of its
+            watchers.
+        fanout: number of neighbours to which each revision is pushed.
+        pull_period_s: mean time between pulls, in seconds.
         random_state: seed or `random.Random`.
 
     Attributes:
-        answered: how many peers answered at the start.
+        initial_replies: number of peers that replied at start.
     """
 
     def __init__(
@@ -66,20 +67,20 @@
         self.random_state = random_state
         self.neighbours = _neighbours.Neighbours(name, data_centre)
         self.peer_health = self.neighbours.peer_health
-        self.answered = 0
+        self.initial_replies = 0
         self._by_topic = {replica.topic: replica for replica in replicas}
         self._pushed = {replica.topic: 0 for replica in replicas}
-        self._behind = None
-        self._next_guess = 0.0
+        self._pull_from = None
+        self._next_anonymous_pull = 0.0
         self._random = None
         self._stopped = False
         self._wake = threading.Condition()
         self._thread = None
 
     def start(self):
-        """Ask a few peers at once, then go on in the background."""
+        """Pull from a few peers, then push and pull in the background."""
         self._prepare()
-        self.answered = self.catch_up(time.monotonic())
+        self.initial_replies = self.catch_up(time.monotonic())
         self._thread = threading.Thread(
             target=self._run, name='spreader', daemon=True
         )
@@ -87,7 +88,7 @@
         return self
 
     def stop(self):
-        """End pushes and pulls."""
+        """Stop pushing and pulling."""
         with self._wake:
             self._stopped = True
             self._wake.notify()
@@ -96,35 +97,35 @@
             self._thread = None
 
     def wake(self, *_args):
-        """Push soon what is new; fits as a replica's subscriber."""
+        """Trigger a push; usable as a subscriber of a replica."""
         with self._wake:
             self._wake.notify()
 
     def observe_revision(self, topic, revision, now, name=''):
-        """Note that a peer holds `revision`; pull from it if it is newer.
+        """Trigger a pull if a peer has a newer revision.
 
         Args:
             topic: name of the document.
-            revision: revision that the peer named.
+            revision: revision of the peer.
             now: seconds, monotonic.
-            name: name of the peer's instance; empty where it is not known,
-                and then any neighbour is asked, but not at each request.
+            name: name of the peer; if empty, the pull goes to any neighbour,
+                at most once per `ANONYMOUS_PULL_INTERVAL_S`.
         """
         if revision <= self._by_topic[topic].revision:
             return
         with self._wake:
-            if not name and now < self._next_guess:
+            if not name and now < self._next_anonymous_pull:
                 return
             if not name:
-                self._next_guess = now + GUESS_S
-            self._behind = name
+                self._next_anonymous_pull = now + ANONYMOUS_PULL_INTERVAL_S
+            self._pull_from = name
             self._wake.notify()
 
     def handle_offer(self, update, sender, now):
-        """Take an `Update` that the peer `sender` offers.
+        """Apply an `Update` offered by the peer `sender`.
 
         Returns:
-            The revision held after it.
+            The revision of the replica afterwards.
         """
         self.peer_health.observe(sender, True, now)
         replica = self._by_topic.get(update.topic)
@@ -134,17 +135,19 @@
             if replica.apply_update(update, now):
                 self.wake()
         except errors.PeerError as exc:
-            # Edits are missing in between; the sender has them.
-            _log.info('Update {} asked for whole: {}', update.revision, exc)
+            # Edits in between are missing; they are pulled from the sender.
+            _log.info(
+                'Pulls from the sender of update {}: {}', update.revision, exc
+            )
             self.observe_revision(update.topic, update.revision, now, sender)
         return replica.revision
 
-    def handle_pull(self, held, sender, now):
-        """Return the updates for a peer that holds the revisions `held`."""
+    def handle_pull(self, revisions, sender, now):
+        """Return the updates that a peer at `revisions` lacks."""
         self.peer_health.observe(sender, True, now)
         updates = []
         for topic, replica in self._by_topic.items():
-            revision = held.get(topic, 0)
+            revision = revisions.get(topic, 0)
             if revision < replica.revision:
                 updates.append(replica.make_update(revision))
             self.observe_revision(topic, revision, now, sender)
@@ -163,92 +166,92 @@
             for peer in self.neighbours.choose(members, self.fanout, now):
                 fut = self.transport.offer(peer, update)
                 fut.add_done_callback(
-                    functools.partial(self._offered, peer, topic, now)
+                    functools.partial(self._on_offer_reply, peer, topic, now)
                 )
 
     def pull(self, now):
-        """Ask one peer for what is newer, and take it.
+        """Pull newer revisions from one peer.
 
         Returns:
-            Whether a peer answered.
+            Whether a peer replied.
         """
         self._prepare()
-        peer = self._choose_pull(now)
+        peer = self._choose_pull_peer(now)
         if peer is None:
             return False
-        fut = self._ask(peer)
-        return self._take(peer, fut, now)
+        fut = self._send_pull(peer)
+        return self._apply_reply(peer, fut, now)
 
     def catch_up(self, now):
-        """Ask several peers; the highest revision among them is taken.
+        """Pull from several peers, which yields their highest revision.
 
-        One peer alone may itself be behind, or have just started.
+        A single peer may itself be behind, or have just started.
 
         Returns:
-            How many answered.
+            The number of peers that replied.
         """
         self._prepare()
         peers = self.neighbours.choose(self.members(), START_PEERS, now)
-        asked = [(peer, self._ask(peer)) for peer in peers]
-        return sum(self._take(peer, fut, now) for peer, fut in asked)
+        pending = [(peer, self._send_pull(peer)) for peer in peers]
+        return sum(self._apply_reply(peer, fut, now) for peer, fut in pending)
 
     def _run(self):
         next_pull = time.monotonic() + self._pause_s()
         while True:
             with self._wake:
                 self._wake.wait_for(
-                    self._something_to_do, next_pull - time.monotonic()
+                    self._has_work, next_pull - time.monotonic()
                 )
                 if self._stopped:
                     return
-                behind = self._behind is not None
+                should_pull = self._pull_from is not None
             now = time.monotonic()
             self.push(now)
-            if behind or now >= next_pull:
+            if should_pull or now >= next_pull:
                 self.pull(now)
                 next_pull = time.monotonic() + self._pause_s()
 
-    def _something_to_do(self):
+    def _has_work(self):
         new = any(
             replica.revision > self._pushed[topic]
             for topic, replica in self._by_topic.items()
         )
-        return self._stopped or new or self._behind is not None
+        return self._stopped or new or self._pull_from is not None
 
-    def _choose_pull(self, now):
+    def _choose_pull_peer(self, now):
         with self._wake:
-            behind, self._behind = self._behind, None
+            pull_from, self._pull_from = self._pull_from, None
         members = self.members()
-        found = None
-        if behind:
-            found = self.neighbours.find(members, behind, now)
-        if found is None and behind is None:
-            found = self._choose_probe(members, now)
-        if found is None:
-            found = next(iter(self.neighbours.choose(members, 1, now)), None)
-        return found
+        peer = None
+        if pull_from:
+            peer = self.neighbours.find(members, pull_from, now)
+        if peer is None and pull_from is None:
+            peer = self._choose_probe(members, now)
+        if peer is None:
+            peer = next(iter(self.neighbours.choose(members, 1, now)), None)
+        return peer
 
     def _choose_probe(self, members, now):
-        """Every other pull goes to a watcher, if we are its deputy."""
+        """Return a watcher for every second pull of a standby, or None."""
         if not self.elections or self._random.random() < 0.5:
             return None
         election = self._random.choice(self.elections)
         name = election.choose_probe(members, self._random)
         return self.neighbours.find(members, name, now) if name else None
 
-    def _ask(self, peer):
-        held = {
+    def _send_pull(self, peer):
+        revisions = {
             topic: replica.revision
             for topic, replica in self._by_topic.items()
         }
-        return self.transport.pull(peer, held)
+        return self.transport.pull(peer, revisions)
 
-    def _take(self, peer, fut, now):
-        """Wait for a peer's updates and apply them; return its success."""
+    def _apply_reply(self, peer, fut, now):
+        """Wait for a reply and apply it; return whether the peer replied."""
         try:
-            updates = fut.result(timeout=2 * CALL_S)
+            updates = fut.result(timeout=2 * REPLY_TIMEOUT_S)
         except (errors.PeerError, TimeoutError) as exc:
-            _log.debug('No pull from {}: {}', peer.name, exc)
+            _log.debug('Pull from {} failed: {}', peer.name, exc)
             self.peer_health.observe(peer.name, False, now)
             return False
         self.peer_health.observe(peer.name, True, now)
@@ -260,17 +263,17 @@
         replica = self._by_topic.get(update.topic)
         if replica is None:
             return
-        starting = replica.revision == 0
+        was_empty = replica.revision == 0
         try:
             replica.apply_update(update, now)
         except errors.PeerError as exc:
-            _log.warning('Update from {} not taken: {}', peer.name, exc)
+            _log.warning('Rejected an update from {}: {}', peer.name, exc)
             return
-        if starting:
-            # What a starting process learns, its peers know already.
+        if was_empty:
+            # Peers have this revision already, so it is not pushed.
             self._pushed[update.topic] = replica.revision
 
-    def _offered(self, peer, topic, now, fut):
+    def _on_offer_reply(self, peer, topic, now, fut):
         exc = fut.exception()
         self.peer_health.observe(peer.name, exc is None, now)
         if exc is None:
@@ -282,5 +285,5 @@
             self.neighbours.random_state = self._random
 
     def _pause_s(self):
-        # Spread, so that processes started together do not pull together.
+        # Jitter keeps processes started together from pulling together.
         return self.pull_period_s * self._random.uniform(0.5, 1.5)
--- a/catkinshunt/dissemination/_neighbours.py
+++ b/catkinshunt/dissemination/_neighbours.py
@@ -1,29 +1,29 @@
-"""The bounded set of peers that a process speaks to."""
+"""The bounded, random set of peers that a process calls."""
 
 from catkinshunt import base
 from catkinshunt import checks
 from catkinshunt.dissemination import _peer_health
 
-LOCAL = 8
-REMOTE = 2
-ROTATE_S = 60.0
-EXCHANGE_TRIES = 8
+LOCAL_PEERS = 8
+REMOTE_PEERS = 2
+ROTATION_PERIOD_S = 60.0
+MAX_REPLACE_ATTEMPTS = 8
 
 
 class Neighbours(base.ParamsMixin):
-    """Random peers, most of them of the own data centre.
+    """A random sample of the peers, mostly of the same data centre.
 
-    Connections to a bounded set can be kept. A new random peer for each call
-    would cost a connection each time, and all peers together too much
-    memory. Random sets leave the whole connected; one member is exchanged
-    from time to time, so that no process stays cut off by bad luck.
+    Connections to a bounded set can be kept open. Sampling for each call
+    would need a new connection each time, and connections to all peers too
+    much memory. Random sets form a connected graph with high probability;
+    periodic replacement of one neighbour ends an unlucky partition.
 
     Args:
-        name: name of the own instance.
-        data_centre: data centre of the own instance.
-        local: how many peers of the own data centre.
-        remote: how many of the others.
-        rotate_s: seconds after which one peer is exchanged.
+        name: name of this instance.
+        data_centre: data centre of this instance.
+        local: number of neighbours in the same data centre.
+        remote: number of neighbours in other data centres.
+        rotate_s: seconds between replacements of one neighbour.
         random_state: seed or `random.Random`.
     """
 
@@ -31,9 +31,9 @@
         self,
         name,
         data_centre,
-        local=LOCAL,
-        remote=REMOTE,
-        rotate_s=ROTATE_S,
+        local=LOCAL_PEERS,
+        remote=REMOTE_PEERS,
+        rotate_s=ROTATION_PERIOD_S,
         random_state=None,
     ):
         self.name = name
@@ -51,18 +51,20 @@
         self._rotate_at = None
 
     def choose(self, members, count, now):
-        """Return up to `count` random neighbours that may be called.
+        """Return up to `count` random neighbours, without those in backoff.
 
         Args:
             members: tuple of instances; the same object while unchanged.
-            count: how many.
+            count: number of neighbours.
             now: seconds, monotonic.
         """
         self._refresh(members, now)
         usable = [
-            name for name in self._chosen if self.peer_health.check(name, now)
+            name
+            for name in self._chosen
+            if self.peer_health.may_call(name, now)
         ]
-        # Where all failed, calling one of them is still the only way on.
+        # If all are in backoff, they are called nevertheless.
         usable = usable or self._chosen
         names = self._random.sample(usable, min(count, len(usable)))
         return [self._by_name[name] for name in names]
@@ -74,21 +76,21 @@
 
     def _refresh(self, members, now):
         if members is not self._members:
-            self._take(members)
+            self._set_members(members)
         if self._rotate_at is None:
             self._rotate_at = now + self.rotate_s
-        lost = [
+        replaced = [
             name
             for name in self._chosen
             if self.peer_health.is_unresponsive(name)
         ]
         if now >= self._rotate_at and self._chosen:
             self._rotate_at = now + self.rotate_s
-            lost.append(self._random.choice(self._chosen))
-        for name in dict.fromkeys(lost):
-            self._exchange(name)
+            replaced.append(self._random.choice(self._chosen))
+        for name in dict.fromkeys(replaced):
+            self._replace(name)
 
-    def _take(self, members):
+    def _set_members(self, members):
         if self._random is None:
             self._random = checks.check_random_state(self.random_state)
         self._members = members
@@ -100,35 +102,35 @@
         self._local_names = []
         self._remote_names = []
         for member in self._by_name.values():
-            near = member.data_centre == self.data_centre
-            names = self._local_names if near else self._remote_names
+            is_local = member.data_centre == self.data_centre
+            names = self._local_names if is_local else self._remote_names
             names.append(member.name)
         self.peer_health.forget(self._by_name)
-        # Few of one kind leave room for more of the other.
-        room = self.local + self.remote
-        local = max(self.local, room - len(self._remote_names))
-        remote = max(self.remote, room - len(self._local_names))
+        # If one kind has too few peers, the other fills its share.
+        total = self.local + self.remote
+        local = max(self.local, total - len(self._remote_names))
+        remote = max(self.remote, total - len(self._local_names))
         self._chosen = [
-            *self._keep_some(self._local_names, local),
-            *self._keep_some(self._remote_names, remote),
+            *self._sample_names(self._local_names, local),
+            *self._sample_names(self._remote_names, remote),
         ]
 
-    def _keep_some(self, names, bound):
-        """Return `bound` of `names`, those chosen before first."""
+    def _sample_names(self, names, bound):
+        """Return a sample of `bound` names, current neighbours first."""
         before = set(self._chosen)
         kept = [name for name in names if name in before][:bound]
         free = [name for name in names if name not in before]
         missing = min(bound - len(kept), len(free))
         return kept + self._random.sample(free, missing)
 
-    def _exchange(self, name):
-        """Put a random peer of the same kind in the place of `name`."""
+    def _replace(self, name):
+        """Replace `name` by a random peer of the same kind."""
         names = self._local_names
         if self._by_name[name].data_centre != self.data_centre:
             names = self._remote_names
-        # A few tries; going through thousands of names at each call in a
-        # long outage would cost more than the calls themselves.
-        for _ in range(EXCHANGE_TRIES):
+        # The attempts are bounded: in a long outage, scanning thousands of
+        # names would cost more than the calls.
+        for _ in range(MAX_REPLACE_ATTEMPTS):
             other = self._random.choice(names)
             if (
                 other not in self._chosen
--- a/catkinshunt/dissemination/_peer_health.py
+++ b/catkinshunt/dissemination/_peer_health.py
@@ -1,4 +1,4 @@
-"""Which peers answered lately."""
+"""Tracks unresponsive peers."""
 
 import threading
 
@@ -7,9 +7,9 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Failures in a row after which a peer counts as lost. One is not enough:
-#: a single call may fail because a kept connection was closed.
-LOST_AFTER = 2
+#: Consecutive failures after which a peer counts as unresponsive. A single
+#: call may fail because an idle connection was closed.
+UNRESPONSIVE_FAILURES = 2
 
 
 @attrs.define
@@ -19,17 +19,18 @@
 
 
 class PeerHealth(base.ParamsMixin):
-    """Remembers peers that failed; leaves them alone, then tries again.
+    """Records failed calls, with exponential backoff for each peer.
 
     Args:
-        backoff_s: pause after the first failure, doubled by each other.
-        max_backoff_s: longest pause.
+        backoff_s: backoff after the first failure, in seconds; doubles with
+            each further one.
+        max_backoff_s: longest backoff, in seconds.
 
     Examples:
         >>> peer_health = PeerHealth(backoff_s=1.0)
         >>> peer_health.observe('a', False, now=0.0)
-        >>> peer_health.check('a', now=0.5), peer_health.check('a', now=1.0)
-        (False, True)
+        >>> [peer_health.may_call('a', now) for now in (0.5, 1.0)]
+        [False, True]
         >>> peer_health.observe('a', False, now=1.0)
         >>> peer_health.is_unresponsive('a')
         True
@@ -44,31 +45,31 @@
         self._failures = {}
         self._lock = threading.Lock()
 
-    def observe(self, name, answered, now):
-        """Note whether the peer `name` answered a call."""
+    def observe(self, name, replied, now):
+        """Record whether the peer `name` replied to a call."""
         with self._lock:
-            if answered:
+            if replied:
                 self._failures.pop(name, None)
                 return
             checks.check_positive(self.backoff_s, 'backoff_s')
-            found = self._failures.get(name)
-            count = found.count + 1 if found else 1
+            failures = self._failures.get(name)
+            count = failures.count + 1 if failures else 1
             pause_s = self.backoff_s * 2 ** min(count - 1, 16)
             retry_at = now + min(pause_s, self.max_backoff_s)
             self._failures[name] = _Failures(count, retry_at)
 
-    def check(self, name, now):
-        """Return whether the peer may be called."""
-        found = self._failures.get(name)
-        return found is None or now >= found.retry_at
+    def may_call(self, name, now):
+        """Return whether the peer is not in backoff."""
+        failures = self._failures.get(name)
+        return failures is None or now >= failures.retry_at
 
     def is_unresponsive(self, name):
-        """Return whether the peer failed more than once in a row."""
-        found = self._failures.get(name)
-        return found is not None and found.count >= LOST_AFTER
+        """Return whether `UNRESPONSIVE_FAILURES` calls failed in a row."""
+        failures = self._failures.get(name)
+        return failures is not None and failures.count >= UNRESPONSIVE_FAILURES
 
     def forget(self, names):
-        """Drop what is known of all peers but `names`."""
+        """Delete the records of all peers except `names`."""
         with self._lock:
             for name in set(self._failures) - set(names):
                 del self._failures[name]
--- a/catkinshunt/dissemination/grpc_transport.py
+++ b/catkinshunt/dissemination/grpc_transport.py
@@ -1,4 +1,4 @@
-"""Dissemination over the control channel."""
+"""Transport of dissemination over gRPC."""
 
 import concurrent.futures
 import time
@@ -14,7 +14,7 @@
     """Calls the control port of other processes.
 
     Args:
-        name: name of the own instance.
+        name: name of this instance.
         pool: `peers.PeerPool`.
     """
 
@@ -28,13 +28,13 @@
             sender=self.name, update=_to_message(update)
         )
         fut = self._call(peer, 'Offer', message)
-        return _mapped(fut, lambda held: held.topics[0].revision)
+        return _map_future(fut, lambda reply: reply.topics[0].revision)
 
-    def pull(self, peer, held):
+    def pull(self, peer, revisions):
         """See `base.BasePeerTransport.pull`."""
-        message = _held_message(self.name, held)
+        message = _make_held_message(self.name, revisions)
         fut = self._call(peer, 'Pull', message)
-        return _mapped(
+        return _map_future(
             fut, lambda reply: tuple(map(_from_message, reply.updates))
         )
 
@@ -44,13 +44,13 @@
 
 
 class Handler(dissemination_grpc.DisseminationBase):
-    """Answers the calls of other processes for a `Disseminator`."""
+    """Serves the calls of peers to a `Disseminator`."""
 
     def __init__(self, disseminator):
         self.disseminator = disseminator
 
     async def Offer(self, stream):
-        """Take what a peer offers."""
+        """Apply the update that a peer offers."""
         message = await stream.recv_message()
         update = _from_message(message.update)
         revision = await peers.run_blocking(
@@ -59,16 +59,18 @@
             message.sender,
             time.monotonic(),
         )
-        held = {update.topic: revision}
-        await stream.send_message(_held_message(self.disseminator.name, held))
+        revisions = {update.topic: revision}
+        await stream.send_message(
+            _make_held_message(self.disseminator.name, revisions)
+        )
 
     async def Pull(self, stream):
-        """Give a peer what is newer than what it holds."""
+        """Return the updates that a peer lacks."""
         message = await stream.recv_message()
-        held = {item.topic: item.revision for item in message.topics}
+        revisions = {item.topic: item.revision for item in message.topics}
         updates = await peers.run_blocking(
             self.disseminator.handle_pull,
-            held,
+            revisions,
             message.sender,
             time.monotonic(),
         )
@@ -77,10 +79,10 @@
         )
 
 
-def _held_message(sender, held):
+def _make_held_message(sender, revisions):
     topics = [
         dissemination_pb2.TopicRevision(topic=topic, revision=revision)
-        for topic, revision in held.items()
+        for topic, revision in revisions.items()
     ]
     return dissemination_pb2.Held(sender=sender, topics=topics)
 
@@ -107,8 +109,8 @@
     )
 
 
-def _mapped(fut, function):
-    """Return a future of `function` of the result of `fut`."""
+def _map_future(fut, function):
+    """Return a future of `function` applied to the result of `fut`."""
     mapped = concurrent.futures.Future()
 
     def finish(done):
--- a/catkinshunt/dissemination/tests/test_disseminator.py
+++ b/catkinshunt/dissemination/tests/test_disseminator.py
@@ -1,4 +1,4 @@
-"""Tests of handing documents on, over messages in memory."""
+"""Tests of dissemination over an in-memory network."""
 
 import pytest
 
@@ -21,9 +21,9 @@
 
 
 def settle(fleet, revision, rounds=12, now=0.0):
-    """Push and pull until nobody is behind; return the rounds taken."""
+    """Push and pull until no process is behind; return the rounds."""
     for number in range(rounds):
-        if not fleet.behind(revision):
+        if not fleet.find_behind(revision):
             return number
         fleet.push(now + number)
         fleet.pull(now + number)
@@ -39,7 +39,7 @@
     assert settle(fleet, 2) < 8
 
 
-def test_pushes_alone_reach_nearly_all_and_each_offers_once():
+def test_pushes_reach_nearly_all_and_each_process_offers_once():
     fleet = fakes.Fleet(100)
     fleet.accept(HISTORY[1], list(fleet.config_replicas))
     fleet.push(0.0)
@@ -47,15 +47,15 @@
     fleet.accept(HISTORY[2], ['i0'])
     for number in range(10):
         fleet.push(float(number))
-    assert len(fleet.behind(2)) < 10
+    assert len(fleet.find_behind(2)) < 10
     assert fleet.network.messages <= 4 * 100
 
 
-def test_dead_processes_do_not_hold_up_the_others():
-    """One process in ten has died and the instance list still shows it.
+def test_dead_processes_do_not_delay_the_others():
+    """One process in ten has died but is still in the instance list.
 
-    Offers to the dead are lost; the living must get the revision all the
-    same, and after a while no more calls go to the dead.
+    Offers to dead processes are lost. The others must receive the revision
+    nevertheless, and dead processes must eventually not be called any more.
     """
     fleet = fakes.Fleet(60)
     fleet.network.dead = {f'i{n}' for n in range(0, 60, 10)}
@@ -68,11 +68,11 @@
     assert not set(chosen) & fleet.network.dead
 
 
-def test_a_group_that_was_cut_off_catches_up():
-    """A region loses the others for a while; edits go on outside of it.
+def test_a_partitioned_group_catches_up():
+    """A region is partitioned while edits continue elsewhere.
 
-    When the link is back, its processes must get the newest revision, also
-    those that have no neighbour outside.
+    After the partition its processes must get the newest revision, including
+    those without a neighbour outside of the region.
     """
     fleet = fakes.Fleet(40, data_centres=2)
     fleet.accept(HISTORY[1], ['i0'])
@@ -83,7 +83,7 @@
         settle(fleet, revision, rounds=2, now=revision)
     settle(fleet, 79, now=100.0)
     inside = {m.name for m in fleet.members if m.data_centre == 'dc1'}
-    assert set(fleet.behind(79)) == inside
+    assert set(fleet.find_behind(79)) == inside
     fleet.network.groups = {}
     assert settle(fleet, 79, now=1000.0) < 10
     documents = {k.current.document for k in fleet.config_replicas.values()}
@@ -93,8 +93,8 @@
 def test_a_process_that_starts_in_an_outage_takes_the_highest():
     """The key-value service is down and some peers are behind.
 
-    The new process must start with the newest rules that a peer knows, and
-    a peer behind must not bring it back.
+    The new process must start with the newest rules of any peer, and must
+    not revert to those of a peer that is behind.
     """
     fleet = fakes.Fleet(4)
     fleet.accept(HISTORY[4], ['i0'])
@@ -115,10 +115,10 @@
     assert config_replica.current.document == HISTORY[4].document
 
 
-def test_an_offer_that_skips_revisions_is_completed_by_a_pull():
-    """A process missed a revision and is offered only the edit after it.
+def test_an_offer_that_skips_revisions_leads_to_a_pull():
+    """A process missed a revision and is offered only the next edit.
 
-    Taking the edit alone would leave it with rules that nobody accepted.
+    Applying that edit alone would result in rules that were never accepted.
     """
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i1'])
@@ -130,23 +130,23 @@
     assert fleet.config_replicas['i1'].current.document == HISTORY[3].document
 
 
-def test_a_header_with_a_newer_revision_leads_to_a_pull():
+def test_a_newer_revision_in_a_header_leads_to_a_pull():
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i0'])
     receiver = fleet.disseminators['i1']
     topic = configuration.ConfigurationReplica.topic
     receiver.observe_revision(topic, 1, now=10.0)
-    assert receiver._something_to_do()
+    assert receiver._has_work()
     receiver.pull(10.0)
     assert fleet.config_replicas['i1'].revision == 1
     receiver.observe_revision(topic, 1, now=20.0)
-    assert not receiver._something_to_do()
+    assert not receiver._has_work()
 
 
-def test_hints_without_a_name_are_not_followed_at_every_request():
-    """Each request of a burst names a newer revision than ours.
+def test_pulls_for_revisions_without_a_sender_are_rate_limited():
+    """Each request of a burst carries a newer revision.
 
-    A pull for each would be more work than the requests themselves.
+    A pull for each would cost more than the requests.
     """
     fleet = fakes.Fleet(2)
     receiver = fleet.disseminators['i1']
@@ -157,11 +157,11 @@
     receiver.observe_revision(
         configuration.ConfigurationReplica.topic, 9, now=10.1
     )
-    assert not receiver._something_to_do()
+    assert not receiver._has_work()
     receiver.observe_revision(
         configuration.ConfigurationReplica.topic, 9, now=10.3
     )
-    assert receiver._something_to_do()
+    assert receiver._has_work()
 
 
 def _make_elections(members, data_centre='dc0'):
@@ -175,9 +175,11 @@
     return found
 
 
-def _on_duty(elections, members):
+def _find_elected(elections, members):
     return {
-        name for name, election in elections.items() if election.check(members)
+        name
+        for name, election in elections.items()
+        if election.is_elected(members)
     }
 
 
@@ -185,29 +187,29 @@
     members = fakes.Fleet(200, data_centres=4).members
     for number in range(4):
         elections = _make_elections(members, f'dc{number}')
-        assert len(_on_duty(elections, members)) == 2
+        assert len(_find_elected(elections, members)) == 2
 
 
-def test_a_dead_watcher_is_replaced_by_one_deputy():
-    """A watcher dies and the instance list still shows it.
+def test_a_dead_watcher_is_replaced_by_one_standby():
+    """A watcher dies but is still in the instance list.
 
-    Its deputies find out by calling it. One of them must begin to watch,
-    and only one, even where every process has noticed.
+    Its standbys detect this by probes. Exactly one of them must start to
+    watch, even if every process has detected the failure.
     """
     members = fakes.Fleet(100).members
     elections = _make_elections(members)
-    before = _on_duty(elections, members)
+    before = _find_elected(elections, members)
     dead = sorted(before)[0]
     del elections[dead]
     for election in elections.values():
         for now in (0.0, 1.0):
             election.peer_health.observe(dead, False, now)
-    after = _on_duty(elections, members)
+    after = _find_elected(elections, members)
     assert len(after) == 2
     assert before - {dead} < after
     for election in elections.values():
         election.peer_health.observe(dead, True, 2.0)
-    assert _on_duty(elections, members) == before - {dead}
+    assert _find_elected(elections, members) == before - {dead}
 
 
 def test_a_process_that_is_not_listed_yet_does_not_watch():
@@ -216,4 +218,4 @@
     election = dissemination.WatchElection(
         'configuration', 'new', 'dc0', peer_health
     )
-    assert not election.check(members)
+    assert not election.is_elected(members)
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests that no old order acts on an engine, whichever kind it is."""
+"""Tests that a stale order never takes effect on an engine."""
 
 import contextlib
 import signal
@@ -21,8 +21,8 @@
 """
 
 
-class Held:
-    """A whole transfer, as the agent gives it."""
+class Transfer:
+    """A complete transfer, as returned by the agent."""
 
     def __init__(self, version):
         data = DATA[version]
@@ -34,42 +34,42 @@
 
 
 class Process:
-    """What of a sidecar an engine meets: a port and a slot."""
+    """The part of a sidecar that an engine uses: a port and an endpoint."""
 
     def __init__(self, port=0):
-        self.held = None
+        self.transfer = None
         self.server = httpio.HttpServer(self, port=port, threads=4).start()
-        self.slot = engines.WeightsEndpoint(
+        self.endpoint = engines.WeightsEndpoint(
             '127.0.0.1', self.server.port, self.get_transfer
         )
 
     def __call__(self, environ, start_response):
         try:
-            resp = self.slot.handle(environ['PATH_INFO'])
+            resp = self.endpoint.handle(environ['PATH_INFO'])
         except errors.RequestError as exc:
             resp = httpio.error_response(exc)
         return resp.send(start_response)
 
     def get_transfer(self, model, version):
-        held = self.held
-        if held is None or held.manifest.version != version:
+        transfer = self.transfer
+        if transfer is None or transfer.manifest.version != version:
             return None
-        return held
+        return transfer
 
     def make_order(self, version, fencing_number):
-        self.held = Held(version)
+        self.transfer = Transfer(version)
         return engines.LoadOrder(
             model='m',
             version=version,
-            digest=self.held.manifest.digest,
-            weights_url=self.slot.make_url('m', version),
+            digest=self.transfer.manifest.digest,
+            weights_url=self.endpoint.make_url('m', version),
             fencing_number=fencing_number,
         )
 
 
 @pytest.fixture(params=[True, False], ids=['refuses', 'ignores'])
 def target(request):
-    """An engine that refuses old fencing numbers, and one that does not."""
+    """An engine that rejects stale fencing numbers, and one that does not."""
     made = engine.Engine(refuse_stale=request.param)
     with contextlib.ExitStack() as stack:
         server = httpio.HttpServer(made.app, threads=4).start()
@@ -91,12 +91,12 @@
     return [order['version'] for order in target.orders]
 
 
-def test_an_order_of_an_earlier_process_never_acts(target, process):
-    """A sidecar dies; its order is delayed on the way to the engine.
+def test_an_order_of_an_earlier_process_has_no_effect(target, process):
+    """A sidecar dies while its order to the engine is delayed.
 
-    The next sidecar in the slot has loaded a newer version when the old
-    order arrives. An engine that ignores fencing numbers would go back, and
-    callers would get answers of a version that no rule places.
+    The order arrives after the next sidecar has loaded a newer version. An
+    engine that ignores fencing numbers would revert, and serve a version
+    that no rule places.
     """
     old_order = process.make_order('v1', 1)
     process.server.stop()
@@ -110,10 +110,10 @@
         successor.server.stop()
 
 
-def test_an_earlier_process_in_the_same_revision_never_acts(target, process):
-    """The delayed order carries the number of the configuration in force.
+def test_an_earlier_order_of_the_same_revision_has_no_effect(target, process):
+    """The delayed order has the revision of the active configuration.
 
-    The fencing number alone does not tell the two processes apart.
+    The fencing number alone does not distinguish the two processes.
     """
     old_order = process.make_order('v1', 2)
     process.server.stop()
@@ -127,10 +127,10 @@
         successor.server.stop()
 
 
-def test_an_own_order_that_was_overtaken_never_acts(target, process):
-    """An order is lost on the way and arrives after the next version's.
+def test_a_delayed_order_of_the_same_process_has_no_effect(target, process):
+    """An order is delayed and arrives after that of the next version.
 
-    The process no longer holds the old version, so the engine finds none.
+    The endpoint no longer serves the old version.
     """
     old_order = process.make_order('v1', 1)
     target.http.load(process.make_order('v2', 2))
@@ -139,7 +139,7 @@
     assert loaded(target) == ['v2']
 
 
-def test_an_engine_that_refuses_names_the_cause(process):
+def test_a_stale_fencing_number_is_reported(process):
     made = engine.Engine(refuse_stale=True)
     server = httpio.HttpServer(made.app, threads=4).start()
     target = engines.HttpEngine(httpio.Address('127.0.0.1', server.port))
@@ -151,20 +151,20 @@
         server.stop()
 
 
-def test_two_processes_cannot_share_a_slot(process):
-    """A second sidecar is started beside the same upstream by mistake.
+def test_two_processes_cannot_share_a_port(process):
+    """A second sidecar is started for the same upstream by mistake.
 
-    Both would order the engine about in turn. The second cannot listen.
+    Both would send conflicting orders. The second cannot bind the port.
     """
     with pytest.raises(OSError, match='in use'):
         Process(process.server.port)
 
 
-def test_a_paused_process_keeps_its_slot():
-    """A sidecar is paused by the machine and still believes it is in charge.
+def test_a_paused_process_keeps_its_port():
+    """A sidecar is paused by the machine and later resumes.
 
-    If another could take its place meanwhile, the paused one would give its
-    old order on waking.
+    If another sidecar could replace it meanwhile, the paused one would send
+    an outdated order when it resumes.
     """
     popen = subprocess.Popen(
         [sys.executable, '-c', LISTEN],
@@ -185,20 +185,20 @@
 @pytest.mark.parametrize(
     'path', ['/weights/', '/weights/x/m/v1', '/weights/é/m/v1', '/weights/a']
 )
-def test_a_pull_without_the_token_gets_nothing(process, path):
+def test_a_pull_without_the_token_is_rejected(process, path):
     process.make_order('v1', 1)
     with pytest.raises(errors.InvalidRequestError):
-        process.slot.handle(path)
+        process.endpoint.handle(path)
 
 
-def test_an_engine_that_is_away_is_told_apart(process):
-    target = engines.HttpEngine(process_address_closed())
+def test_an_unreachable_engine_fails_the_load_step(process):
+    target = engines.HttpEngine(closed_address())
     with pytest.raises(errors.OrderError) as caught:
         target.load(process.make_order('v1', 1))
     assert caught.value.step == 'load'
 
 
-def process_address_closed():
-    gone = Process()
-    gone.server.stop()
-    return httpio.Address('127.0.0.1', gone.server.port)
+def closed_address():
+    stopped = Process()
+    stopped.server.stop()
+    return httpio.Address('127.0.0.1', stopped.server.port)
--- a/catkinshunt/instances/_listing.py
+++ b/catkinshunt/instances/_listing.py
@@ -1,4 +1,4 @@
-"""One revision of the list of instances, and the way to the next."""
+"""Revisions of the instance list, and the changes between them."""
 
 import hashlib
 import json
@@ -11,34 +11,34 @@
 from catkinshunt import errors
 from catkinshunt.instances import _instance
 
-#: Name of the document among those that processes hand on.
+#: Name of the document in dissemination.
 TOPIC = 'instances'
-#: Changes kept, for processes that are a few revisions behind.
-KEPT_CHANGES = 64
-#: Guards against a small message that unfolds into a huge list.
+#: Number of changes kept for peers that are a few revisions behind.
+MAX_CHANGES = 64
+#: Limits decompression, against a small message that inflates to a huge list.
 MAX_DOCUMENT_BYTES = 32_000_000
 _DIGEST_BYTES = 32
 
 
 @attrs.frozen
 class Change:
-    """What leads from one revision of the list to a later one.
+    """The difference between two revisions of the list.
 
     Args:
-        base_revision: revision that it starts from.
-        revision: revision that it leads to.
-        changed: instances that are new or other than before.
-        gone: names of instances that the list shows no more.
+        base_revision: revision to which it applies.
+        revision: resulting revision.
+        changed: added and modified instances.
+        removed: names of removed instances.
     """
 
     base_revision: int
     revision: int
     changed: tuple = ()
-    gone: tuple = ()
+    removed: tuple = ()
 
     @classmethod
     def from_bytes(cls, line):
-        """Read what `to_bytes` wrote."""
+        """Decode the output of `to_bytes`."""
         value = checks.load_json(line)
         changed = map(_instance.Instance.from_listing, value['changed'])
         return cls(
@@ -54,51 +54,49 @@
             'base_revision': self.base_revision,
             'revision': self.revision,
             'changed': [item.to_listing() for item in self.changed],
-            'gone': list(self.gone),
+            'gone': list(self.removed),
         }
         return json.dumps(value, separators=(',', ':')).encode()
 
 
 @attrs.frozen(eq=False)
 class Listing:
-    """The instances at one revision of the platform's list.
+    """The instances at one revision of the list.
 
     Args:
         revision: the platform's revision of its list.
         by_name: instances by name.
-        total: sum of the instances' digests. Unlike a digest of the whole
-            list it follows from the one before and a change, so that a
-            change of one instance does not cost a pass over all of them.
-        changes: the last changes, oldest first, each from where the one
-            before it led.
+        digest_sum: sum of the digests of all instances. Unlike a digest of
+            the whole list, it is updated incrementally by a change.
+        changes: the latest consecutive changes, oldest first.
     """
 
     revision: int = 0
     by_name: dict = attrs.field(factory=dict)
-    total: int = 0
+    digest_sum: int = 0
     changes: tuple = ()
 
     @property
     def digest(self):
-        """Equal for equal lists."""
-        return self.total.to_bytes(_DIGEST_BYTES, 'big')
+        """Digest of the list."""
+        return self.digest_sum.to_bytes(_DIGEST_BYTES, 'big')
 
     def find_change(self, revision, instances):
-        """Return the `Change` that leads to `instances` at `revision`."""
+        """Return the `Change` from this list to `instances` at `revision`."""
         names = {instance.name for instance in instances}
         changed = tuple(
             instance
             for instance in instances
             if self.by_name.get(instance.name) != instance
         )
-        gone = tuple(name for name in self.by_name if name not in names)
-        return Change(self.revision, revision, changed, gone)
+        removed = tuple(name for name in self.by_name if name not in names)
+        return Change(self.revision, revision, changed, removed)
 
-    def changed(self, change):
+    def apply(self, change):
         """Return the list after `change`.
 
         Raises:
-            errors.PeerError: the change starts from another revision.
+            errors.PeerError: the change applies to another revision.
         """
         if change.base_revision != self.revision:
             raise errors.PeerError(
@@ -107,16 +105,16 @@
                 step='apply-change',
             )
         by_name = dict(self.by_name)
-        total = self.total
-        for name in change.gone:
-            total -= _hash(by_name.pop(name, None))
+        digest_sum = self.digest_sum
+        for name in change.removed:
+            digest_sum -= _compute_digest(by_name.pop(name, None))
         for instance in change.changed:
-            total -= _hash(by_name.get(instance.name))
-            total += _hash(instance)
+            digest_sum -= _compute_digest(by_name.get(instance.name))
+            digest_sum += _compute_digest(instance)
             by_name[instance.name] = instance
-        total %= 256**_DIGEST_BYTES
-        changes = (*self.changes, change)[-KEPT_CHANGES:]
-        return Listing(change.revision, by_name, total, changes)
+        digest_sum %= 256**_DIGEST_BYTES
+        changes = (*self.changes, change)[-MAX_CHANGES:]
+        return Listing(change.revision, by_name, digest_sum, changes)
 
     def make_update(self, after_revision):
         """See `base.BaseReplica.make_update`."""
@@ -126,7 +124,9 @@
         for position, change in enumerate(self.changes):
             if change.base_revision == after_revision:
                 tail = self.changes[position:]
-        if tail is None or sum(_size(c) for c in tail) >= len(self.by_name):
+        if tail is None or sum(_count_entries(c) for c in tail) >= len(
+            self.by_name
+        ):
             return base.Update(
                 TOPIC,
                 self.revision,
@@ -141,25 +141,28 @@
             digest=self.digest,
         )
 
-    def updated(self, update):
+    def apply_update(self, update):
         """Return the list after an `Update` that is newer.
 
         Raises:
-            errors.PeerError: the update does not fit this list.
+            errors.PeerError: the update does not apply to this list.
         """
         try:
-            found = self._follow(update)
+            listing = self._decode_update(update)
         except (ValueError, KeyError, TypeError, zlib.error) as exc:
             raise errors.PeerError(
-                f'list {update.revision} cannot be read: {exc!r}',
+                f'instance list {update.revision} is malformed: {exc!r}',
                 step='apply-update',
             ) from exc
-        if (found.revision, found.digest) != (update.revision, update.digest):
+        if (listing.revision, listing.digest) != (
+            update.revision,
+            update.digest,
+        ):
             raise errors.PeerError(
-                f'list {update.revision} leads to other instances',
+                f'instance list {update.revision} does not match its digest',
                 step='apply-update',
             )
-        return found
+        return listing
 
     def to_bytes(self):
         """Return the whole list as JSON."""
@@ -167,52 +170,52 @@
         value = {'revision': self.revision, 'instances': items}
         return json.dumps(value, separators=(',', ':')).encode()
 
-    def _follow(self, update):
+    def _decode_update(self, update):
         if update.document:
             inflater = zlib.decompressobj()
             text = inflater.decompress(update.document, MAX_DOCUMENT_BYTES)
             return read_listing(text)
-        found = self
+        listing = self
         for line in update.edits:
             change = Change.from_bytes(line)
-            if change.revision > found.revision:
-                found = found.changed(change)
-        return found
+            if change.revision > listing.revision:
+                listing = listing.apply(change)
+        return listing
 
 
 def read_listing(text):
-    """Return the `Listing` in the platform's answer or a peer's document.
+    """Decode a `Listing` from a reply of the platform or a document.
 
     Raises:
-        errors.PeerError: the text is no list of instances.
+        errors.PeerError: the text is not a valid instance list.
     """
     try:
         value = checks.load_json(text, _read_instance)
         instances = value['instances']
         if not all(isinstance(i, _instance.Instance) for i in instances):
-            raise ValueError('something else than an instance')
+            raise ValueError('an item is not an instance')
         revision = checks.check_count(value['revision'], 'revision')
         change = Listing().find_change(revision, instances)
     except (ValueError, KeyError, TypeError) as exc:
         raise errors.PeerError(
-            f'not a list of instances: {exc!r}', step='read-listing'
+            f'invalid instance list: {exc!r}', step='read-listing'
         ) from exc
-    found = Listing().changed(change)
-    return attrs.evolve(found, changes=())
+    listing = Listing().apply(change)
+    return attrs.evolve(listing, changes=())
 
 
 def _read_instance(value):
-    """Make an instance of its mapping as soon as that is read.
+    """Convert the mapping of an instance while the JSON is decoded.
 
-    The mappings of 10,000 instances together take twice the memory of the
-    instances, and a process never gives it back.
+    The mappings of 10,000 instances together need twice the memory of the
+    instances, which a process never returns to the system.
     """
     if 'instances' in value:
         return value
     return _instance.Instance.from_listing(value)
 
 
-def _hash(instance):
+def _compute_digest(instance):
     if instance is None:
         return 0
     digest = hashlib.blake2b(
@@ -221,5 +224,5 @@
     return int.from_bytes(digest.digest(), 'big')
 
 
-def _size(change):
-    return len(change.changed) + len(change.gone)
+def _count_entries(change):
+    return len(change.changed) + len(change.removed)
--- a/catkinshunt/peers/_client.py
+++ b/catkinshunt/peers/_client.py
@@ -1,4 +1,4 @@
-"""Calls other processes of the system."""
+"""RPC client for other processes of the deployment."""
 
 import asyncio
 import threading
@@ -20,13 +20,13 @@
 
 
 class PeerClient:
-    """Calls one peer over one kept connection.
+    """Calls one peer over one persistent connection.
 
     Args:
         address: `httpio.Address` of the peer's control port.
         key: the deployment's key.
         loop: running `LoopThread`.
-        timeout_s: deadline of a call that names none.
+        timeout_s: default timeout of a call, in seconds.
     """
 
     def __init__(self, address, key, loop, timeout_s=TIMEOUT_S):
@@ -48,11 +48,11 @@
             stub_class: generated grpclib stub of the service.
             method: name of the method.
             message: its protobuf message.
-            timeout_s: seconds until the call is given up.
+            timeout_s: timeout of the call, in seconds.
 
         Returns:
-            A `concurrent.futures.Future` of the reply. It ends with an
-            `errors.PeerError` that names the method and the peer.
+            A `concurrent.futures.Future` of the reply. A failed call sets
+            an `errors.PeerError` that names the method and the peer.
         """
         timeout_s = timeout_s or self.timeout_s
         with self._lock:
@@ -62,11 +62,11 @@
                 self._call(stub_class, method, message, timeout_s)
             )
         except RuntimeError as exc:
-            self._end()
-            raise self._error(
+            self._decrement_in_flight()
+            raise self._make_error(
                 errors.PeerUnavailableError, method, str(exc)
             ) from exc
-        fut.add_done_callback(self._end)
+        fut.add_done_callback(self._decrement_in_flight)
         return fut
 
     def close(self):
@@ -76,10 +76,10 @@
 
     async def _call(self, stub_class, method, message, timeout_s):
         try:
-            # The time also bounds the connect, which a host that drops
-            # packets would otherwise hold for minutes.
+            # This timeout includes connecting, which would take minutes if
+            # the host drops packets.
             async with asyncio.timeout(timeout_s):
-                stub = stub_class(self._open())
+                stub = stub_class(self._get_channel())
                 return await getattr(stub, method)(
                     message,
                     timeout=timeout_s,
@@ -87,20 +87,22 @@
                 )
         except grpclib.GRPCError as exc:
             kind = _ERRORS.get(exc.status, errors.PeerError)
-            raise self._error(kind, method, exc.message) from exc
+            raise self._make_error(kind, method, exc.message) from exc
         except TimeoutError as exc:
-            text = f'no answer within {timeout_s}s'
-            raise self._error(errors.PeerTimeoutError, method, text) from exc
+            text = f'no reply within {timeout_s}s'
+            raise self._make_error(
+                errors.PeerTimeoutError, method, text
+            ) from exc
         except (OSError, exceptions.StreamTerminatedError) as exc:
-            text = f'not reached: {exc}'
+            text = f'connection failed: {exc}'
             kind = errors.PeerUnavailableError
-            raise self._error(kind, method, text) from exc
+            raise self._make_error(kind, method, text) from exc
 
-    def _end(self, _fut=None):
+    def _decrement_in_flight(self, _fut=None):
         with self._lock:
             self.in_flight -= 1
 
-    def _open(self):
+    def _get_channel(self):
         if self._channel is None:
             self._channel = grpclib_client.Channel(
                 self.address.host, self.address.port
@@ -112,5 +114,5 @@
         if channel is not None:
             channel.close()
 
-    def _error(self, kind, method, text):
+    def _make_error(self, kind, method, text):
         return kind(text or 'failed', step=method, peer=str(self.address))
--- a/catkinshunt/peers/_loop.py
+++ b/catkinshunt/peers/_loop.py
@@ -1,4 +1,4 @@
-"""The asyncio loop of a process, in a thread of its own."""
+"""The asyncio event loop of a process, in its own thread."""
 
 import asyncio
 import concurrent.futures
@@ -7,20 +7,20 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-THREADS = 8
+WORKER_THREADS = 8
 
 
 class LoopThread(base.BaseService):
-    """Runs coroutines for threads, and blocking work for coroutines.
+    """Runs coroutines for threads, and blocking functions for coroutines.
 
-    grpclib needs an asyncio loop; the rest of the system works with threads
-    and `concurrent.futures`. Both meet here only: `submit` brings a
-    coroutine's result to a thread as a `concurrent.futures.Future`, and
-    `run_blocking` keeps blocking work off the loop. A handler that blocked
-    the loop would hold up every peer's calls at once.
+    grpclib requires an asyncio loop; the rest of the process uses threads
+    and `concurrent.futures`. `submit` returns the result of a coroutine to a
+    thread as a `concurrent.futures.Future`; `run_blocking` runs a blocking
+    function in a worker thread. A handler that blocks the loop delays the
+    calls of all peers.
 
     Args:
-        threads: blocking handlers that run at a time.
+        threads: number of worker threads for blocking functions.
 
     Examples:
         >>> async def double(value):
@@ -30,7 +30,7 @@
         6
     """
 
-    def __init__(self, threads=THREADS):
+    def __init__(self, threads=WORKER_THREADS):
         self.threads = threads
         self._loop = None
         self._thread = None
@@ -50,20 +50,20 @@
         return self
 
     def stop(self):
-        """Cancel what still runs and end the threads."""
+        """Cancel running tasks and stop the threads."""
         if self._loop is None:
             return
         loop, self._loop = self._loop, None
-        asyncio.run_coroutine_threadsafe(_wind_up(), loop).result()
+        asyncio.run_coroutine_threadsafe(_shut_down(), loop).result()
         loop.call_soon_threadsafe(loop.stop)
         self._thread.join()
         loop.close()
 
     def submit(self, coroutine):
-        """Run `coroutine` in the loop; return a future for its result."""
+        """Run `coroutine` in the loop; return a future of its result."""
         if self._loop is None:
             coroutine.close()
-            raise RuntimeError('the loop is not running')
+            raise RuntimeError('event loop is not running')
         return asyncio.run_coroutine_threadsafe(coroutine, self._loop)
 
     def _run(self):
@@ -74,13 +74,13 @@
 async def run_blocking(function, *args):
     """Run `function` in a worker thread and return its result.
 
-    For handlers: `await run_blocking(keeper.offer, configuration, now)`.
+    For handlers: `await run_blocking(replica.apply_update, update, now)`.
     """
     loop = asyncio.get_running_loop()
     return await loop.run_in_executor(None, function, *args)
 
 
-async def _wind_up():
+async def _shut_down():
     loop = asyncio.get_running_loop()
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
--- a/catkinshunt/peers/_pool.py
+++ b/catkinshunt/peers/_pool.py
@@ -1,4 +1,4 @@
-"""Keeps the connections to peers bounded."""
+"""A bounded pool of connections to peers."""
 
 import collections
 import threading
@@ -10,16 +10,17 @@
 
 
 class PeerPool:
-    """Gives `PeerClient`s by address and closes those not used lately.
+    """Reuses one `PeerClient` per address; evicts the least recently used.
 
-    A process may speak to any of thousands of peers in the course of time;
-    without a bound it would end with a connection to each.
+    A process may call any of thousands of peers over time; without a bound
+    it would keep a connection to each.
 
     Args:
         key: the deployment's key.
         loop: running `LoopThread`.
-        max_open: connections kept; more stay open only while in use.
-        timeout_s: deadline of a call that names none.
+        max_open: connections kept open; excess ones stay open only while in
+            use.
+        timeout_s: default timeout of a call, in seconds.
     """
 
     def __init__(
@@ -35,10 +36,10 @@
     def call(self, address, stub_class, method, message, timeout_s=None):
         """Call the peer at `address`; see `PeerClient.call`."""
         with self._lock:
-            client = self._take(address)
+            client = self._get_client(address)
             fut = client.call(stub_class, method, message, timeout_s)
-            closing = self._overdue(client)
-        for old in closing:
+            evicted = self._evict_idle(client)
+        for old in evicted:
             old.close()
         return fut
 
@@ -50,7 +51,7 @@
         for client in clients:
             client.close()
 
-    def _take(self, address):
+    def _get_client(self, address):
         client = self._clients.pop(address, None)
         if client is None:
             checks.check_positive(self.max_open, 'max_open')
@@ -60,15 +61,15 @@
         self._clients[address] = client
         return client
 
-    def _overdue(self, newest):
-        """Return idle clients above the bound, the longest unused first."""
+    def _evict_idle(self, newest):
+        """Remove and return idle clients above the bound, oldest first."""
         excess = len(self._clients) - self.max_open
         idle = [
             client
             for client in self._clients.values()
             if client is not newest and client.in_flight == 0
         ]
-        chosen = idle[: max(0, excess)]
-        for client in chosen:
+        evicted = idle[: max(0, excess)]
+        for client in evicted:
             del self._clients[client.address]
-        return chosen
+        return evicted
--- a/catkinshunt/routing/__init__.py
+++ b/catkinshunt/routing/__init__.py
@@ -1,11 +1,11 @@
-"""Choice of an upstream for each request."""
+"""Load balancing: selection of an upstream for each request."""
 
 from catkinshunt.routing._affinity import PrefixAffinity
 from catkinshunt.routing._health import HealthTracker
 from catkinshunt.routing._load import LeastInFlight
 from catkinshunt.routing._load import PowerOfTwoChoices
 from catkinshunt.routing._load import Random
-from catkinshunt.routing._named import find_policy
+from catkinshunt.routing._registry import find_policy
 from catkinshunt.routing._router import Router
 from catkinshunt.routing._subset import prefer_near
 from catkinshunt.routing._subset import rank_upstreams
--- a/catkinshunt/routing/_router.py
+++ b/catkinshunt/routing/_router.py
@@ -1,4 +1,4 @@
-"""Finds the upstream for a request among those that this entry knows."""
+"""Selects the upstream of a request among those known to this entry."""
 
 import threading
 
@@ -11,34 +11,34 @@
 from catkinshunt.routing import _subset
 from catkinshunt.routing import base
 
-#: Retry hint when an upstream must first appear or return, in seconds.
-ABSENT_RETRY_S = 1.0
-#: Age at which an upstream's versions are asked for again, in seconds.
-ASK_AGAIN_S = 2.0
-#: Least time between two such requests of one entry: each is refused, and so
-#: costs a retry, as long as nothing has changed.
-ASK_GAP_S = 0.25
+#: Retry-After if no upstream has a known time of its next probe.
+DEFAULT_RETRY_AFTER_S = 1.0
+#: Age from which on the versions of an upstream are probed again.
+VERSIONS_MAX_AGE_S = 2.0
+#: Least time between version probes of one entry: an upstream that still
+#: lacks the model rejects the request, which costs a retry.
+VERSION_PROBE_INTERVAL_S = 0.25
 
 
 @attrs.frozen
 class _Ranked:
-    """An entry's order of upstreams, split by what they are known to serve."""
+    """Ordered upstreams, split by whether they serve the requested model."""
 
-    fitting: list
+    matching: list
     other: list
 
 
 class Router(shared.ParamsMixin):
-    """Chooses upstreams for one entry and keeps what it learns of them.
+    """Chooses upstreams for one entry and tracks their state.
 
     Args:
         policy: a `BasePolicy`.
-        entry: name of the entry; sets its subset of the upstreams.
-        data_centre: where the entry runs.
+        entry: name of the entry; determines its subset of the upstreams.
+        data_centre: data centre of the entry.
         region: the region of that data centre.
-        subset_size: upstreams of one service that the entry works with.
-        spill_load: requests on each near upstream from which on others are
-            taken as well.
+        subset_size: upstreams of one service that the entry uses.
+        spill_load: load, in requests, of each near upstream from which on
+            farther ones are used as well.
         health: a `HealthTracker`.
 
     Examples:
@@ -72,19 +72,20 @@
         self._views = {}
         self._orders = {}
         self._ranked = {}
-        self._asked_at = 0.0
+        self._version_probe_at = 0.0
 
     def offer(self, upstreams):
-        """Take the instance list's view of all upstreams.
+        """Replace the upstreams by those of the instance list.
 
-        What replies have shown of an upstream stays in force while its name
-        and address stay, since the list lags behind replies.
+        State learned from replies is kept for an upstream whose name and
+        address are unchanged, since the list lags behind replies.
 
         Args:
-            upstreams: all `UpstreamView` objects, new ones may be reused.
+            upstreams: all `UpstreamView` objects; the router keeps and
+                modifies them.
         """
         with self._lock:
-            health = self._health()
+            health = self._get_health()
             known, self._views = self._views, {}
             for view in upstreams:
                 old = known.pop(view.name, None)
@@ -95,28 +96,28 @@
             self._ranked.clear()
 
     def choose(self, req, now, policy=None):
-        """Return the `Choice` for a request and count it as in flight.
+        """Return the `Choice` for a request, counted as in flight.
 
         Args:
             req: the `RouteRequest`.
             now: seconds, monotonic.
-            policy: a `BasePolicy` for this request, instead of the router's.
+            policy: a `BasePolicy` that replaces that of the router.
 
         Raises:
-            RefusedError: no upstream may get it now; it was not run.
+            RefusedError: no upstream is usable; it was not executed.
         """
         with self._lock:
-            usable = self._usable(req, now)
+            usable = self._find_usable(req, now)
             candidates = _subset.prefer_near(
                 usable, self.data_centre, self.region, self.spill_load, now
             )
             choice = (policy or self.policy).choose(req, candidates, now)
-            self._health().begin(choice.upstream)
+            self._get_health().start_probe(choice.upstream)
             choice.upstream.in_flight += 1
             return choice
 
     def observe(self, observation, now):
-        """Learn from a reply, a refusal or a failure.
+        """Update the state of an upstream from a reply or failure.
 
         Args:
             observation: the `Observation`.
@@ -128,7 +129,7 @@
                 view.in_flight = max(0, view.in_flight - 1)
             if self._views.get(view.name) is not view:
                 return
-            self._health().observe(observation, now)
+            self._get_health().observe(observation, now)
             if observation.load is not None:
                 view.reported_load = observation.load
                 view.in_flight_at_report = view.in_flight
@@ -142,18 +143,18 @@
             self.policy.observe(observation, now)
 
     def report(self):
-        """Return the known upstreams, in the order of their names."""
+        """Return the known upstreams, sorted by name."""
         with self._lock:
             return [self._views[name] for name in sorted(self._views)]
 
-    def _health(self):
+    def _get_health(self):
         if self.health is None:
             self.health = _health.HealthTracker()
         return self.health
 
     @staticmethod
     def _merge(old, view, health):
-        """Return the view to keep for a name in the list."""
+        """Return the view to keep for a listed upstream."""
         if old is None or old.address != view.address:
             health.forget(view.name)
             return view
@@ -170,42 +171,45 @@
             old.state = base.State.SERVING
         return old
 
-    def _usable(self, req, now):
-        """Return the entry's subset of upstreams that may get the request."""
+    def _find_usable(self, req, now):
+        """Return the usable upstreams of the subset of the entry."""
         checks.check_positive(self.subset_size, 'subset_size')
         ranked = self._rank(req)
-        again = self._ask_again(ranked.other, req, now)
-        if again is not None:
-            return [again]
-        found = self._pick(ranked.fitting, req, now)
-        if not found and ranked.other:
-            # What is known of versions is as old as the last reply; if all
-            # upstreams have changed over since, only asking one tells.
-            found = self._pick(ranked.other, req, now)
-        if not found:
-            raise self._refusal(req, ranked.fitting + ranked.other, now)
-        return found
+        version_probe = self._pick_version_probe(ranked.other, req, now)
+        if version_probe is not None:
+            return [version_probe]
+        usable = self._pick_usable(ranked.matching, req, now)
+        if not usable and ranked.other:
+            # Version data is as old as the last reply. If all upstreams have
+            # changed their version since, only a request can reveal it.
+            usable = self._pick_usable(ranked.other, req, now)
+        if not usable:
+            raise self._make_refusal(req, ranked.matching + ranked.other, now)
+        return usable
 
-    def _ask_again(self, views, req, now):
-        """Return an upstream whose versions may have changed, or None.
+    def _pick_version_probe(self, views, req, now):
+        """Return an upstream whose version data is outdated, or None.
 
-        Where others serve the model nothing else would ever go to one that
-        once did not, and an instance that has loaded it would stay idle.
+        While others serve the model, an upstream that once lacked it would
+        get no request, and would stay idle after loading the model.
         """
-        if not req.idempotent or now - self._asked_at < ASK_GAP_S:
+        if (
+            not req.idempotent
+            or now - self._version_probe_at < VERSION_PROBE_INTERVAL_S
+        ):
             return None
         for view in views[: self.subset_size]:
-            if now - view.versions_at < ASK_AGAIN_S:
+            if now - view.versions_at < VERSIONS_MAX_AGE_S:
                 continue
             serving = view.state == base.State.SERVING
             if serving and view.name not in req.excluded:
-                self._asked_at = view.versions_at = now
+                self._version_probe_at = view.versions_at = now
                 return view
         return None
 
-    def _pick(self, ranked, req, now):
-        """Return the first usable upstreams of an order, or one to probe."""
-        health = self._health()
+    def _pick_usable(self, ranked, req, now):
+        """Return the first usable upstreams, or one that is to be probed."""
+        health = self._get_health()
         usable, probes = [], []
         for view in ranked:
             if view.name in req.excluded:
@@ -217,7 +221,7 @@
             elif health.check(view, now):
                 probes.append(view)
         if probes and (req.idempotent or not usable):
-            # One request tries one suspect, or it would never come back.
+            # Without a probe, a suspect upstream would never recover.
             return probes[:1]
         return usable
 
@@ -225,17 +229,28 @@
         key = (req.service, req.model, req.model_version)
         if key not in self._ranked:
             order = self._order(req.service)
-            fits = [v.may_serve(req.model, req.model_version) for v in order]
+            matches = [
+                v.may_serve(req.model, req.model_version) for v in order
+            ]
             self._ranked[key] = _Ranked(
-                [v for v, fit in zip(order, fits, strict=True) if fit],
-                [v for v, fit in zip(order, fits, strict=True) if not fit],
+                [
+                    v
+                    for v, is_match in zip(order, matches, strict=True)
+                    if is_match
+                ],
+                [
+                    v
+                    for v, is_match in zip(order, matches, strict=True)
+                    if not is_match
+                ],
             )
         return self._ranked[key]
 
     def _order(self, service):
-        """Return the entry's order of a service's upstreams.
+        """Return the ordered upstreams of a service.
 
-        It hashes each of them, so it outlasts changes of their versions.
+        Cached apart from `_ranked`: sorting hashes each upstream, and the
+        order does not depend on their versions.
         """
         if service not in self._orders:
             self._orders[service] = _subset.rank_upstreams(
@@ -245,15 +260,15 @@
             )
         return self._orders[service]
 
-    def _refusal(self, req, ranked, now):
-        waits = [self._health().retry_at(view) - now for view in ranked]
+    def _make_refusal(self, req, ranked, now):
+        waits = [self._get_health().retry_at(view) - now for view in ranked]
         waits = [wait_s for wait_s in waits if wait_s > 0]
-        what = f'service {req.service}'
+        target = f'service {req.service}'
         if req.model:
-            what += f' with {req.model} {req.model_version}'
+            target += f' with {req.model} {req.model_version}'
         return errors.RefusedError(
-            f'no upstream of {what} takes work, {len(ranked)} known',
+            f'no upstream of {target} is available; {len(ranked)} known',
             step='choose',
             peer=req.service,
-            retry_after_s=min(waits, default=ABSENT_RETRY_S),
+            retry_after_s=min(waits, default=DEFAULT_RETRY_AFTER_S),
         )
--- a/catkinshunt/routing/_subset.py
+++ b/catkinshunt/routing/_subset.py
@@ -1,4 +1,4 @@
-"""Which upstreams one entry works with, and which of them are near."""
+"""Subsetting: the upstreams that an entry connects to, local ones first."""
 
 import hashlib
 
@@ -6,26 +6,26 @@
 
 
 def rank_upstreams(entry, upstreams, data_centre='', remote_interval=4):
-    """Return upstreams in the order in which one entry takes them up.
+    """Return the upstreams in the order of preference of one entry.
 
-    Each entry has its own order by rendezvous hashing, so that entries spread
-    over the upstreams without talking to each other, and an upstream that
-    comes or goes moves nothing else. The first few of the order are the
-    entry's bounded subset: with subsets of k, the connections grow as
-    entries times k and not as entries times upstreams.
+    Rendezvous hashing gives each entry its own order, so that entries spread
+    over the upstreams without coordination, and adding or removing an
+    upstream does not reorder the others. The first k upstreams are the
+    subset of the entry: the number of connections grows with entries times
+    k instead of entries times upstreams.
 
     Args:
         entry: name of the entry.
         upstreams: `UpstreamView` objects.
-        data_centre: the entry's own; its upstreams come first.
-        remote_interval: each such place of the order goes to an upstream of
-            another data centre, so that a subset outlives the loss of its
-            own data centre.
+        data_centre: data centre of the entry; its upstreams come first.
+        remote_interval: every position that is a multiple of this is given
+            to an upstream of another data centre, so that a subset survives
+            the loss of its own data centre.
 
     Examples:
         >>> views = [
-        ...     base.UpstreamView(name, '127.0.0.1:1', 'model', place)
-        ...     for name, place in [('a', 'x'), ('b', 'y'), ('c', 'x')]
+        ...     base.UpstreamView(name, '127.0.0.1:1', 'model', position)
+        ...     for name, position in [('a', 'x'), ('b', 'y'), ('c', 'x')]
         ... ]
         >>> [view.name for view in rank_upstreams('e1', views, 'x')][2]
         'b'
@@ -38,18 +38,20 @@
         return digest.digest()
 
     order = sorted(upstreams, key=weight, reverse=True)
-    near = [view for view in order if view.data_centre == data_centre]
-    far = [view for view in order if view.data_centre != data_centre]
-    return list(_interleave(near, far, remote_interval))
+    local = [view for view in order if view.data_centre == data_centre]
+    remote = [view for view in order if view.data_centre != data_centre]
+    return list(_interleave(local, remote, remote_interval))
 
 
-def _interleave(near, far, remote_interval):
-    near, far = iter(near), iter(far)
-    place = 0
+def _interleave(local, remote, remote_interval):
+    local, remote = iter(local), iter(remote)
+    position = 0
     while True:
-        place += 1
+        position += 1
         first, second = (
-            (far, near) if place % remote_interval == 0 else (near, far)
+            (remote, local)
+            if position % remote_interval == 0
+            else (local, remote)
         )
         view = next(first, None) or next(second, None)
         if view is None:
@@ -58,17 +60,17 @@
 
 
 def prefer_near(candidates, data_centre, region, spill_load, now):
-    """Return the nearest group that has an upstream with room.
+    """Return the candidates of the nearest group that has spare capacity.
 
-    The own data centre first, then the own region, then all; a group whose
-    least loaded upstream is at `spill_load` or above is too busy to be worth
-    the shorter way.
+    The groups are the data centre, the region and all candidates. A group is
+    skipped if each of its upstreams has a load of `spill_load` or more: the
+    queueing time there exceeds the gain from the shorter distance.
 
     Args:
         candidates: `UpstreamView` objects, at least one.
-        data_centre: the entry's own.
-        region: the entry's own.
-        spill_load: requests on one upstream from which on a group is full.
+        data_centre: data centre of the entry.
+        region: region of the entry.
+        spill_load: load, in requests, from which on an upstream is full.
         now: seconds, monotonic.
     """
     groups = (
