--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -27,7 +27,7 @@
 _CLAIMS = 'catkinshunt/claims/_ledger.py'
 _DOCUMENT = 'catkinshunt/claims/_document.py'
 _ATTEMPTS = 'catkinshunt/claims/_attempts.py'
-_ONCE = 'catkinshunt/entry/_once.py'
+_ONCE = 'catkinshunt/entry/_at_most_once.py'
 _DELIVERY = 'catkinshunt/entry/_delivery.py'
 _RELAY = 'catkinshunt/entry/_relay.py'
 _LINES = 'catkinshunt/entry/_lines.py'
--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -5,11 +5,11 @@
 import attrs
 
 from catkinshunt import base
+from catkinshunt.entry import _concurrency
 from catkinshunt.entry import _delivery
-from catkinshunt.entry import _fleet
-from catkinshunt.entry import _gate
 from catkinshunt.entry import _relay
 from catkinshunt.entry import _request
+from catkinshunt.entry import _upstream_selector
 from catkinshunt import errors
 from catkinshunt import httpio
 from catkinshunt import logs
@@ -36,7 +36,7 @@
         self.follower = follower
         self.directory = directory
         self.once = once
-        self.gate = _gate.Gate(cfg.threads)
+        self.gate = _concurrency.Gate(cfg.threads)
         self._relay = _relay.Relay(
             httpio.ConnectionPool(), cfg.deployment_key, keeper=follower
         )
@@ -47,7 +47,7 @@
             data_centre=cfg.data_centre,
             region=cfg.region,
         )
-        self._fleet = _fleet.Fleet(router, directory)
+        self._fleet = _upstream_selector.Fleet(router, directory)
 
     def __call__(self, environ, start_response):
         """Answer one request."""
--- a/catkinshunt/entry/_process.py
+++ b/catkinshunt/entry/_process.py
@@ -6,7 +6,7 @@
 from catkinshunt import claims
 from catkinshunt import control
 from catkinshunt.entry import _app
-from catkinshunt.entry import _once
+from catkinshunt.entry import _at_most_once
 from catkinshunt import httpio
 from catkinshunt import kvstore
 from catkinshunt import metrics
@@ -35,7 +35,9 @@
             self.cfg,
             self._control.keeper,
             self._control.directory,
-            _once.AtMostOnce(self._ledger, self._ledger.body_limit_bytes),
+            _at_most_once.AtMostOnce(
+                self._ledger, self._ledger.body_limit_bytes
+            ),
         )
         registry = metrics.Registry()
         self._server = httpio.HttpServer(
