--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -152,7 +152,7 @@
     Mutation(
         'deadline-before-dispatch',
         _FORWARD,
-        'if over or time.time() >= self.req.not_after:',
+        'if expired or time.time() >= self.req.not_after:',
         'if False:',
     ),
     Mutation(
@@ -425,31 +425,31 @@
     Mutation(
         'stream-has-end-line',
         _LINES,
-        'if not self.done or self._part:',
+        'if not self.done or self._partial_line:',
         'if False:',
     ),
     Mutation(
         'stream-in-order',
         _LINES,
-        'if self.done or number != self.next_index:',
+        'if self.done or index != self.next_index:',
         'if False:',
     ),
     Mutation(
         'half-line-dropped',
         _LINES,
-        'before another upstream."""\n        self._part = b\'\'\n',
+        'before another upstream."""\n        self._partial_line = b\'\'\n',
         'before another upstream."""\n',
     ),
     Mutation(
         'stream-of-one-version',
         _DELIVERY,
-        'if opened.model_version != version:',
+        'if open_resp.model_version != version:',
         'if False:',
     ),
     Mutation(
         'answer-of-routed-version',
         _FORWARD,
-        'if self.req.version and given != self.req.version:',
+        'if self.req.version and answered_version != self.req.version:',
         'if False:',
     ),
     Mutation(
@@ -681,7 +681,7 @@
     Mutation(
         'engine-asked',
         'catkinshunt/sidecar/_placement.py',
-        'if self._served.items() <= held.items():',
+        'if self._served.items() <= engine_versions.items():',
         'if True:',
     ),
 )
--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -31,14 +31,14 @@
         once: `AtMostOnce`.
     """
 
-    def __init__(self, cfg, follower, directory, once):
+    def __init__(self, cfg, config_replica, directory, at_most_once):
         self.cfg = cfg
-        self.follower = follower
+        self.config_replica = config_replica
         self.directory = directory
-        self.once = once
-        self.gate = _concurrency.Gate(cfg.threads)
+        self.at_most_once = at_most_once
+        self.limiter = _concurrency.ConcurrencyLimiter(cfg.threads)
         self._relay = _relay.Relay(
-            httpio.ConnectionPool(), cfg.deployment_key, keeper=follower
+            httpio.ConnectionPool(), cfg.deployment_key, keeper=config_replica
         )
         self._retry = retries.RetryPolicy(retries.Budget())
         router = routing.Router(
@@ -47,7 +47,7 @@
             data_centre=cfg.data_centre,
             region=cfg.region,
         )
-        self._fleet = _upstream_selector.Fleet(router, directory)
+        self._selector = _upstream_selector.UpstreamSelector(router, directory)
 
     def __call__(self, environ, start_response):
         """Answer one request."""
@@ -71,24 +71,26 @@
 
     def leave(self):
         """Refuse new requests from now on."""
-        self.gate.leave()
+        self.limiter.leave()
 
     def _admit(self, req):
-        self.gate.begin(req.account)
+        self.limiter.acquire(req.account)
         try:
             resp = self._answer(req)
         except BaseException:
-            self.gate.end(req.account)
+            self.limiter.release(req.account)
             raise
         if isinstance(resp.body, list):
-            self.gate.end(req.account)
+            self.limiter.release(req.account)
             return resp
-        held = self.gate.hold(req.account, resp.body)
-        return attrs.evolve(resp, body=held)
+        body = self.limiter.release_after(req.account, resp.body)
+        return attrs.evolve(resp, body=body)
 
     def _answer(self, req):
-        subject = req.subject(self.cfg.data_centre, self.cfg.region)
-        rule = self.follower.current.rule_set.match(subject)
+        rule_request = req.make_rule_request(
+            self.cfg.data_centre, self.cfg.region
+        )
+        rule = self.config_replica.current.rule_set.match(rule_request)
         if rule is None:
             raise errors.RefusedError(
                 'no rule matches', step='match', retry_after_s=RETRY_AFTER_S
@@ -99,8 +101,8 @@
                 step='match',
                 retry_after_s=rule.then.retry_after_s,
             )
-        req = req.for_route(rule.then)
-        return self.once.answer(
+        req = req.with_route_deadline(rule.then)
+        return self.at_most_once.execute(
             req,
             lambda: self._deliver(req, rule),
             time.monotonic(),
@@ -109,5 +111,5 @@
 
     def _deliver(self, req, rule):
         return _delivery.Delivery(
-            self._fleet, self._relay, self._retry, req, rule
-        ).answer()
+            self._selector, self._relay, self._retry, req, rule
+        ).deliver()
--- a/catkinshunt/entry/_at_most_once.py
+++ b/catkinshunt/entry/_at_most_once.py
@@ -11,7 +11,7 @@
 from catkinshunt.httpio import headers
 from catkinshunt import logs
 
-_REPEAT_AFTER_S = 1.0
+_RETRY_AFTER_S = 1.0
 _log = logs.get_logger('claims')
 
 
@@ -27,7 +27,7 @@
         self.ledger = ledger
         self.body_limit_bytes = body_limit_bytes
 
-    def answer(self, req, dispatch, now, epoch_now):
+    def execute(self, req, dispatch, now, epoch_now):
         """Answer `req` from `dispatch`, or from what is known of it.
 
         Args:
@@ -45,7 +45,7 @@
             return dispatch()
         claim = self._claim(req, now, epoch_now)
         if claim.state is not claims.State.GRANTED:
-            return _answer_repeat(claim, req.request_id)
+            return _make_repeat_response(claim, req.request_id)
         try:
             resp = dispatch()
         except errors.RequestError as exc:
@@ -54,7 +54,9 @@
             if exc.ran == 'no':
                 self.ledger.release(claim, epoch_now)
             raise
-        return attrs.evolve(resp, body=self._record(claim, resp, epoch_now))
+        return attrs.evolve(
+            resp, body=self._relay_and_record(claim, resp, epoch_now)
+        )
 
     def _claim(self, req, now, epoch_now):
         digest = claims.digest_of(
@@ -75,28 +77,28 @@
         )
         return claim
 
-    def _record(self, claim, resp, epoch_now):
+    def _relay_and_record(self, claim, resp, epoch_now):
         """Pass the body on; record it once it has ended or broken off."""
-        kept = b''
+        recorded_body = b''
         try:
             for piece in resp.body:
-                if kept is not None:
-                    kept += piece
-                    if len(kept) > self.body_limit_bytes:
-                        kept = None
+                if recorded_body is not None:
+                    recorded_body += piece
+                    if len(recorded_body) > self.body_limit_bytes:
+                        recorded_body = None
                 yield piece
         except BaseException:
             # Also when the caller goes away. The request ran, and what is
             # there of its answer must not pass as the whole.
-            kept = None
+            recorded_body = None
             raise
         finally:
-            kind = dict(resp.headers).get('Content-Type', '')
-            outcome = claims.Outcome(resp.status, kind, kept)
+            content_type = dict(resp.headers).get('Content-Type', '')
+            outcome = claims.Outcome(resp.status, content_type, recorded_body)
             self.ledger.finish(claim, outcome, epoch_now)
 
 
-def _answer_repeat(claim, request_id):
+def _make_repeat_response(claim, request_id):
     state = claim.state
     if state is claims.State.MISMATCH:
         raise errors.KeyReusedError(
@@ -106,7 +108,7 @@
         raise errors.InProgressError(
             'the request is being run',
             step='claim',
-            retry_after_s=_REPEAT_AFTER_S,
+            retry_after_s=_RETRY_AFTER_S,
         )
     if state is claims.State.UNKNOWN:
         raise errors.OutcomeUnknownError(
@@ -118,9 +120,9 @@
         raise errors.AnswerNotKeptError(
             'the request ran before; its answer was not kept', step='claim'
         )
-    given = (
+    response_headers = (
         ('Content-Type', outcome.content_type),
         ('Content-Length', str(len(outcome.body))),
         (headers.REQUEST_ID, request_id),
     )
-    return httpio.Response(outcome.status, [outcome.body], given)
+    return httpio.Response(outcome.status, [outcome.body], response_headers)
--- a/catkinshunt/entry/_concurrency.py
+++ b/catkinshunt/entry/_concurrency.py
@@ -9,13 +9,13 @@
 
 #: Share of the threads left for refusals: a request that finds no thread
 #: waits where nobody sees it, and cannot even be refused.
-_SPARE_SHARE = 1 / 8
+_RESERVED_SHARE = 1 / 8
 #: Share of the places that accounts may take without regard to others.
-_FREE_SHARE = 0.5
+_UNRESTRICTED_SHARE = 0.5
 RETRY_AFTER_S = 1.0
 
 
-class Gate(base.ParamsMixin):
+class ConcurrencyLimiter(base.ParamsMixin):
     """Lets requests in while there are threads for them.
 
     Past half of the places an account gets another one only while it has
@@ -26,24 +26,24 @@
         threads: threads that serve requests.
 
     Examples:
-        >>> gate = Gate(threads=8)
-        >>> gate.begin('a')
-        >>> gate.report()
+        >>> limiter = ConcurrencyLimiter(threads=8)
+        >>> limiter.acquire('a')
+        >>> limiter.report()
         {'in_progress': 1, 'accounts': 1}
-        >>> gate.end('a')
+        >>> limiter.release('a')
     """
 
     def __init__(self, threads):
         self.threads = threads
         self._lock = threading.Lock()
-        self._places = collections.Counter()
+        self._in_progress = collections.Counter()
         self._leaving = False
 
     def leave(self):
         """Refuse new requests from now on."""
         self._leaving = True
 
-    def begin(self, account):
+    def acquire(self, account):
         """Take a place.
 
         Raises:
@@ -55,42 +55,45 @@
             raise errors.LeavingError(
                 'entry is leaving', step='admit', retry_after_s=RETRY_AFTER_S
             )
-        spare = max(1, int(self.threads * _SPARE_SHARE))
-        limit = max(1, self.threads - spare)
+        n_reserved = max(1, int(self.threads * _RESERVED_SHARE))
+        limit = max(1, self.threads - n_reserved)
         with self._lock:
-            taken = self._places.total()
-            own = self._places.get(account, 0)
-            accounts = len(self._places) + (not own)
-            if taken >= limit:
-                raise _refusal('all places are taken')
-            if taken >= limit * _FREE_SHARE and own >= limit / accounts:
-                raise _refusal('share of the account is taken')
-            self._places[account] += 1
-
-    def end(self, account):
+            n_in_progress = self._in_progress.total()
+            own = self._in_progress.get(account, 0)
+            n_accounts = len(self._in_progress) + (not own)
+            if n_in_progress >= limit:
+                raise _overloaded('all places are taken')
+            if (
+                n_in_progress >= limit * _UNRESTRICTED_SHARE
+                and own >= limit / n_accounts
+            ):
+                raise _overloaded('share of the account is taken')
+            self._in_progress[account] += 1
+
+    def release(self, account):
         """Give a place back."""
         with self._lock:
-            self._places[account] -= 1
-            if not self._places[account]:
-                del self._places[account]
+            self._in_progress[account] -= 1
+            if not self._in_progress[account]:
+                del self._in_progress[account]
 
-    def hold(self, account, body):
+    def release_after(self, account, body):
         """Yield `body`, then give the place back."""
         try:
             yield from body
         finally:
-            self.end(account)
+            self.release(account)
 
     def report(self):
         """Return requests in progress and accounts that have some."""
         with self._lock:
             return {
-                'in_progress': self._places.total(),
-                'accounts': len(self._places),
+                'in_progress': self._in_progress.total(),
+                'accounts': len(self._in_progress),
             }
 
 
-def _refusal(message):
+def _overloaded(message):
     return errors.OverloadedError(
         message, step='admit', retry_after_s=RETRY_AFTER_S
     )
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -13,8 +13,8 @@
 
 #: Bodies of a known length up to this are read whole before the caller gets
 #: the first byte, so that one that breaks off can still be asked for again.
-_WHOLE_BYTES = 1024 * 1024
-_PASSED_ON = ('Content-Type', headers.ENGINE_MODEL_VERSION)
+_MAX_BUFFERED_BYTES = 1024 * 1024
+_FORWARDED_HEADERS = ('Content-Type', headers.ENGINE_MODEL_VERSION)
 _log = logs.get_logger('routing')
 
 
@@ -22,27 +22,27 @@
     """The tries of one request.
 
     Args:
-        fleet: a `Fleet`.
+        fleet: a `UpstreamSelector`.
         relay: a `Relay`.
         retry: a `retries.RetryPolicy`.
         req: the `CallerRequest`.
         rule: the rule that matched.
     """
 
-    def __init__(self, fleet, relay, retry, req, rule):
-        self.fleet = fleet
+    def __init__(self, selector, relay, retry, req, rule):
+        self.selector = selector
         self.relay = relay
         self.retry = retry
         self.req = req
         self.rule = rule
-        self._tries = 0
-        self._tried = set()
+        self._n_attempts = 0
+        self._failed_upstreams = set()
         self._may_have_run = False
         self._choice = None
-        self._reported = _relay.Reported()
-        self._failure = None
+        self._status = _relay.SidecarStatus()
+        self._last_error = None
 
-    def answer(self):
+    def deliver(self):
         """Return the `httpio.Response`; a stream goes on being read.
 
         Raises:
@@ -50,30 +50,32 @@
         """
         self.retry.offer()
         while True:
-            opened = self._open()
-            if opened.streamed and self.req.model:
-                return self._respond(opened, self._stream(opened))
-            length = opened.resp.length
-            if length is None or length > _WHOLE_BYTES:
-                return self._respond(opened, self._pass_on(opened))
+            open_resp = self._open()
+            if open_resp.is_stream and self.req.model:
+                return self._respond(open_resp, self._relay_lines(open_resp))
+            length = open_resp.resp.length
+            if length is None or length > _MAX_BUFFERED_BYTES:
+                return self._respond(open_resp, self._relay_body(open_resp))
             try:
-                body = self.relay.read_whole(opened)
+                body = self.relay.read_whole(open_resp)
             except errors.IncompleteAnswerError as exc:
-                self._fail(exc)
+                self._handle_failure(exc)
                 continue
-            self._end(routing.Result.ANSWERED)
-            return self._respond(opened, [body])
+            self._report_end(routing.Result.ANSWERED)
+            return self._respond(open_resp, [body])
 
-    def _respond(self, opened, body):
-        passed = [
+    def _respond(self, open_resp, body):
+        response_headers = [
             (name, value)
-            for name in _PASSED_ON
-            if (value := opened.resp.getheader(name)) is not None
+            for name in _FORWARDED_HEADERS
+            if (value := open_resp.resp.getheader(name)) is not None
         ]
-        passed.append((headers.REQUEST_ID, self.req.request_id))
+        response_headers.append((headers.REQUEST_ID, self.req.request_id))
         if isinstance(body, list):
-            passed.append(('Content-Length', str(len(body[0]))))
-        return httpio.Response(opened.resp.status, body, tuple(passed))
+            response_headers.append(('Content-Length', str(len(body[0]))))
+        return httpio.Response(
+            open_resp.resp.status, body, tuple(response_headers)
+        )
 
     def _open(self, resume=None):
         """Try upstreams until one begins to answer.
@@ -84,44 +86,44 @@
         while True:
             self._choose(resume)
             try:
-                opened = self.relay.open(
+                open_resp = self.relay.open(
                     self.req,
                     self.rule.then,
                     self._choice.upstream.address,
                     time.monotonic(),
                     resume,
-                    self._learn,
+                    self._record_status,
                 )
             except errors.RequestError as exc:
-                self._fail(exc)
+                self._handle_failure(exc)
                 continue
             self._observe(routing.Result.ANSWERED, finished=False)
-            return opened
+            return open_resp
 
     def _choose(self, resume):
         now = time.monotonic()
         if now >= self.req.deadline:
-            self._give_up(
+            self._raise_final(
                 errors.RefusedError('deadline has passed', step='choose')
             )
         route = self.rule.then
         version = resume.version if resume else route.version
-        wanted = routing.RouteRequest(
+        route_req = routing.RouteRequest(
             service=route.service,
             request_id=self.req.request_id,
             prefix=self.req.prefix,
             model=self.req.model,
             model_version=version or '',
-            excluded=self._tried,
+            excluded=self._failed_upstreams,
             idempotent=self.req.idempotent,
         )
         try:
-            self._choice = self.fleet.choose(wanted, now, route.policy)
+            self._choice = self.selector.choose(route_req, now, route.policy)
         except errors.RefusedError as exc:
             # What the last upstream said tells the caller more.
-            self._give_up(self._failure or exc)
-        self._tries += 1
-        self._reported = _relay.Reported()
+            self._raise_final(self._last_error or exc)
+        self._n_attempts += 1
+        self._status = _relay.SidecarStatus()
         _log.info(
             'Rule {rule}: {choice} of {candidates}, {grounds}.',
             request_id=self.req.request_id,
@@ -131,50 +133,50 @@
             grounds=self._choice.grounds,
         )
 
-    def _learn(self, reported):
+    def _record_status(self, status):
         """Keep what the head of a reply says of its sender."""
-        self._reported = reported
+        self._status = status
 
     def _observe(self, result, finished):
         """Tell the router of an exchange, and once what its head said.
 
         At the end of a long stream the head's load is old.
         """
-        told, self._reported = self._reported, _relay.Reported()
-        self.fleet.observe(
+        status, self._status = self._status, _relay.SidecarStatus()
+        self.selector.observe(
             routing.Observation(
                 self._choice.upstream,
                 result,
-                state=told.state,
-                load=told.load,
-                model_versions=told.served,
+                state=status.state,
+                load=status.load,
+                model_versions=status.served_versions,
                 finished=finished,
             ),
             time.monotonic(),
         )
 
-    def _end(self, result):
+    def _report_end(self, result):
         """Note that the exchange with the chosen upstream has ended."""
         self._observe(result, finished=True)
 
-    def _fail(self, exc):
+    def _handle_failure(self, exc):
         """Note a failed try; return if another one is allowed.
 
         Raises:
             errors.RequestError: it is not.
         """
-        refused = exc.ran == 'no' and exc.step != 'connect'
+        is_rejected = exc.ran == 'no' and exc.step != 'connect'
         result = routing.Result.FAILED
-        if refused:
+        if is_rejected:
             result = routing.Result.REFUSED
-        self._end(result)
+        self._report_end(result)
         self._may_have_run |= exc.ran != 'no'
-        self._tried.add(self._choice.upstream.name)
-        self._failure = exc
-        verdict = self.retry.check(
+        self._failed_upstreams.add(self._choice.upstream.name)
+        self._last_error = exc
+        decision = self.retry.check(
             exc,
             self.req.idempotent,
-            self._tries,
+            self._n_attempts,
             self.req.deadline,
             time.monotonic(),
         )
@@ -182,14 +184,14 @@
             'Failed at {choice}, {verdict}: {cause}; {grounds}.',
             request_id=self.req.request_id,
             choice=self._choice.upstream.name,
-            verdict='tried again' if verdict.should_retry else 'given up',
+            verdict='tried again' if decision.should_retry else 'given up',
             cause=exc,
-            grounds=verdict.grounds,
+            grounds=decision.grounds,
         )
-        if not verdict.should_retry:
-            self._give_up(exc)
+        if not decision.should_retry:
+            self._raise_final(exc)
 
-    def _give_up(self, exc):
+    def _raise_final(self, exc):
         """Raise `exc`, or what is true of all tries together."""
         if exc.ran == 'no' and self._may_have_run:
             raise errors.OutcomeUnknownError(
@@ -200,42 +202,42 @@
             ) from exc
         raise exc
 
-    def _pass_on(self, opened):
+    def _relay_body(self, open_resp):
         """Yield a body that is too long to be held."""
-        ended = routing.Result.CANCELLED
+        result = routing.Result.CANCELLED
         try:
-            yield from self.relay.read(opened)
-            ended = routing.Result.ANSWERED
+            yield from self.relay.read(open_resp)
+            result = routing.Result.ANSWERED
         except errors.IncompleteAnswerError:
-            ended = routing.Result.FAILED
+            result = routing.Result.FAILED
             raise
         finally:
-            if ended != routing.Result.ANSWERED:
-                opened.close()
-            self._end(ended)
+            if result != routing.Result.ANSWERED:
+                open_resp.close()
+            self._report_end(result)
 
-    def _stream(self, opened):
+    def _relay_lines(self, open_resp):
         """Yield whole lines, taking the stream up elsewhere if it breaks."""
-        follower = _lines.LineFollower(self.req.first_index)
+        validator = _lines.LineValidator(self.req.first_index)
         try:
             while True:
                 try:
-                    yield from self._follow(opened, follower)
-                    self._end(routing.Result.ANSWERED)
+                    yield from self._read_lines(open_resp, validator)
+                    self._report_end(routing.Result.ANSWERED)
                     return
                 except errors.IncompleteAnswerError as exc:
-                    opened.close()
-                    if follower.done:
+                    open_resp.close()
+                    if validator.done:
                         # The caller has all lines; only what ends the body
                         # was lost.
-                        self._end(routing.Result.FAILED)
+                        self._report_end(routing.Result.FAILED)
                         return
-                    opened = self._take_up(exc, follower, opened)
+                    open_resp = self._resume(exc, validator, open_resp)
         except GeneratorExit:
             # The caller went away; the sidecar sees the connection close and
             # has the engine cancel, or it would go on for nobody.
-            opened.close()
-            self._end(routing.Result.CANCELLED)
+            open_resp.close()
+            self._report_end(routing.Result.CANCELLED)
             raise
         except errors.RequestError as exc:
             # Without this line and the break a caller could take what came
@@ -243,31 +245,31 @@
             yield _error_line(exc, self.req.request_id)
             raise
 
-    def _follow(self, opened, follower):
-        for piece in self.relay.read(opened):
-            lines = follower.feed(piece)
+    def _read_lines(self, open_resp, validator):
+        for piece in self.relay.read(open_resp):
+            lines = validator.feed(piece)
             if lines:
                 yield lines
-            follower.check()
-        follower.check_end()
+            validator.check()
+        validator.check_end()
 
-    def _take_up(self, exc, follower, broken):
+    def _resume(self, exc, validator, broken_resp):
         """Return the stream's rest from another upstream."""
-        self._fail(exc)
-        follower.drop_part()
-        version = broken.model_version
-        resume = _relay.Resume(follower.next_index, version)
-        opened = self._open(resume)
-        if opened.model_version != version:
+        self._handle_failure(exc)
+        validator.discard_partial_line()
+        version = broken_resp.model_version
+        resume = _relay.ResumePoint(validator.next_index, version)
+        open_resp = self._open(resume)
+        if open_resp.model_version != version:
             # Pieces of two versions would make one answer of neither.
-            opened.close()
-            self._end(routing.Result.REFUSED)
+            open_resp.close()
+            self._report_end(routing.Result.REFUSED)
             raise errors.IncompleteAnswerError(
                 f'no other upstream answered from version {version}',
                 step='resume',
-                peer=str(opened.address),
+                peer=str(open_resp.address),
             )
-        return opened
+        return open_resp
 
 
 def _error_line(exc, request_id):
--- a/catkinshunt/entry/_lines.py
+++ b/catkinshunt/entry/_lines.py
@@ -7,7 +7,7 @@
 _MAX_LINE_BYTES = 1024 * 1024
 
 
-class LineFollower:
+class LineValidator:
     """Lets only whole lines through, in the order of their index.
 
     A stream that is taken up at another upstream must go on exactly where
@@ -18,15 +18,15 @@
         first_index: index of the piece that the caller asked to begin with.
 
     Examples:
-        >>> follower = LineFollower()
-        >>> follower.feed(b'{"index": 0, "text": "a"}\\n{"ind')
+        >>> validator = LineValidator()
+        >>> validator.feed(b'{"index": 0, "text": "a"}\\n{"ind')
         b'{"index": 0, "text": "a"}\\n'
-        >>> follower.next_index
+        >>> validator.next_index
         1
-        >>> follower.drop_part()
-        >>> follower.feed(b'{"done": true, "pieces": 1}\\n')
+        >>> validator.discard_partial_line()
+        >>> validator.feed(b'{"done": true, "pieces": 1}\\n')
         b'{"done": true, "pieces": 1}\\n'
-        >>> follower.done
+        >>> validator.done
         True
     """
 
@@ -34,24 +34,24 @@
         self.first_index = first_index
         self.next_index = first_index
         self.done = False
-        self._part = b''
-        self._fault = ''
+        self._partial_line = b''
+        self._error = ''
 
     def feed(self, piece):
         """Return the lines that `piece` completes, up to a wrong one."""
-        if self._fault:
+        if self._error:
             return b''
-        lines = (self._part + piece).split(b'\n')
-        self._part = lines.pop()
-        if len(self._part) > _MAX_LINE_BYTES:
-            self._fault = 'line too long'
-        right = []
+        lines = (self._partial_line + piece).split(b'\n')
+        self._partial_line = lines.pop()
+        if len(self._partial_line) > _MAX_LINE_BYTES:
+            self._error = 'line too long'
+        valid_lines = []
         for line in lines:
-            self._fault = self._check(line)
-            if self._fault:
+            self._error = self._check(line)
+            if self._error:
                 break
-            right.append(line + b'\n')
-        return b''.join(right)
+            valid_lines.append(line + b'\n')
+        return b''.join(valid_lines)
 
     def check(self):
         """Raise if a line was wrong.
@@ -59,8 +59,8 @@
         Raises:
             errors.IncompleteAnswerError: it was.
         """
-        if self._fault:
-            raise _incomplete(self._fault)
+        if self._error:
+            raise _incomplete(self._error)
 
     def check_end(self):
         """Raise unless the last line said that the answer is whole.
@@ -69,24 +69,24 @@
             errors.IncompleteAnswerError: the stream ended before that.
         """
         self.check()
-        if not self.done or self._part:
+        if not self.done or self._partial_line:
             raise _incomplete('ended early')
 
-    def drop_part(self):
+    def discard_partial_line(self):
         """Forget half a line or a wrong one, before another upstream."""
-        self._part = b''
-        self._fault = ''
+        self._partial_line = b''
+        self._error = ''
 
     def _check(self, line):
         """Return what is wrong with a line, or nothing."""
         try:
             value = json.loads(line)
             done = value.get('done') is True
-            number = value['pieces'] if done else value['index']
+            index = value['pieces'] if done else value['index']
         except (ValueError, AttributeError, KeyError):
             return f'unreadable line {line[:80]!r}'
-        if self.done or number != self.next_index:
-            return f'line {number!r} came where {self.next_index} was next'
+        if self.done or index != self.next_index:
+            return f'line {index!r} came where {self.next_index} was next'
         self.done = done
         self.next_index += not done
         return ''
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -12,11 +12,11 @@
 from catkinshunt import httpio
 from catkinshunt.httpio import headers
 
-_STREAM = 'application/x-ndjson'
+_STREAM_TYPE = 'application/x-ndjson'
 
 
 @attrs.frozen
-class Reported:
+class SidecarStatus:
     """What the head of a reply says of its sender.
 
     Attributes:
@@ -27,10 +27,10 @@
 
     state: str | None = None
     load: float | None = None
-    served: frozenset | None = None
+    served_versions: frozenset | None = None
 
     @classmethod
-    def from_reply(cls, resp):
+    def from_response(cls, resp):
         """Read the head of an `http.client.HTTPResponse`."""
         state = resp.getheader(headers.STATE)
         load = resp.getheader(headers.LOAD, '')
@@ -38,12 +38,12 @@
         return cls(
             state if state in ('serving', 'leaving') else None,
             float(load) if load.isdigit() else None,
-            None if served is None else _read_served(served),
+            None if served is None else _parse_served_versions(served),
         )
 
 
 @attrs.frozen
-class Resume:
+class ResumePoint:
     """Where a broken answer is taken up again.
 
     Attributes:
@@ -56,7 +56,7 @@
 
 
 @attrs.define(eq=False)
-class Opened:
+class OpenResponse:
     """A reply whose body is still to be read."""
 
     address: httpio.Address
@@ -65,12 +65,12 @@
     #: The connection drops it when the reply says that it closes.
     sock: socket.socket
     #: Whether the connection is in the pool again, and so somebody else's.
-    returned: bool = False
+    conn_returned: bool = False
 
     @property
-    def streamed(self):
+    def is_stream(self):
         """Whether the body is a stream of JSON lines."""
-        return self.resp.getheader('Content-Type') == _STREAM
+        return self.resp.getheader('Content-Type') == _STREAM_TYPE
 
     @property
     def model_version(self):
@@ -83,7 +83,7 @@
         A stream can end as it should and still not be whole; its connection
         may carry another request by then, which closing it would cut.
         """
-        if self.returned:
+        if self.conn_returned:
             return
         self.resp.close()
         self.conn.close()
@@ -95,17 +95,19 @@
     Args:
         pool: `httpio.ConnectionPool`.
         deployment_key: secret that sidecars ask for.
-        stall_s: longest wait for the next piece of an answer.
+        stall_timeout_s: longest wait for the next piece of an answer.
         keeper: `configuration.Keeper` whose revision rides along.
     """
 
-    def __init__(self, pool, deployment_key, stall_s=10.0, keeper=None):
+    def __init__(
+        self, pool, deployment_key, stall_timeout_s=10.0, keeper=None
+    ):
         self.pool = pool
         self.deployment_key = deployment_key
-        self.stall_s = stall_s
+        self.stall_timeout_s = stall_timeout_s
         self.keeper = keeper
 
-    def open(self, req, route, address, now, resume=None, learn=None):
+    def open(self, req, route, address, now, resume=None, on_status=None):
         """Send `req` to the sidecar at `address`; wait for its reply's head.
 
         Args:
@@ -113,19 +115,22 @@
             route: the `rules.Route`.
             address: `httpio.Address` of the sidecar.
             now: seconds, monotonic.
-            resume: a `Resume`, or None to begin at the beginning.
-            learn: called with the `Reported` of the reply, also a refusal.
+            resume: a `ResumePoint`, or None to begin at the beginning.
+            on_status: called with the `SidecarStatus` of the response, also
+                of a rejection.
 
         Raises:
             errors.RefusedError: not run; no connection, or refused there.
             errors.RequestError: the sidecar's error.
             errors.OutcomeUnknownError: sent, and no reply came.
         """
-        left_s = req.deadline - now
+        remaining_s = req.deadline - now
         # On a kept connection a request can be lost without a sign whether
         # it ran; one that must not run twice could then not be retried.
-        wait_s = self._head_wait_s(req, left_s)
-        conn, _ = self.pool.take(address, wait_s, fresh=not req.idempotent)
+        header_timeout_s = self._header_timeout_s(req, remaining_s)
+        conn, _ = self.pool.take(
+            address, header_timeout_s, fresh=not req.idempotent
+        )
         peer = str(address)
         try:
             if conn.sock is None:
@@ -135,11 +140,13 @@
                 f'no connection: {exc}', step='connect', peer=peer
             ) from exc
         exchange_id = uuid.uuid4().hex
-        sent = self._headers(req, route, left_s, resume)
-        sent[headers.EXCHANGE_ID] = exchange_id
+        request_headers = self._make_headers(req, route, remaining_s, resume)
+        request_headers[headers.EXCHANGE_ID] = exchange_id
         try:
-            body = _resumed_body(req, resume)
-            conn.request(req.method, '/upstream' + req.path, body, sent)
+            body = _make_body(req, resume)
+            conn.request(
+                req.method, '/upstream' + req.path, body, request_headers
+            )
             sock = conn.sock
             resp = conn.getresponse()
         except (OSError, http.client.HTTPException) as exc:
@@ -147,46 +154,46 @@
             raise errors.OutcomeUnknownError(
                 f'no reply: {exc!r}', step='exchange', peer=peer
             ) from exc
-        opened = Opened(address, conn, resp, sock)
-        self._check_echo(opened, exchange_id)
+        open_resp = OpenResponse(address, conn, resp, sock)
+        self._check_exchange_id(open_resp, exchange_id)
         if self.keeper is not None:
             self.keeper.hear(resp.getheader(headers.REVISION), now)
-        if learn is not None:
-            learn(Reported.from_reply(resp))
-        self._check_refusal(opened)
-        sock.settimeout(min(left_s, self.stall_s))
-        return opened
+        if on_status is not None:
+            on_status(SidecarStatus.from_response(resp))
+        self._check_error(open_resp)
+        sock.settimeout(min(remaining_s, self.stall_timeout_s))
+        return open_resp
 
-    def read(self, opened):
+    def read(self, open_resp):
         """Yield the body's pieces; raise unless it came to its end.
 
         Raises:
             errors.IncompleteAnswerError: the body broke off.
         """
-        resp = opened.resp
+        resp = open_resp.resp
         try:
-            yield from httpio.iter_pieces(resp, opened.sock)
+            yield from httpio.iter_pieces(resp, open_resp.sock)
         except httpio.BROKEN as exc:
-            opened.close()
-            raise _incomplete(opened, repr(exc)) from exc
+            open_resp.close()
+            raise _incomplete(open_resp, repr(exc)) from exc
         if resp.length:
-            opened.close()
-            raise _incomplete(opened, 'ended early')
+            open_resp.close()
+            raise _incomplete(open_resp, 'ended early')
         # http.client does not notice by itself that `read1` has taken the
         # last byte of a body with a length, and refuses the next request.
         resp.close()
-        opened.returned = True
-        self.pool.give_back(opened.address, opened.conn)
+        open_resp.conn_returned = True
+        self.pool.give_back(open_resp.address, open_resp.conn)
 
-    def read_whole(self, opened):
+    def read_whole(self, open_resp):
         """Return the whole body.
 
         Raises:
             errors.IncompleteAnswerError: the body broke off.
         """
-        return b''.join(self.read(opened))
+        return b''.join(self.read(open_resp))
 
-    def _head_wait_s(self, req, left_s):
+    def _header_timeout_s(self, req, remaining_s):
         """Return the longest wait for the head of a reply.
 
         A frozen process takes connections and says nothing; if the wait took
@@ -194,22 +201,22 @@
         engine begins to answer long before it has ended.
         """
         if not req.model:
-            return left_s
-        return max(left_s / 2, min(left_s, self.stall_s))
+            return remaining_s
+        return max(remaining_s / 2, min(remaining_s, self.stall_timeout_s))
 
-    def _headers(self, req, route, left_s, resume):
+    def _make_headers(self, req, route, remaining_s, resume):
         version = resume.version if resume else route.version or ''
-        once = {}
+        optional = {}
         if not req.idempotent:
-            not_after = time.time() + left_s
-            once[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
-            once[headers.NOT_AFTER] = f'{not_after:.3f}'
+            not_after = time.time() + remaining_s
+            optional[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
+            optional[headers.NOT_AFTER] = f'{not_after:.3f}'
         if self.keeper is not None:
-            once[headers.REVISION] = str(self.keeper.revision)
-        return once | {
+            optional[headers.REVISION] = str(self.keeper.revision)
+        return optional | {
             'Content-Type': req.content_type,
             headers.ACCOUNT: req.account,
-            headers.DEADLINE_MS: str(int(left_s * 1000)),
+            headers.DEADLINE_MS: str(int(remaining_s * 1000)),
             headers.DEPLOYMENT_KEY: self.deployment_key,
             headers.MODEL: headers.encode_text(req.model),
             headers.MODEL_VERSION: headers.encode_text(version),
@@ -218,42 +225,42 @@
             headers.WEIGHT: str(route.account_weight),
         }
 
-    def _check_echo(self, opened, exchange_id):
+    def _check_exchange_id(self, open_resp, exchange_id):
         """Refuse a reply that belongs to another exchange.
 
         A late or crossed reply would give a caller the answer to somebody
         else's request, and each later reply on the connection as well.
         """
-        echoed = opened.resp.getheader(headers.EXCHANGE_ID)
+        echoed = open_resp.resp.getheader(headers.EXCHANGE_ID)
         if echoed == exchange_id:
             return
-        opened.close()
+        open_resp.close()
         raise errors.OutcomeUnknownError(
             f'reply to another exchange {echoed!r}',
             step='exchange',
-            peer=str(opened.address),
+            peer=str(open_resp.address),
         )
 
-    def _check_refusal(self, opened):
+    def _check_error(self, open_resp):
         """Raise the sidecar's own error; an upstream's is an answer."""
-        if opened.resp.getheader(headers.ERROR) is None:
+        if open_resp.resp.getheader(headers.ERROR) is None:
             return
         try:
-            body = self.read_whole(opened)
+            body = self.read_whole(open_resp)
         except errors.IncompleteAnswerError as exc:
             raise errors.OutcomeUnknownError(
                 exc.message, step='exchange', peer=exc.peer
             ) from exc
-        raise httpio.read_error(body, str(opened.address))
+        raise httpio.read_error(body, str(open_resp.address))
 
 
-def _read_served(value):
+def _parse_served_versions(value):
     """Return the model versions that a sidecar says it serves."""
     names = map(headers.decode_text, value.split(','))
     return frozenset(names) - {''}
 
 
-def _resumed_body(req, resume):
+def _make_body(req, resume):
     if resume is None:
         return req.body
     return json.dumps(
@@ -261,7 +268,9 @@
     ).encode()
 
 
-def _incomplete(opened, reason):
+def _incomplete(open_resp, reason):
     return errors.IncompleteAnswerError(
-        f'answer broke off: {reason}', step='relay', peer=str(opened.address)
+        f'answer broke off: {reason}',
+        step='relay',
+        peer=str(open_resp.address),
     )
--- a/catkinshunt/entry/_request.py
+++ b/catkinshunt/entry/_request.py
@@ -11,10 +11,10 @@
 from catkinshunt import rules
 
 _SAFE_METHODS = frozenset({'GET', 'HEAD', 'OPTIONS'})
-_GENERATE = '/generate'
+_GENERATE_PATH = '/generate'
 _PREFIX_CHARS = 256
 #: Longest number taken in a header.
-_MAX_DIGITS = 12
+_MAX_DEADLINE_DIGITS = 12
 
 
 @attrs.frozen(kw_only=True)
@@ -33,7 +33,7 @@
         body: the whole body.
         content_type: of the body.
         arrived: when it came, in seconds.
-        deadline_given: whether the caller named the deadline.
+        has_deadline: whether the caller named the deadline.
         prefix: model and start of the prompt, in bytes; empty for a plain
             service.
         first_index: index of the piece that the answer is to begin with.
@@ -49,8 +49,8 @@
     deadline: float
     body: bytes
     content_type: str
-    arrived: float = 0.0
-    deadline_given: bool = True
+    arrived_at: float = 0.0
+    has_deadline: bool = True
     prefix: bytes = b''
     first_index: int = 0
 
@@ -65,30 +65,30 @@
         path = httpio.make_target('/' + rest)
         query = environ.get('QUERY_STRING')
         body = httpio.read_body(environ)
-        prompt = _Prompt.from_body(path, body)
+        engine_req = _EngineRequest.from_body(path, body)
         return cls(
             request_id=httpio.read_header(environ, headers.REQUEST_ID)
-            or _new_id(),
+            or _make_request_id(),
             service=service,
             path=httpio.make_target('/' + rest, query),
             method=environ['REQUEST_METHOD'],
             account=httpio.read_header(environ, headers.ACCOUNT),
-            model=prompt.model,
+            model=engine_req.model,
             idempotency_key=httpio.read_header(
                 environ, headers.IDEMPOTENCY_KEY
             ),
-            deadline=now + _deadline_s(environ, default_deadline_s),
+            deadline=now + _read_deadline_s(environ, default_deadline_s),
             body=body,
             content_type=environ.get('CONTENT_TYPE', ''),
-            arrived=now,
-            deadline_given=bool(
+            arrived_at=now,
+            has_deadline=bool(
                 httpio.read_header(environ, headers.DEADLINE_MS)
             ),
-            prefix=prompt.prefix,
-            first_index=prompt.first_index,
+            prefix=engine_req.prefix,
+            first_index=engine_req.first_index,
         )
 
-    def for_route(self, route):
+    def with_route_deadline(self, route):
         """Return the request with the deadline that its rule sets.
 
         The rule can shorten the time that the caller gives, and replaces the
@@ -96,8 +96,8 @@
         """
         if route.deadline_s is None:
             return self
-        deadline = self.arrived + route.deadline_s
-        if self.deadline_given:
+        deadline = self.arrived_at + route.deadline_s
+        if self.has_deadline:
             deadline = min(deadline, self.deadline)
         return attrs.evolve(self, deadline=deadline)
 
@@ -106,7 +106,7 @@
         """Whether running the request twice does no harm."""
         return self.method in _SAFE_METHODS or bool(self.model)
 
-    def subject(self, data_centre, region):
+    def make_rule_request(self, data_centre, region):
         """Return what rules see of the request."""
         return rules.Request(
             service=self.service,
@@ -120,15 +120,17 @@
         )
 
 
-def _new_id():
+def _make_request_id():
     return uuid.uuid4().hex
 
 
-def _deadline_s(environ, default_s):
+def _read_deadline_s(environ, default_s):
     text = httpio.read_header(environ, headers.DEADLINE_MS)
     if not text:
         return default_s
-    if not (text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS):
+    if not (
+        text.isascii() and text.isdigit() and len(text) <= _MAX_DEADLINE_DIGITS
+    ):
         raise errors.InvalidRequestError(
             f'{headers.DEADLINE_MS} must be whole milliseconds, '
             f'got {text[:20]!r}',
@@ -138,7 +140,7 @@
 
 
 @attrs.frozen
-class _Prompt:
+class _EngineRequest:
     """What the entry reads of a request to an engine."""
 
     model: str = ''
@@ -152,7 +154,7 @@
         Raises:
             errors.InvalidRequestError: it is not such a body.
         """
-        if path != _GENERATE:
+        if path != _GENERATE_PATH:
             return cls()
         try:
             value = checks.load_json(body)
--- a/catkinshunt/entry/_upstream_selector.py
+++ b/catkinshunt/entry/_upstream_selector.py
@@ -3,11 +3,11 @@
 from catkinshunt import base
 from catkinshunt import routing
 
-_UPSTREAM = 'upstream'
+_UPSTREAM_ROLE = 'upstream'
 _STATES = {'leaving': routing.State.LEAVING}
 
 
-class Fleet(base.ParamsMixin):
+class UpstreamSelector(base.ParamsMixin):
     """Hands the instance list to a `routing.Router` when it has changed.
 
     Args:
@@ -18,7 +18,7 @@
     def __init__(self, router, directory):
         self.router = router
         self.directory = directory
-        self._offered = None
+        self._routed_revision = None
 
     def choose(self, req, now, policy_name=None):
         """Return the `routing.Choice` for a `routing.RouteRequest`.
@@ -29,12 +29,12 @@
             policy_name: the rule's policy, or None for the router's.
         """
         revision = self.directory.revision
-        if revision != self._offered:
-            self._offered = revision
+        if revision != self._routed_revision:
+            self._routed_revision = revision
             self.router.offer(
-                _make_view(instance)
+                _make_upstream_view(instance)
                 for instance in self.directory.instances
-                if instance.role == _UPSTREAM
+                if instance.role == _UPSTREAM_ROLE
             )
         policy = routing.find_policy(policy_name) if policy_name else None
         return self.router.choose(req, now, policy)
@@ -44,7 +44,7 @@
         self.router.observe(observation, now)
 
 
-def _make_view(instance):
+def _make_upstream_view(instance):
     return routing.UpstreamView(
         name=instance.name,
         address=instance.address,
--- a/catkinshunt/entry/tests/harness.py
+++ b/catkinshunt/entry/tests/harness.py
@@ -16,7 +16,7 @@
 
 KEY = 'a key of this deployment'
 MODEL, VERSION = 'drafts', 'v1'
-PLACE = {
+BASE_SETTINGS = {
     'name': 'here',
     'region': 'thessalia',
     'data_centre': 'larisa-a',
@@ -43,10 +43,10 @@
         return {'wanted': {}, 'served': self.served}
 
 
-class Once:
+class DispatchAlways:
     """Stands for the at-most-once record; these requests have no key."""
 
-    def answer(self, req, dispatch, now, epoch_now):
+    def execute(self, req, dispatch, now, epoch_now):
         """Run the request."""
         return dispatch()
 
@@ -152,7 +152,7 @@
     return head + body + (b'0\r\n\r\n' if end else b'')
 
 
-class Flow(contextlib.ExitStack):
+class Harness(contextlib.ExitStack):
     """An entry before sidecars, closed together."""
 
     def __init__(self, **routes):
@@ -176,15 +176,17 @@
         ]
         keeper = configuration.Keeper()
         keeper.offer(configuration.EMPTY.edited('first', steps), now=0.0)
-        cfg = settings.structure(PLACE, settings.EntrySettings)
-        self.entry_app = entry.EntryApp(cfg, keeper, self.directory, Once())
+        cfg = settings.structure(BASE_SETTINGS, settings.EntrySettings)
+        self.entry_app = entry.EntryApp(
+            cfg, keeper, self.directory, DispatchAlways()
+        )
         self.entry = self.enter_context(
             httpio.HttpServer(self.entry_app, threads=32)
         )
 
     def upstream(self, name, service, address, is_engine=False, **given):
         """Put a sidecar before the upstream at `address`, and list it."""
-        cfg = PLACE | {
+        cfg = BASE_SETTINGS | {
             'name': name,
             'service': service,
             'upstream': str(address),
@@ -208,7 +210,7 @@
         self.upstream(name, service, upstream.address, is_engine, **given)
         return upstream
 
-    def ask(self, path, value=None, method=None, deadline_s=20, **given):
+    def send(self, path, value=None, method=None, deadline_s=20, **given):
         """Send one request to the entry; return its `httpio.Reply`."""
         sent = {headers.DEADLINE_MS: str(int(deadline_s * 1000))} | given
         body = None if value is None else json.dumps(value).encode()
@@ -224,10 +226,10 @@
     def generate_broken(self, count):
         """Ask for an answer that breaks off; return what came of it."""
         conn = http.client.HTTPConnection(self.entry.host, self.entry.port)
-        asked = {'model': MODEL, 'prompt': 'bend', 'max_pieces': count}
+        generate_body = {'model': MODEL, 'prompt': 'bend', 'max_pieces': count}
         got = b''
         try:
-            conn.request('POST', '/models/generate', json.dumps(asked))
+            conn.request('POST', '/models/generate', json.dumps(generate_body))
             resp = conn.getresponse()
             while piece := resp.read1():
                 got += piece
@@ -240,4 +242,4 @@
     def generate(self, count, prompt='bend', **given):
         """Ask the model for an answer of `count` pieces."""
         value = {'model': MODEL, 'prompt': prompt, 'max_pieces': count}
-        return self.ask('/models/generate', value, **given)
+        return self.send('/models/generate', value, **given)
--- a/catkinshunt/entry/tests/test_concurrency.py
+++ b/catkinshunt/entry/tests/test_concurrency.py
@@ -6,39 +6,39 @@
 from catkinshunt import errors
 
 
-def test_one_account_may_use_what_nobody_else_wants():
-    gate = _concurrency.Gate(threads=16)
+def test_single_account_may_use_all_unreserved_threads():
+    limiter = _concurrency.ConcurrencyLimiter(threads=16)
     for _ in range(14):
-        gate.begin('a')
+        limiter.acquire('a')
     with pytest.raises(errors.OverloadedError) as caught:
-        gate.begin('a')
+        limiter.acquire('a')
     assert (caught.value.ran, caught.value.retry_after_s) == ('no', 1.0)
 
 
-def test_large_account_leaves_places_for_others():
+def test_large_account_leaves_threads_for_others():
     """A large account floods an entry while small ones ask now and then.
 
     Their requests would find all threads taken and be refused.
     """
-    gate = _concurrency.Gate(threads=16)
-    gate.begin('small')
+    limiter = _concurrency.ConcurrencyLimiter(threads=16)
+    limiter.acquire('small')
     for _ in range(7):
-        gate.begin('large')
+        limiter.acquire('large')
     with pytest.raises(errors.OverloadedError):
-        gate.begin('large')
+        limiter.acquire('large')
     for name in ('b', 'c', 'd'):
-        gate.begin(name)
-    gate.end('large')
+        limiter.acquire(name)
+    limiter.release('large')
     with pytest.raises(errors.OverloadedError):
-        gate.begin('large')
+        limiter.acquire('large')
 
 
-def test_leaving_refuses_as_not_run_and_ends_what_is_there():
-    gate = _concurrency.Gate(threads=4)
-    gate.begin('a')
-    gate.leave()
+def test_leaving_rejects_new_requests_and_finishes_those_in_progress():
+    limiter = _concurrency.ConcurrencyLimiter(threads=4)
+    limiter.acquire('a')
+    limiter.leave()
     with pytest.raises(errors.LeavingError) as caught:
-        gate.begin('a')
+        limiter.acquire('a')
     assert caught.value.ran == 'no'
-    assert list(gate.hold('a', [b'x'])) == [b'x']
-    assert gate.report() == {'in_progress': 0, 'accounts': 0}
+    assert list(limiter.release_after('a', [b'x'])) == [b'x']
+    assert limiter.report() == {'in_progress': 0, 'accounts': 0}
--- a/catkinshunt/entry/tests/test_delivery.py
+++ b/catkinshunt/entry/tests/test_delivery.py
@@ -13,7 +13,7 @@
 from catkinshunt import routing
 
 
-class Fleet:
+class UpstreamSelector:
     """Gives a new upstream for each try."""
 
     def choose(self, wanted, now, policy_name=None):
@@ -38,11 +38,11 @@
             raise result
         return result
 
-    def read(self, opened):
-        yield from opened.pieces
+    def read(self, open_resp):
+        yield from open_resp.pieces
 
 
-def opened(version, *pieces):
+def open_resp(version, *pieces):
     """Return a stream of `pieces` that a model version answers with."""
     reply = types.SimpleNamespace(
         status=200, length=None, getheader=lambda name, default=None: default
@@ -51,7 +51,7 @@
         address='127.0.0.1:1',
         conn=None,
         resp=reply,
-        streamed=True,
+        is_stream=True,
         model_version=version,
         pieces=pieces,
         close=lambda: None,
@@ -76,10 +76,12 @@
     )
     rule = types.SimpleNamespace(name='route', then=route)
     retry = retries.RetryPolicy()
-    return _delivery.Delivery(Fleet(), relay, retry, req, rule).answer()
+    return _delivery.Delivery(
+        UpstreamSelector(), relay, retry, req, rule
+    ).deliver()
 
 
-def test_refusal_after_a_try_that_may_have_run_is_not_told_as_not_run():
+def test_rejection_after_an_attempt_that_may_have_run_is_outcome_unknown():
     """The first runner dies without an answer and all others refuse.
 
     The last refusal is true for its own try only. Told as it is, the caller
@@ -93,14 +95,14 @@
     assert caught.value.retry_after_s == 2.0
 
 
-def test_stream_does_not_go_on_from_another_version():
+def test_stream_is_not_resumed_from_another_version():
     """A runner dies, and the sidecar of the next one is of an older build.
 
     It does not look at the version asked for, and its engine has changed.
     """
     relay = Relay(
-        opened('v1', harness.lines(0)),
-        opened('v2', harness.lines(1, pieces=2)),
+        open_resp('v1', harness.lines(0)),
+        open_resp('v2', harness.lines(1, pieces=2)),
     )
     got = []
     with pytest.raises(errors.IncompleteAnswerError):
--- a/catkinshunt/entry/tests/test_lines.py
+++ b/catkinshunt/entry/tests/test_lines.py
@@ -14,39 +14,39 @@
 
 @settings(derandomize=True, database=None, max_examples=80)
 @given(st.lists(st.integers(0, len(WHOLE)), max_size=6))
-def test_any_cuts_give_the_same_lines(cuts):
-    follower = _lines.LineFollower()
+def test_lines_do_not_depend_on_piece_boundaries(cuts):
+    validator = _lines.LineValidator()
     places = [0, *sorted(cuts), len(WHOLE)]
     got = b''.join(
-        follower.feed(WHOLE[begin:end])
+        validator.feed(WHOLE[begin:end])
         for begin, end in zip(places, places[1:], strict=False)
     )
     assert got == WHOLE
-    follower.check_end()
+    validator.check_end()
 
 
 @settings(derandomize=True, database=None, max_examples=80)
 @given(st.integers(0, len(WHOLE) - 1))
-def test_any_break_is_taken_up_at_the_next_line(cut):
+def test_break_at_any_byte_resumes_at_the_next_line(cut):
     """A runner dies at any byte of its answer.
 
     Whatever the byte, the lines before it and the rest from elsewhere make
     the whole answer, with nothing twice and nothing missing.
     """
-    follower = _lines.LineFollower()
-    got = follower.feed(WHOLE[:cut])
-    if follower.done:
+    validator = _lines.LineValidator()
+    got = validator.feed(WHOLE[:cut])
+    if validator.done:
         return
     with pytest.raises(errors.IncompleteAnswerError):
-        follower.check_end()
-    follower.drop_part()
-    rest = harness.lines(*range(follower.next_index, 5), pieces=5)
-    assert got + follower.feed(rest) == WHOLE
-    follower.check_end()
+        validator.check_end()
+    validator.discard_partial_line()
+    rest = harness.lines(*range(validator.next_index, 5), pieces=5)
+    assert got + validator.feed(rest) == WHOLE
+    validator.check_end()
 
 
-def test_line_without_an_end_is_bounded():
-    follower = _lines.LineFollower()
-    follower.feed(b'x' * (2 * 1024 * 1024))
+def test_unterminated_line_is_limited_in_length():
+    validator = _lines.LineValidator()
+    validator.feed(b'x' * (2 * 1024 * 1024))
     with pytest.raises(errors.IncompleteAnswerError):
-        follower.check()
+        validator.check()
--- a/catkinshunt/entry/tests/test_relay.py
+++ b/catkinshunt/entry/tests/test_relay.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize('body', [[b'{"stock": 12}'], []])
-def test_next_request_on_a_kept_connection(body):
+def test_next_request_on_a_reused_connection(body):
     """An answer with a known length was read, and its connection kept.
 
     The next request on that connection failed before it was sent, and its
@@ -49,7 +49,7 @@
         relay = _relay.Relay(pool, 'key')
         address = httpio.Address(server.host, server.port)
         for number in range(3):
-            opened = relay.open(request(number), ROUTE, address, now=0.0)
-            assert b''.join(relay.read(opened)) == b''.join(body)
+            open_resp = relay.open(request(number), ROUTE, address, now=0.0)
+            assert b''.join(relay.read(open_resp)) == b''.join(body)
         pool.close()
     assert len(clients) == 1
--- a/catkinshunt/entry/tests/test_streams.py
+++ b/catkinshunt/entry/tests/test_streams.py
@@ -14,12 +14,12 @@
 
 
 @pytest.fixture
-def run():
-    with harness.Flow(models={}, desk={}) as made:
+def deployment():
+    with harness.Harness(models={}, desk={}) as made:
         yield made
 
 
-def test_stream_dies_and_goes_on_elsewhere(run):
+def test_broken_stream_is_resumed_elsewhere(deployment):
     """An engine dies while it streams, in the middle of a line.
 
     Another runner of the same version goes on at the next piece; the caller
@@ -31,9 +31,9 @@
     def reply(request):
         return rest if b'"resume_from": 2' in request else cut
 
-    one = run.scripted('a', 'models', reply, is_engine=True)
-    two = run.scripted('b', 'models', reply, is_engine=True)
-    answer = harness.texts(run.generate(3))
+    one = deployment.scripted('a', 'models', reply, is_engine=True)
+    two = deployment.scripted('b', 'models', reply, is_engine=True)
+    answer = harness.texts(deployment.generate(3))
     assert answer == (['t0', 't1', 't2'], {'done': True, 'pieces': 3})
     assert (len(one.requests), len(two.requests)) == (1, 1)
 
@@ -49,20 +49,20 @@
     ],
     ids=['no end', 'too few', 'gap', 'twice', 'nonsense'],
 )
-def test_stream_that_is_not_whole_never_passes_as_whole(run, body):
+def test_incomplete_stream_never_ends_as_complete(deployment, body):
     """An engine ends its stream politely but pieces are missing or doubled.
 
     The caller would take a fault explanation that is cut off for the whole.
     It gets a last line that names the error, and no proper end.
     """
-    run.scripted('a', 'models', harness.chunked(body), is_engine=True)
-    got = run.generate_broken(3)
+    deployment.scripted('a', 'models', harness.chunked(body), is_engine=True)
+    got = deployment.generate_broken(3)
     last = json.loads(got.splitlines()[-1])
     assert last['error']['code'] == 'incomplete'
     assert b'"done"' not in got
 
 
-def test_other_version_never_goes_on_with_a_stream(run):
+def test_stream_is_never_resumed_from_another_version(deployment):
     """A runner dies and the other one has changed to a new version.
 
     Pieces of both would make an answer of neither model.
@@ -73,15 +73,15 @@
     def reply(request):
         return new if b'resume_from' in request else cut
 
-    run.scripted('a', 'models', reply, is_engine=True)
-    run.scripted('b', 'models', reply, is_engine=True)
-    got = run.generate_broken(3)
+    deployment.scripted('a', 'models', reply, is_engine=True)
+    deployment.scripted('b', 'models', reply, is_engine=True)
+    got = deployment.generate_broken(3)
     assert json.loads(got.splitlines()[-1])['error']['code'] == 'incomplete'
     assert got.startswith(harness.lines(0))
     assert harness.lines(1) not in got
 
 
-def test_caller_goes_away_and_the_engine_is_told(run):
+def test_disconnected_caller_cancels_the_engine_request(deployment):
     """A caller hangs up in the middle of a long answer.
 
     The engine would go on for nobody and hold a place that others wait for.
@@ -111,52 +111,54 @@
 
     with httpio.HttpServer(app, threads=4) as server:
         address = httpio.Address(server.host, server.port)
-        run.upstream('a', 'models', address, is_engine=True)
-        conn = http.client.HTTPConnection(run.entry.host, run.entry.port)
-        asked = {'model': harness.MODEL, 'prompt': 'x'}
-        conn.request('POST', '/models/generate', json.dumps(asked))
+        deployment.upstream('a', 'models', address, is_engine=True)
+        conn = http.client.HTTPConnection(
+            deployment.entry.host, deployment.entry.port
+        )
+        generate_body = {'model': harness.MODEL, 'prompt': 'x'}
+        conn.request('POST', '/models/generate', json.dumps(generate_body))
         resp = conn.getresponse()
         assert resp.read1().startswith(b'{"index": 0')
         resp.close()
         conn.close()
         gone.set()
         assert cancelled.wait(20)
-        assert run.apps['a'].admission.join(20)
+        assert deployment.apps['a'].admission.join(20)
 
 
-def test_engine_that_stalls_is_left_for_another(run):
+def test_stalled_stream_is_resumed_elsewhere(deployment):
     """An engine freezes in the middle of an answer; its connection stays.
 
     The caller would wait until the deadline for a piece that never comes.
     """
-    run.entry_app._relay.stall_s = 0.2
+    deployment.entry_app._relay.stall_timeout_s = 0.2
     freed = threading.Event()
 
     def app(environ, start_response):
-        asked = json.loads(httpio.read_body(environ))
+        generate_body = json.loads(httpio.read_body(environ))
         kind = ('Content-Type', 'application/x-ndjson')
         version = ('Model-Version', harness.VERSION)
-        return httpio.Response(200, pieces(asked), (kind, version)).send(
-            start_response
-        )
+        return httpio.Response(
+            200, pieces(generate_body), (kind, version)
+        ).send(start_response)
 
-    def pieces(asked):
-        if 'resume_from' not in asked:
+    def pieces(generate_body):
+        if 'resume_from' not in generate_body:
             yield harness.lines(0)
             freed.wait(20)
             return
-        yield harness.lines(*range(asked['resume_from'], 2), pieces=2)
+        yield harness.lines(*range(generate_body['resume_from'], 2), pieces=2)
 
     with httpio.HttpServer(app, threads=8) as server:
         address = httpio.Address(server.host, server.port)
         for name in ('a', 'b'):
-            run.upstream(name, 'models', address, is_engine=True)
-        answer = harness.texts(run.generate(2))
+            deployment.upstream(name, 'models', address, is_engine=True)
+        answer = harness.texts(deployment.generate(2))
         freed.set()
     assert answer == (['t0', 't1'], {'done': True, 'pieces': 2})
 
 
-def test_planned_stop_cuts_nothing(run):
+def test_planned_stop_finishes_a_stream(deployment):
     """An entry and a sidecar are stopped while a long answer is on its way.
 
     It comes to its end; a request that comes later is refused as not run.
@@ -179,24 +181,24 @@
 
     with httpio.HttpServer(app, threads=4) as server:
         address = httpio.Address(server.host, server.port)
-        side = run.upstream('a', 'models', address, is_engine=True)
+        side = deployment.upstream('a', 'models', address, is_engine=True)
         replies = []
         thread = threading.Thread(
-            target=lambda: replies.append(run.generate(2))
+            target=lambda: replies.append(deployment.generate(2))
         )
         thread.start()
         assert going.wait(20)
         side.leave()
-        run.entry_app.leave()
-        late = run.generate(2)
+        deployment.entry_app.leave()
+        late = deployment.generate(2)
         assert (late.status, harness.error_of(late)['code']) == (
             503,
             'leaving',
         )
         assert harness.error_of(late)['ran'] == 'no'
-        assert not run.entry.join(0.05)
+        assert not deployment.entry.join(0.05)
         freed.set()
-        assert run.entry.join(20) and side.admission.join(20)
+        assert deployment.entry.join(20) and side.admission.join(20)
         thread.join(20)
     assert harness.texts(replies[0]) == (
         ['t0', 't1'],
@@ -204,15 +206,15 @@
     )
 
 
-def test_sidecar_that_does_not_check_versions_mixes_none():
+def test_entry_checks_the_version_of_a_resumed_stream():
     """A sidecar of an older release goes on from whatever its engine holds.
 
     Pieces of two versions would make an answer of neither model.
     """
 
     def app(environ, start_response):
-        asked = json.loads(httpio.read_body(environ))
-        resumed = 'resume_from' in asked
+        generate_body = json.loads(httpio.read_body(environ))
+        resumed = 'resume_from' in generate_body
         given = (
             ('Content-Type', 'application/x-ndjson'),
             ('Model-Version', 'v2' if resumed else 'v1'),
@@ -221,16 +223,19 @@
         body = harness.lines(1, pieces=2) if resumed else harness.lines(0)
         return httpio.Response(200, iter([body]), given).send(start_response)
 
-    with harness.Flow(models={}) as run, httpio.HttpServer(app) as server:
+    with (
+        harness.Harness(models={}) as deployment,
+        httpio.HttpServer(app) as server,
+    ):
         address = httpio.Address(server.host, server.port)
         for name in ('a', 'b'):
-            run.directory.add(name, 'models', address)
-        got = run.generate_broken(2)
+            deployment.directory.add(name, 'models', address)
+        got = deployment.generate_broken(2)
     assert harness.lines(1) not in got
     assert json.loads(got.splitlines()[-1])['error']['code'] == 'incomplete'
 
 
-def test_stream_that_is_not_whole_leaves_kept_connections_alone():
+def test_incomplete_stream_does_not_close_a_pooled_connection():
     """A stream ends as it should, but a piece is missing.
 
     Its connection was kept again by then; the entry closed it all the same,
@@ -238,8 +243,8 @@
     """
 
     def app(environ, start_response):
-        asked = json.loads(httpio.read_body(environ))
-        good = asked['prompt'] == 'good'
+        generate_body = json.loads(httpio.read_body(environ))
+        good = generate_body['prompt'] == 'good'
         given = (
             ('Content-Type', 'application/x-ndjson'),
             ('Model-Version', 'v1'),
@@ -248,25 +253,28 @@
         body = harness.lines(0, pieces=1) if good else harness.lines(0)
         return httpio.Response(200, iter([body]), given).send(start_response)
 
-    with harness.Flow(models={}) as run, httpio.HttpServer(app) as server:
+    with (
+        harness.Harness(models={}) as deployment,
+        httpio.HttpServer(app) as server,
+    ):
         address = httpio.Address(server.host, server.port)
-        run.directory.add('a', 'models', address)
-        run.entry_app._retry.max_tries = 1
-        run.generate_broken(1)
-        run.directory.revision += 1
-        run.directory.instances = ()
-        assert run.generate(1, prompt='good').status == 503
-        run.directory.add('b', 'models', address)
-        assert run.generate(1, prompt='good').status == 200
-
-
-def test_wait_for_a_piece_is_bounded(run):
-    run.scripted(
+        deployment.directory.add('a', 'models', address)
+        deployment.entry_app._retry.max_tries = 1
+        deployment.generate_broken(1)
+        deployment.directory.revision += 1
+        deployment.directory.instances = ()
+        assert deployment.generate(1, prompt='good').status == 503
+        deployment.directory.add('b', 'models', address)
+        assert deployment.generate(1, prompt='good').status == 200
+
+
+def test_wait_for_a_piece_has_a_timeout(deployment):
+    deployment.scripted(
         'a', 'models', harness.chunked(harness.lines(0)), is_engine=True
     )
-    relay = run.entry_app._relay
-    relay.stall_s = 0.25
-    server = run.servers['a']
+    relay = deployment.entry_app._relay
+    relay.stall_timeout_s = 0.25
+    server = deployment.servers['a']
     req = _request.CallerRequest(
         request_id='r',
         service='models',
@@ -279,11 +287,11 @@
         body=b'{}',
         content_type='',
     )
-    opened = relay.open(
+    open_resp = relay.open(
         req,
         rules.Route(service='models'),
         httpio.Address(server.host, server.port),
         now=0.0,
     )
-    assert opened.sock.gettimeout() == 0.25
-    opened.close()
+    assert open_resp.sock.gettimeout() == 0.25
+    open_resp.close()
--- a/catkinshunt/entry/tests/test_upstream_failures.py
+++ b/catkinshunt/entry/tests/test_upstream_failures.py
@@ -15,21 +15,21 @@
 
 
 @pytest.fixture
-def run():
-    with harness.Flow(models={}, desk={}) as made:
+def deployment():
+    with harness.Harness(models={}, desk={}) as made:
         yield made
 
 
-def test_dies_before_headers_then_answered_elsewhere(run):
+def test_engine_that_dies_before_headers_is_retried_elsewhere(deployment):
     """An engine takes a request and dies before it says a word.
 
     The model request does no harm twice, so it is sent to another runner,
     and the caller notices only a little time.
     """
-    run.scripted('a', 'models', b'', is_engine=True)
-    run.scripted('b', 'models', WHOLE, is_engine=True)
+    deployment.scripted('a', 'models', b'', is_engine=True)
+    deployment.scripted('b', 'models', WHOLE, is_engine=True)
     for number in range(6):
-        reply = run.generate(3, prompt=f'p{number}')
+        reply = deployment.generate(3, prompt=f'p{number}')
         assert reply.status == 200
         assert harness.texts(reply) == (
             ['t0', 't1', 't2'],
@@ -37,65 +37,65 @@
         )
 
 
-def test_booking_lost_before_headers_is_unknown_and_not_repeated(run):
+def test_booking_lost_before_headers_is_unknown_and_not_retried(deployment):
     """A plain service takes a booking and dies before it answers.
 
     It may have booked. Sent elsewhere it might book twice, so the caller is
     told that nobody knows.
     """
-    one = run.scripted('a', 'desk', b'')
-    two = run.scripted('b', 'desk', b'')
-    reply = run.ask('/desk/bookings', {'order': 1})
+    one = deployment.scripted('a', 'desk', b'')
+    two = deployment.scripted('b', 'desk', b'')
+    reply = deployment.send('/desk/bookings', {'order': 1})
     assert reply.status == 502
     assert harness.error_of(reply)['ran'] == 'unknown'
     assert len(one.requests) + len(two.requests) == 1
 
 
-def test_refused_connection_is_not_run_and_goes_elsewhere(run):
+def test_refused_connection_is_retried_elsewhere(deployment):
     """The upstream's process is gone and its port refuses connections.
 
     Nothing ran, so even a booking may go to another upstream.
     """
     gone = harness.ScriptedUpstream(b'')
     gone.close()
-    run.upstream('a', 'desk', gone.address)
-    good = run.scripted('b', 'desk', BOOKED)
+    deployment.upstream('a', 'desk', gone.address)
+    good = deployment.scripted('b', 'desk', BOOKED)
     for _ in range(4):
-        assert run.ask('/desk/bookings', {'order': 1}).status == 201
+        assert deployment.send('/desk/bookings', {'order': 1}).status == 201
     assert len(good.requests) == 4
 
 
-def test_all_refused_says_not_run(run):
+def test_rejection_by_all_upstreams_reports_not_run(deployment):
     """Every upstream of a service is gone.
 
     The caller gets its refusal at once, as not run, with when to come back.
     """
     gone = harness.ScriptedUpstream(b'')
     gone.close()
-    run.upstream('a', 'desk', gone.address)
-    reply = run.ask('/desk/bookings', {'order': 1})
+    deployment.upstream('a', 'desk', gone.address)
+    reply = deployment.send('/desk/bookings', {'order': 1})
     assert (reply.status, harness.error_of(reply)['ran']) == (503, 'no')
     assert harness.error_of(reply)['retry_after_s'] > 0
 
 
-def test_short_answer_of_known_length(run):
+def test_truncated_body_with_content_length(deployment):
     """A plain service dies in the middle of an answer.
 
     A read is asked again elsewhere; a booking has run, and says so.
     """
     short = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
     good = b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole'
-    run.scripted('a', 'desk', short)
-    run.scripted('b', 'desk', good)
+    deployment.scripted('a', 'desk', short)
+    deployment.scripted('b', 'desk', good)
     for _ in range(4):
-        assert run.ask('/desk/stock').body == b'whole'
-    with harness.Flow(desk={}) as alone:
+        assert deployment.send('/desk/stock').body == b'whole'
+    with harness.Harness(desk={}) as alone:
         alone.scripted('a', 'desk', short)
-        reply = alone.ask('/desk/bookings', {'order': 1})
+        reply = alone.send('/desk/bookings', {'order': 1})
         assert harness.error_of(reply)['ran'] in ('yes', 'unknown')
 
 
-def test_reply_to_another_exchange_is_refused():
+def test_reply_to_another_exchange_is_rejected():
     """A reply crosses with another one on its way through something between.
 
     The caller must not get somebody else's answer, here a stock figure.
@@ -105,15 +105,18 @@
         given = ((headers.EXCHANGE_ID, 'of another'), ('Content-Length', '3'))
         return httpio.Response(200, [b'999'], given).send(start_response)
 
-    with harness.Flow(desk={}) as run, httpio.HttpServer(wrong) as server:
+    with (
+        harness.Harness(desk={}) as deployment,
+        httpio.HttpServer(wrong) as server,
+    ):
         address = httpio.Address(server.host, server.port)
-        run.directory.add('a', 'desk', address)
-        reply = run.ask('/desk/stock')
+        deployment.directory.add('a', 'desk', address)
+        reply = deployment.send('/desk/stock')
         assert reply.status == 502
         assert harness.error_of(reply)['ran'] == 'unknown'
 
 
-def test_late_bytes_on_a_kept_connection_are_not_an_answer():
+def test_late_bytes_on_an_idle_connection_are_not_an_answer():
     """An upstream sends a second, late reply after the first was read.
 
     Taken for the answer to the next request it would be a wrong one, and so
@@ -133,27 +136,29 @@
     server.close()
 
 
-def test_leaving_sidecar_gets_nothing_new(run):
+def test_leaving_sidecar_receives_no_new_requests(deployment):
     """An instance is stopped as planned; the list does not say so yet.
 
     Its refusal, not run, sends the booking elsewhere, and from then on
     nothing goes to it.
     """
-    one = run.scripted('a', 'desk', BOOKED)
-    two = run.scripted('b', 'desk', BOOKED)
-    run.apps['a'].leave()
+    one = deployment.scripted('a', 'desk', BOOKED)
+    two = deployment.scripted('b', 'desk', BOOKED)
+    deployment.apps['a'].leave()
     for number in range(12):
-        assert run.ask('/desk/bookings', {'order': number}).status == 201
+        assert (
+            deployment.send('/desk/bookings', {'order': number}).status == 201
+        )
     assert (len(one.requests), len(two.requests)) == (0, 12)
-    states = {view.name: view.state for view in _views(run)}
+    states = {view.name: view.state for view in _views(deployment)}
     assert states['a'] == 'leaving'
 
 
-def _views(run):
-    return run.entry_app._fleet.router.report()
+def _views(deployment):
+    return deployment.entry_app._selector.router.report()
 
 
-def test_large_account_flood_does_not_hold_up_a_small_one(run):
+def test_flood_of_a_large_account_does_not_delay_a_small_one(deployment):
     """A large account sends more than the upstream's queue holds at once.
 
     Its newest are refused at once as not run; the small account's request
@@ -171,25 +176,27 @@
 
     with httpio.HttpServer(app, threads=4) as server:
         address = httpio.Address(server.host, server.port)
-        side = run.upstream('a', 'desk', address, concurrency=1, threads=14)
+        side = deployment.upstream(
+            'a', 'desk', address, concurrency=1, threads=14
+        )
         replies = {'large': [], 'small': []}
         fair = threading.Condition()
 
-        def ask(account):
+        def send(account):
             given = {headers.ACCOUNT: account}
-            reply = run.ask('/desk/draw', {'for': account}, **given)
+            reply = deployment.send('/desk/draw', {'for': account}, **given)
             with fair:
                 replies[account].append(reply)
                 fair.notify_all()
 
         threads = [
-            threading.Thread(target=ask, args=('large',)) for _ in range(9)
+            threading.Thread(target=send, args=('large',)) for _ in range(9)
         ]
         for thread in threads:
             thread.start()
         with fair:
             assert fair.wait_for(lambda: len(replies['large']) >= 3, 20)
-        small = threading.Thread(target=ask, args=('small',))
+        small = threading.Thread(target=send, args=('small',))
         small.start()
         with fair:
             assert fair.wait_for(lambda: len(replies['large']) >= 4, 20)
@@ -204,13 +211,13 @@
     assert b'small' in served[1] or b'small' in served[2]
 
 
-def test_deadline_is_passed_on_and_refused_when_over(run):
-    run.scripted('a', 'desk', BOOKED)
-    reply = run.ask('/desk/stock', deadline_s=0)
+def test_expired_deadline_is_rejected_as_not_run(deployment):
+    deployment.scripted('a', 'desk', BOOKED)
+    reply = deployment.send('/desk/stock', deadline_s=0)
     assert harness.error_of(reply)['ran'] == 'no'
 
 
-def test_engine_that_lost_its_model_counts_as_not_run(run):
+def test_engine_without_its_model_counts_as_not_run(deployment):
     """An engine was restarted and has no model; its sidecar does not know.
 
     Its "not found" is no answer, as another runner has the model.
@@ -221,9 +228,9 @@
         with httpio.HttpServer(real.app) as full:
             for name, server in (('a', empty), ('b', full)):
                 address = httpio.Address(server.host, server.port)
-                run.upstream(name, 'models', address, is_engine=True)
+                deployment.upstream(name, 'models', address, is_engine=True)
             for number in range(5):
-                reply = run.generate(4, prompt=f'p{number}')
+                reply = deployment.generate(4, prompt=f'p{number}')
                 expected = engine.answer_pieces(
                     harness.MODEL, harness.VERSION, f'p{number}', 4
                 )
@@ -231,20 +238,20 @@
 
 
 @pytest.mark.parametrize('prompt', ['p0', 'p1', 'p2', 'p3'])
-def test_unknown_is_never_turned_into_not_run(run, prompt):
+def test_unknown_outcome_is_never_reported_as_not_run(deployment, prompt):
     """One try may have run, and another is refused as not run.
 
     "Not run" would be a lie for the request, whichever came first.
     """
-    run.scripted('a', 'models', b'', is_engine=True)
+    deployment.scripted('a', 'models', b'', is_engine=True)
     gone = harness.ScriptedUpstream(b'')
     gone.close()
-    run.upstream('b', 'models', gone.address, is_engine=True)
-    reply = run.generate(3, prompt=prompt)
+    deployment.upstream('b', 'models', gone.address, is_engine=True)
+    reply = deployment.generate(3, prompt=prompt)
     assert harness.error_of(reply)['ran'] == 'unknown'
 
 
-def test_booking_never_goes_on_a_kept_connection():
+def test_booking_is_never_sent_on_a_reused_connection():
     """A sidecar may close a kept connection just as a booking is sent on it.
 
     Nobody could tell whether it ran, and the caller would be told so.
@@ -259,17 +266,20 @@
         )
         return httpio.Response(200, [b'{}'], given).send(start_response)
 
-    with harness.Flow(desk={}) as run, httpio.HttpServer(app) as server:
+    with (
+        harness.Harness(desk={}) as deployment,
+        httpio.HttpServer(app) as server,
+    ):
         address = httpio.Address(server.host, server.port)
-        run.directory.add('a', 'desk', address)
-        run.ask('/desk/stock')
-        run.ask('/desk/stock')
-        run.ask('/desk/bookings', {'order': 1})
+        deployment.directory.add('a', 'desk', address)
+        deployment.send('/desk/stock')
+        deployment.send('/desk/stock')
+        deployment.send('/desk/bookings', {'order': 1})
     ports = [port for _, port in clients]
     assert ports[0] == ports[1] != ports[2]
 
 
-def test_half_of_the_upstreams_gone(run):
+def test_half_of_the_upstreams_unreachable(deployment):
     """Half of the upstreams die at once while requests go on.
 
     Each request is answered, and after the first failures the dead ones get
@@ -279,11 +289,13 @@
         if name in ('a', 'c'):
             gone = harness.ScriptedUpstream(b'')
             gone.close()
-            run.upstream(name, 'desk', gone.address)
+            deployment.upstream(name, 'desk', gone.address)
         else:
-            run.scripted(name, 'desk', BOOKED)
+            deployment.scripted(name, 'desk', BOOKED)
     for number in range(30):
-        assert run.ask('/desk/bookings', {'order': number}).status == 201
-    tries = 30 + sum(view.state == 'suspect' for view in _views(run))
+        assert (
+            deployment.send('/desk/bookings', {'order': number}).status == 201
+        )
+    tries = 30 + sum(view.state == 'suspect' for view in _views(deployment))
     assert tries == 32
-    assert run.entry_app._retry.budget.report()['tokens'] > 5
+    assert deployment.entry_app._retry.budget.report()['tokens'] > 5
--- a/catkinshunt/sidecar/_app.py
+++ b/catkinshunt/sidecar/_app.py
@@ -13,11 +13,11 @@
 from catkinshunt.sidecar import _forward
 from catkinshunt.sidecar import _request
 
-_PREFIX = '/upstream'
+_UPSTREAM_PREFIX = '/upstream'
 _log = logs.get_logger('sidecar')
 #: Threads left for refusals and chunks when all places and the queue are
 #: taken; a request that found no thread could not even be refused.
-_SPARE_THREADS = 8
+_RESERVED_THREADS = 8
 
 
 class SidecarApp(base.ParamsMixin):
@@ -31,10 +31,10 @@
     def __init__(self, cfg, placement):
         self.cfg = cfg
         self.placement = placement
-        self._seen = claims.SeenAttempts()
-        queued = max(1, cfg.threads - cfg.concurrency - _SPARE_THREADS)
+        self._seen_attempts = claims.SeenAttempts()
+        queue_limit = max(1, cfg.threads - cfg.concurrency - _RESERVED_THREADS)
         self.admission = limits.Admission(
-            limits.FairQueue(queued), cfg.concurrency
+            limits.FairQueue(queue_limit), cfg.concurrency
         )
         self._forwarder = _forward.Forwarder(cfg, self.admission)
         self._leaving = False
@@ -52,8 +52,11 @@
                 ran=exc.ran,
                 cause=exc,
             )
-            told = (*self._about(environ), (headers.ERROR, exc.code))
-            resp = httpio.error_response(exc, request_id, told)
+            response_headers = (
+                *self._make_status_headers(environ),
+                (headers.ERROR, exc.code),
+            )
+            resp = httpio.error_response(exc, request_id, response_headers)
         return resp.send(start_response)
 
     def leave(self):
@@ -61,7 +64,7 @@
         self._leaving = True
         self.admission.leave()
 
-    def _about(self, environ):
+    def _make_status_headers(self, environ):
         """Return the headers that tell an entry of this instance."""
         served = self.placement.report()['served']
         return (
@@ -87,8 +90,8 @@
         self._check_key(environ)
         if path.startswith('/chunks/'):
             return self.placement.serve_chunks(environ)
-        if path.startswith(_PREFIX + '/'):
-            return self._forward(environ, path[len(_PREFIX) :])
+        if path.startswith(_UPSTREAM_PREFIX + '/'):
+            return self._forward(environ, path[len(_UPSTREAM_PREFIX) :])
         raise errors.InvalidRequestError(f'no such path {path}', step='read')
 
     def _check_key(self, environ):
@@ -99,14 +102,18 @@
     def _check_attempt(self, req):
         """Let an attempt at a request that is not idempotent pass once."""
         if req.attempt_id:
-            self._seen.check(req.attempt_id, req.not_after, time.time())
+            self._seen_attempts.check(
+                req.attempt_id, req.not_after, time.time()
+            )
 
     def _forward(self, environ, path):
-        req = _request.Forwarded.from_environ(environ, path, time.monotonic())
+        req = _request.ForwardedRequest.from_environ(
+            environ, path, time.monotonic()
+        )
         self._check_attempt(req)
         self._check_served(req)
         resp = self._forwarder.forward(req)
-        return resp.with_headers(*self._about(environ))
+        return resp.with_headers(*self._make_status_headers(environ))
 
     def _check_served(self, req):
         """Refuse a request for what the engine does not serve.
--- a/catkinshunt/sidecar/_forward.py
+++ b/catkinshunt/sidecar/_forward.py
@@ -14,10 +14,10 @@
 from catkinshunt import limits
 from catkinshunt import logs
 
-_WHOLE_BYTES = 1024 * 1024
-_GENERATE = '/generate'
+_MAX_BUFFERED_BYTES = 1024 * 1024
+_GENERATE_PATH = '/generate'
 #: Longest wait for an engine to begin or to go on, in seconds.
-_STALL_S = 10.0
+_STALL_TIMEOUT_S = 10.0
 _CANCEL_TIMEOUT_S = 2.0
 RETRY_AFTER_S = 1.0
 _log = logs.get_logger('forward')
@@ -38,7 +38,7 @@
         self._pool = httpio.ConnectionPool()
 
     def forward(self, req):
-        """Return the upstream's `httpio.Response` to a `Forwarded`.
+        """Return the upstream's `httpio.Response` to a `ForwardedRequest`.
 
         Raises:
             errors.RequestError: there is none.
@@ -50,7 +50,7 @@
         self.admission.wait(ticket, time.monotonic())
         exchange = _Exchange(self, req)
         try:
-            if req.is_gone():
+            if req.is_disconnected():
                 # Its answer could reach nobody.
                 raise errors.RefusedError('caller has gone', step='admit')
             resp = exchange.open()
@@ -60,9 +60,9 @@
         if isinstance(resp.body, list):
             self.admission.observe(ticket, time.monotonic())
             return resp
-        return attrs.evolve(resp, body=self._observed(resp.body, ticket))
+        return attrs.evolve(resp, body=self._observe_end(resp.body, ticket))
 
-    def _observed(self, body, ticket):
+    def _observe_end(self, body, ticket):
         """Yield `body`; its place is free for the next when it has ended."""
         try:
             yield from body
@@ -81,8 +81,8 @@
         Raises:
             errors.RefusedError: there is none; nothing was run.
         """
-        conn, kept = self._pool.take(self._upstream, timeout_s, fresh)
-        if kept:
+        conn, reused = self._pool.take(self._upstream, timeout_s, fresh)
+        if reused:
             return conn, True
         try:
             conn.connect()
@@ -121,11 +121,11 @@
         self.forwarder = forwarder
         self.req = req
         cfg = forwarder.cfg
-        self._generates = cfg.is_engine and req.path == _GENERATE
+        self._is_generate = cfg.is_engine and req.path == _GENERATE_PATH
         self._peer = cfg.upstream
         # Not the id of the request: a try that is cancelled must not cancel
         # another try of the same request.
-        self._engine_id = uuid.uuid4().hex
+        self._engine_request_id = uuid.uuid4().hex
 
     def open(self):
         """Send the request; return the response, still to be read."""
@@ -134,17 +134,17 @@
         return self._respond(conn, sock, resp)
 
     def _send(self, fresh):
-        left_s = max(0.001, self.req.deadline - time.monotonic())
-        if self._generates:
+        header_timeout_s = max(0.001, self.req.deadline - time.monotonic())
+        if self._is_generate:
             # A frozen engine would keep its place until the deadline.
-            left_s = min(left_s, _STALL_S)
-        conn, kept = self.forwarder.connect(left_s, fresh)
-        self._check_time(conn)
+            header_timeout_s = min(header_timeout_s, _STALL_TIMEOUT_S)
+        conn, reused = self.forwarder.connect(header_timeout_s, fresh)
+        self._check_deadline(conn)
         try:
             conn.request(
                 self.req.method,
                 self.req.path,
-                self._body(),
+                self._make_body(),
                 {'Content-Type': self.req.content_type},
             )
             # The connection drops it when the reply says that it closes.
@@ -152,38 +152,41 @@
             return conn, sock, conn.getresponse()
         except ConnectionError as exc:
             conn.close()
-            if kept:
+            if reused:
                 # Closed while it was kept; the request does no harm twice.
                 return self._send(fresh=True)
-            raise self._lost(exc) from exc
+            raise self._outcome_unknown(exc) from exc
         except (OSError, http.client.HTTPException) as exc:
-            self._break_off(conn)
-            raise self._lost(exc) from exc
+            self._abort(conn)
+            raise self._outcome_unknown(exc) from exc
 
-    def _lost(self, exc):
+    def _outcome_unknown(self, exc):
         return errors.OutcomeUnknownError(
             f'no reply: {exc!r}', step='exchange', peer=self._peer
         )
 
-    def _check_time(self, conn):
+    def _check_deadline(self, conn):
         """Refuse what has waited past its deadline.
 
         This process may have been paused meanwhile. By now the entry counts
         the try as over, and a repeat of a booking may be running.
         """
-        over = time.monotonic() >= self.req.deadline
-        if over or time.time() >= self.req.not_after:
+        expired = time.monotonic() >= self.req.deadline
+        if expired or time.time() >= self.req.not_after:
             conn.close()
             raise errors.RefusedError(
                 'deadline passed before dispatch', step='deadline'
             )
 
-    def _body(self):
-        if not self._generates:
+    def _make_body(self):
+        if not self._is_generate:
             return self.req.body
         return json.dumps(
             json.loads(self.req.body)
-            | {'request_id': self._engine_id, 'priority': self.req.priority}
+            | {
+                'request_id': self._engine_request_id,
+                'priority': self.req.priority,
+            }
         ).encode()
 
     def _check_version(self, conn, resp):
@@ -192,7 +195,7 @@
         The engine may change over between the check of what it serves and
         the answer; the caller would get the wrong model's answer.
         """
-        if not self._generates:
+        if not self._is_generate:
             return
         if resp.status == 404:
             # An engine that was restarted holds no model.
@@ -203,52 +206,53 @@
                 peer=self._peer,
                 retry_after_s=RETRY_AFTER_S,
             )
-        given = resp.getheader(headers.ENGINE_MODEL_VERSION, '')
-        if self.req.version and given != self.req.version:
-            self._break_off(conn)
+        answered_version = resp.getheader(headers.ENGINE_MODEL_VERSION, '')
+        if self.req.version and answered_version != self.req.version:
+            self._abort(conn)
             raise errors.WrongVersionError(
-                f'engine answered from {given!r}, not {self.req.version!r}',
+                f'engine answered from {answered_version!r}, '
+                f'not {self.req.version!r}',
                 step='engine',
                 peer=self._peer,
                 retry_after_s=RETRY_AFTER_S,
             )
 
     def _respond(self, conn, sock, resp):
-        passed = [
+        response_headers = [
             (name, value)
             for name in ('Content-Type', headers.ENGINE_MODEL_VERSION)
             if (value := resp.getheader(name)) is not None
         ]
         length = resp.length
-        if length is None or length > _WHOLE_BYTES:
+        if length is None or length > _MAX_BUFFERED_BYTES:
             if length is not None:
-                passed.append(('Content-Length', str(length)))
-            body = self._pieces(conn, sock, resp)
+                response_headers.append(('Content-Length', str(length)))
+            body = self._iter_body(conn, sock, resp)
         else:
-            body = [b''.join(self._pieces(conn, sock, resp))]
-            passed.append(('Content-Length', str(len(body[0]))))
-        return httpio.Response(resp.status, body, tuple(passed))
+            body = [b''.join(self._iter_body(conn, sock, resp))]
+            response_headers.append(('Content-Length', str(len(body[0]))))
+        return httpio.Response(resp.status, body, tuple(response_headers))
 
-    def _pieces(self, conn, sock, resp):
+    def _iter_body(self, conn, sock, resp):
         """Yield the upstream's body as it comes.
 
         Raises:
             errors.IncompleteAnswerError: it broke off; the server then
                 breaks off the answer to the entry, too.
         """
-        whole = False
+        complete = False
         try:
             yield from httpio.iter_pieces(resp, sock)
-            whole = not resp.length
+            complete = not resp.length
         except httpio.BROKEN as exc:
             raise self._incomplete(repr(exc)) from exc
         finally:
             resp.close()
-            if whole:
+            if complete:
                 self.forwarder.give_back(conn)
             else:
-                self._break_off(conn)
-        if not whole:
+                self._abort(conn)
+        if not complete:
             raise self._incomplete('ended early')
 
     def _incomplete(self, reason):
@@ -256,7 +260,7 @@
             f'answer broke off: {reason}', step='relay', peer=self._peer
         )
 
-    def _break_off(self, conn):
+    def _abort(self, conn):
         conn.close()
-        if self._generates:
-            self.forwarder.cancel(self._engine_id)
+        if self._is_generate:
+            self.forwarder.cancel(self._engine_request_id)
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -15,9 +15,9 @@
 from catkinshunt import weights
 
 RETRY_S = 0.5
-WAIT_S = 1.0
+CONFIG_WAIT_S = 1.0
 #: Longest wait for weights before the rules are looked at again.
-WHOLE_WAIT_S = 0.2
+TRANSFER_WAIT_S = 0.2
 _log = logs.get_logger('placement')
 
 
@@ -30,9 +30,9 @@
         directory: `instances.Directory`.
     """
 
-    def __init__(self, cfg, follower, directory):
+    def __init__(self, cfg, config_replica, directory):
         self.cfg = cfg
-        self.follower = follower
+        self.config_replica = config_replica
         self.directory = directory
         self.port = None
         self._agent = None
@@ -58,7 +58,7 @@
         self._chunks = weights.ChunkApp(
             self._agent, self.cfg.deployment_key, self._agent.upload_share
         )
-        self._slot = engines.WeightsSlot(
+        self._weights_endpoint = engines.WeightsSlot(
             self.cfg.host, self.port, self._agent.transfer
         )
         thread = threading.Thread(
@@ -75,17 +75,17 @@
 
     def report(self):
         """Return the versions wanted and served, and the transfer."""
-        found = {'wanted': self._wanted, 'served': self._served}
+        status = {'wanted': self._wanted, 'served': self._served}
         if self._agent is not None:
             transfer = self._agent.report(time.monotonic())
-            found['transfer'] = transfer and attrs.asdict(transfer)
-        return found
+            status['transfer'] = transfer and attrs.asdict(transfer)
+        return status
 
     def serve(self, path):
         """Return the response to the engine's pull of weights."""
         if self._agent is None:
             raise errors.InvalidRequestError('unknown weights', step='pull')
-        return self._slot.handle(path)
+        return self._weights_endpoint.handle(path)
 
     def serve_chunks(self, environ):
         """Return the response to a peer's pull of a chunk."""
@@ -101,19 +101,21 @@
             self._agent.download_share.observe(n_received, now)
 
     def _run(self):
-        seen = None
+        applied = None
         revision = 0
         while not self._stopped.is_set():
-            wait_s = WAIT_S if seen else WHOLE_WAIT_S
-            conf = self.follower.wait(revision, wait_s)
+            wait_s = CONFIG_WAIT_S if applied else TRANSFER_WAIT_S
+            conf = self.config_replica.wait(revision, wait_s)
             revision = conf.revision
             # The list counts, too: where a holder has gone, another one of
             # the rule's instances takes its place.
-            now_held = (revision, self.directory.revision)
+            current = (revision, self.directory.revision)
             try:
-                if revision == 0 or (now_held == seen and self._keeps()):
+                if revision == 0 or (
+                    current == applied and self._engine_is_loaded()
+                ):
                     continue
-                seen = now_held if self._apply(conf) else None
+                applied = current if self._apply(conf) else None
             except errors.CatkinshuntError as exc:
                 _log.warning('Placement failed: {}', exc)
                 self._stopped.wait(RETRY_S)
@@ -121,10 +123,10 @@
                 # If the thread ended here, the instance would answer its
                 # requests and stay at its version through every rollout.
                 _log.error('Placement broke: {!r}', exc)
-                seen = None
+                applied = None
                 self._stopped.wait(RETRY_S)
 
-    def _keeps(self):
+    def _engine_is_loaded(self):
         """Return whether the engine still holds what it was ordered to.
 
         An engine that restarts comes back empty and tells nobody. Every
@@ -134,21 +136,23 @@
         if not self._served:
             return True
         try:
-            held = self._engine.report()
+            engine_versions = self._engine.report()
         except errors.OrderError as exc:
             # It may come back as it was; orders would fail now anyway.
             _log.info('Engine not asked: {}', exc)
             return True
-        if self._served.items() <= held.items():
+        if self._served.items() <= engine_versions.items():
             return True
-        _log.warning('Engine holds {} and not {}.', held, self._served)
+        _log.warning(
+            'Engine holds {} and not {}.', engine_versions, self._served
+        )
         self._served = {}
         return False
 
     def _apply(self, conf):
         """Come closer to `conf`; return whether nothing is left to do."""
         placement = control.choose_placement(
-            conf.rule_set, self._instance(), self.directory.instances
+            conf.rule_set, self._own_instance(), self.directory.instances
         )
         place = placement.place
         if place is None:
@@ -160,10 +164,10 @@
             place.model, place.version, place.lean_fraction
         )
         self._agent.offer(wanted)
-        transfer = self._agent.wait_whole(wanted, WHOLE_WAIT_S)
+        transfer = self._agent.wait_whole(wanted, TRANSFER_WAIT_S)
         if transfer is None:
             return False
-        self._order(transfer.manifest, conf.revision)
+        self._load_engine(transfer.manifest, conf.revision)
         _log.info(
             'Rule {} placed {} {}.',
             placement.rule.name,
@@ -172,13 +176,13 @@
         )
         return True
 
-    def _order(self, manifest, revision):
+    def _load_engine(self, manifest, revision):
         self._engine.load(
             engines.LoadOrder(
                 model=manifest.model,
                 version=manifest.version,
                 digest=manifest.digest,
-                weights_url=self._slot.make_url(
+                weights_url=self._weights_endpoint.make_url(
                     manifest.model, manifest.version
                 ),
                 fencing_number=revision,
@@ -189,17 +193,17 @@
     def _list_members(self, wanted):
         """Return the instances that want the same version."""
         names = control.find_holders(
-            self.follower.current.rule_set,
-            self._instance(),
+            self.config_replica.current.rule_set,
+            self._own_instance(),
             self.directory.instances,
         )
         return tuple(
-            weights.Member(one.name, one.data_centre, one.address)
-            for one in self.directory.instances
-            if one.name in names
+            weights.Member(member.name, member.data_centre, member.address)
+            for member in self.directory.instances
+            if member.name in names
         )
 
-    def _instance(self):
+    def _own_instance(self):
         """Return the own instance; the list may not show it yet."""
         address = httpio.Address(self.cfg.host, self.port or self.cfg.port)
         return instances.Instance(
--- a/catkinshunt/sidecar/_request.py
+++ b/catkinshunt/sidecar/_request.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Forwarded:
+class ForwardedRequest:
     """A request from an entry.
 
     Attributes:
@@ -31,7 +31,7 @@
             dispatched.
         body: the whole body.
         content_type: of the body.
-        is_gone: tells whether the entry has closed its connection.
+        is_disconnected: tells whether the entry has closed its connection.
     """
 
     request_id: str
@@ -47,7 +47,7 @@
     not_after: float
     body: bytes
     content_type: str
-    is_gone: object
+    is_disconnected: object
 
     @classmethod
     def from_environ(cls, environ, path, now):
@@ -57,30 +57,32 @@
             errors.InvalidRequestError: a header is wrong.
         """
         default_ms = _DEFAULT_DEADLINE_S * 1000
-        left_ms = _number(environ, headers.DEADLINE_MS, default_ms)
+        remaining_ms = _read_number(environ, headers.DEADLINE_MS, default_ms)
         return cls(
             request_id=httpio.read_header(environ, headers.REQUEST_ID),
             method=environ['REQUEST_METHOD'],
             path=httpio.make_target(path, environ.get('QUERY_STRING')),
             account=httpio.read_header(environ, headers.ACCOUNT),
-            weight=_number(environ, headers.WEIGHT, 1.0) or 1.0,
-            priority=_priority(environ),
+            weight=_read_number(environ, headers.WEIGHT, 1.0) or 1.0,
+            priority=_read_priority(environ),
             model=headers.decode_text(
                 httpio.read_header(environ, headers.MODEL)
             ),
             version=headers.decode_text(
                 httpio.read_header(environ, headers.MODEL_VERSION)
             ),
-            deadline=now + left_ms / 1000,
+            deadline=now + remaining_ms / 1000,
             attempt_id=httpio.read_header(environ, headers.ATTEMPT_ID),
-            not_after=_not_after(environ),
+            not_after=_read_not_after(environ),
             body=httpio.read_body(environ),
             content_type=environ.get('CONTENT_TYPE', ''),
-            is_gone=environ.get('waitress.client_disconnected', lambda: False),
+            is_disconnected=environ.get(
+                'waitress.client_disconnected', lambda: False
+            ),
         )
 
 
-def _number(environ, name, default):
+def _read_number(environ, name, default):
     text = httpio.read_header(environ, name)
     try:
         value = float(text or default)
@@ -93,7 +95,7 @@
     return value
 
 
-def _priority(environ):
+def _read_priority(environ):
     text = httpio.read_header(environ, headers.PRIORITY) or '0'
     if not text.removeprefix('-').isdecimal():
         raise errors.InvalidRequestError(
@@ -102,7 +104,7 @@
     return int(text)
 
 
-def _not_after(environ):
+def _read_not_after(environ):
     text = httpio.read_header(environ, headers.NOT_AFTER)
     if not text and not httpio.read_header(environ, headers.ATTEMPT_ID):
         return math.inf
--- a/catkinshunt/sidecar/tests/test_app.py
+++ b/catkinshunt/sidecar/tests/test_app.py
@@ -26,7 +26,7 @@
     return [b'{}']
 
 
-def test_model_not_served_yet_is_refused_as_not_run():
+def test_model_not_served_yet_is_rejected_as_not_run():
     """A new instance is on the list before its engine has its weights.
 
     The caller got the engine's own "not found" as the final answer,
@@ -56,7 +56,7 @@
         app = sidecar.SidecarApp(cfg, placement)
         with httpio.HttpServer(app, threads=1) as server:
 
-            def ask():
+            def send():
                 return httpio.exchange(
                     httpio.Address(server.host, server.port),
                     'POST',
@@ -65,8 +65,8 @@
                     {headers.DEPLOYMENT_KEY: KEY, headers.MODEL: 'drafts'},
                 )
 
-            reply = ask()
+            reply = send()
             assert reply.status == 503
             assert json.loads(reply.body)['error']['ran'] == 'no'
             placement.served = {'drafts': 'v1'}
-            assert ask().status == 200
+            assert send().status == 200
--- a/catkinshunt/sidecar/tests/test_forward.py
+++ b/catkinshunt/sidecar/tests/test_forward.py
@@ -24,7 +24,7 @@
 
 
 def make(upstream, is_engine=True):
-    cfg = harness.PLACE | {
+    cfg = harness.BASE_SETTINGS | {
         'service': 'models',
         'upstream': str(upstream.address),
         'is_engine': is_engine,
@@ -41,7 +41,7 @@
     environ['wsgi.input'] = io.BytesIO()
     for name, value in given.items():
         environ[f'HTTP_CATKINSHUNT_{name}'] = value
-    return _request.Forwarded.from_environ(
+    return _request.ForwardedRequest.from_environ(
         environ, '/generate', time.monotonic()
     )
 
@@ -53,7 +53,7 @@
         ({'ATTEMPT_ID': 'a1', 'NOT_AFTER': '5.0'}, 'deadline'),
     ],
 )
-def test_nothing_is_dispatched_after_its_deadline(upstream, given, step):
+def test_request_is_not_dispatched_after_its_deadline(upstream, given, step):
     """A sidecar was paused, or a message came very late.
 
     The entry counts the try as over by then; to run it now could run a
@@ -66,21 +66,21 @@
     assert forwarder.admission.load == 0
 
 
-def test_caller_that_has_gone_is_not_served(upstream):
+def test_disconnected_caller_is_not_served(upstream):
     """A caller gives up while its request waits beside a busy upstream.
 
     To run it all the same would hold up those who still wait.
     """
     forwarder = make(upstream, is_engine=False)
     req = request()
-    req = attrs.evolve(req, is_gone=lambda: True)
+    req = attrs.evolve(req, is_disconnected=lambda: True)
     with pytest.raises(errors.RefusedError):
         forwarder.forward(req)
     assert upstream.requests == []
     assert forwarder.admission.load == 0
 
 
-def test_answer_of_another_version_is_refused(upstream):
+def test_answer_of_another_version_is_rejected(upstream):
     """The engine changed its version between the check and the answer.
 
     The caller would get the answer of a model that it was not routed for.
@@ -104,12 +104,12 @@
         ('NOT_AFTER', 'x'),
     ],
 )
-def test_wrong_headers_are_named(name, text):
+def test_invalid_header_is_rejected(name, text):
     with pytest.raises(errors.InvalidRequestError):
         request(**{name: text})
 
 
-def test_kept_connection_that_was_closed_costs_no_answer():
+def test_closed_idle_connection_is_replaced():
     """The upstream closes a connection that a sidecar has kept.
 
     A read that is lost on it is sent again at once.
--- a/catkinshunt/sidecar/tests/test_placement.py
+++ b/catkinshunt/sidecar/tests/test_placement.py
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def placed():
+def engine_and_sidecar():
     """Return an engine, the sidecar beside it, and a wait for both."""
     runner = engine.Engine()
     source = origin.Origin(chunk_bytes=1024)
@@ -71,13 +71,13 @@
         yield runner, process
 
 
-def test_an_engine_that_was_restarted_is_loaded_again(placed):
+def test_restarted_engine_is_loaded_again(engine_and_sidecar):
     """The engine restarts and comes back empty; its sidecar runs on.
 
     Each request sent there was refused, and the instance stayed without a
     model until the next change of the rules.
     """
-    runner, process = placed
+    runner, process = engine_and_sidecar
     runner.restart()
     deployments.wait_until(lambda: len(runner.orders) == 1, 'second order')
     deployments.wait_until(
@@ -86,15 +86,15 @@
     assert runner.orders[0]['version'] == 'v1'
 
 
-def test_placement_goes_on_after_an_error_that_nobody_foresaw(
-    placed, monkeypatch
+def test_placement_continues_after_an_unexpected_exception(
+    engine_and_sidecar, monkeypatch
 ):
     """A call breaks with an error outside the system's own tree.
 
     The thread that keeps the placement ended without a word, and the
     instance stayed at its version through every later rollout.
     """
-    runner, process = placed
+    runner, process = engine_and_sidecar
     engine_client = process._placement._engine
     report = engine_client.report
     broken = threading.Event()
