--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -437,8 +437,8 @@
     Mutation(
         'half-line-dropped',
         _LINES,
-        'before another upstream."""\n        self._partial_line = b\'\'\n',
-        'before another upstream."""\n',
+        'before resuming the stream."""\n        self._partial_line = b\'\'\n',
+        'before resuming the stream."""\n',
     ),
     Mutation(
         'stream-of-one-version',
--- a/catkinshunt/entry/__init__.py
+++ b/catkinshunt/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry instance: takes callers' requests and relays the answers."""
+"""The entry: accepts requests of callers and relays the responses."""
 
 from catkinshunt.entry._app import EntryApp
 from catkinshunt.entry._process import EntryProcess
--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers meet."""
+"""The WSGI application that serves callers."""
 
 import time
 
@@ -22,13 +22,13 @@
 
 
 class EntryApp(base.ParamsMixin):
-    """Routes each request by the first rule that matches.
+    """Routes each request by the first matching rule.
 
     Args:
         cfg: `settings.EntrySettings`.
-        follower: holds the configuration in force.
+        config_replica: replica of the active configuration.
         directory: `instances.Directory`.
-        once: `AtMostOnce`.
+        at_most_once: `AtMostOnce`.
     """
 
     def __init__(self, cfg, config_replica, directory, at_most_once):
@@ -50,7 +50,7 @@
         self._selector = _upstream_selector.UpstreamSelector(router, directory)
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Serve one request."""
         request_id = ''
         try:
             req = _request.CallerRequest.from_environ(
@@ -60,7 +60,7 @@
             resp = self._admit(req)
         except errors.RequestError as exc:
             _log.info(
-                'Ended as {code}, ran {ran}: {cause}.',
+                'Request failed with {code} (ran: {ran}): {cause}.',
                 request_id=request_id,
                 code=exc.code,
                 ran=exc.ran,
@@ -70,7 +70,7 @@
         return resp.send(start_response)
 
     def leave(self):
-        """Refuse new requests from now on."""
+        """Reject new requests from now on."""
         self.limiter.leave()
 
     def _admit(self, req):
@@ -93,7 +93,9 @@
         rule = self.config_replica.current.rule_set.match(rule_request)
         if rule is None:
             raise errors.RefusedError(
-                'no rule matches', step='match', retry_after_s=RETRY_AFTER_S
+                'no rule matches the request',
+                step='match',
+                retry_after_s=RETRY_AFTER_S,
             )
         if isinstance(rule.then, rules.Refuse):
             raise errors.RefusedError(
--- a/catkinshunt/entry/_at_most_once.py
+++ b/catkinshunt/entry/_at_most_once.py
@@ -1,4 +1,4 @@
-"""Keeps a request with an idempotency key from running twice."""
+"""At-most-once execution of requests with an idempotency key."""
 
 import uuid
 
@@ -16,11 +16,12 @@
 
 
 class AtMostOnce(base.ParamsMixin):
-    """Claims a request before it is dispatched and records how it ended.
+    """Claims a request before it is dispatched and records its outcome.
 
     Args:
         ledger: a started `claims.BaseLedger`.
-        body_limit_bytes: answers up to this size are kept for repeats.
+        body_limit_bytes: responses up to this size are stored for repeated
+            requests.
     """
 
     def __init__(self, ledger, body_limit_bytes=1024):
@@ -28,7 +29,7 @@
         self.body_limit_bytes = body_limit_bytes
 
     def execute(self, req, dispatch, now, epoch_now):
-        """Answer `req` from `dispatch`, or from what is known of it.
+        """Dispatch `req` once, or return the recorded outcome of its key.
 
         Args:
             req: the `CallerRequest`.
@@ -38,8 +39,8 @@
             epoch_now: present time, seconds since the epoch.
 
         Raises:
-            errors.RequestError: the request did not run, runs elsewhere, or
-                ended in an error of `dispatch`.
+            errors.RequestError: the request did not run, is in progress
+                elsewhere, or `dispatch` failed.
         """
         if req.idempotent or not req.idempotency_key:
             return dispatch()
@@ -49,8 +50,8 @@
         try:
             resp = dispatch()
         except errors.RequestError as exc:
-            # Only a request known not to have run may be tried again. Any
-            # other stays claimed, so that a repeat is never run.
+            # The claim is released only if the request did not run. Otherwise
+            # a repeated request could run a second time.
             if exc.ran == 'no':
                 self.ledger.release(claim, epoch_now)
             raise
@@ -71,14 +72,14 @@
             epoch_now + req.deadline - now,
         )
         _log.info(
-            'Claim is {claim}.',
+            'Claim of the idempotency key: {claim}.',
             request_id=req.request_id,
             claim=claim.state.value,
         )
         return claim
 
     def _relay_and_record(self, claim, resp, epoch_now):
-        """Pass the body on; record it once it has ended or broken off."""
+        """Yield the body; record the outcome when it ends or fails."""
         recorded_body = b''
         try:
             for piece in resp.body:
@@ -88,8 +89,8 @@
                         recorded_body = None
                 yield piece
         except BaseException:
-            # Also when the caller goes away. The request ran, and what is
-            # there of its answer must not pass as the whole.
+            # Also raised when the caller disconnects. The request ran, but a
+            # partial body must not be recorded as the complete one.
             recorded_body = None
             raise
         finally:
@@ -102,23 +103,23 @@
     state = claim.state
     if state is claims.State.MISMATCH:
         raise errors.KeyReusedError(
-            'the idempotency key belongs to another request', step='claim'
+            'the idempotency key was used for another request', step='claim'
         )
     if state is claims.State.IN_PROGRESS:
         raise errors.InProgressError(
-            'the request is being run',
+            'the request is in progress',
             step='claim',
             retry_after_s=_RETRY_AFTER_S,
         )
     if state is claims.State.UNKNOWN:
         raise errors.OutcomeUnknownError(
-            'an earlier try may have run; its outcome is not known',
+            'an earlier attempt may have run; its outcome is unknown',
             step='claim',
         )
     outcome = claim.outcome
     if outcome is None or outcome.body is None:
         raise errors.AnswerNotKeptError(
-            'the request ran before; its answer was not kept', step='claim'
+            'the request ran before; its response was not stored', step='claim'
         )
     response_headers = (
         ('Content-Type', outcome.content_type),
--- a/catkinshunt/entry/_concurrency.py
+++ b/catkinshunt/entry/_concurrency.py
@@ -1,4 +1,4 @@
-"""Bounds the requests that an entry has in progress."""
+"""Limits the requests that an entry has in progress."""
 
 import collections
 import threading
@@ -7,20 +7,19 @@
 from catkinshunt import checks
 from catkinshunt import errors
 
-#: Share of the threads left for refusals: a request that finds no thread
-#: waits where nobody sees it, and cannot even be refused.
+#: Share of the threads reserved for rejections: a request without a thread
+#: waits in the server's queue and cannot even be rejected.
 _RESERVED_SHARE = 1 / 8
-#: Share of the places that accounts may take without regard to others.
+#: Share of the limit up to which accounts are not limited individually.
 _UNRESTRICTED_SHARE = 0.5
 RETRY_AFTER_S = 1.0
 
 
 class ConcurrencyLimiter(base.ParamsMixin):
-    """Lets requests in while there are threads for them.
+    """Admits requests while threads are available.
 
-    Past half of the places an account gets another one only while it has
-    less than an equal share of all, so that a few large accounts cannot
-    keep the others out.
+    Above half of the limit an account is admitted only while it has less
+    than an equal share, so that a few large accounts cannot exclude others.
 
     Args:
         threads: threads that serve requests.
@@ -40,20 +39,22 @@
         self._leaving = False
 
     def leave(self):
-        """Refuse new requests from now on."""
+        """Reject new requests from now on."""
         self._leaving = True
 
     def acquire(self, account):
-        """Take a place.
+        """Admit one request of an account.
 
         Raises:
-            errors.LeavingError: the entry takes no new work.
-            errors.OverloadedError: there is no place for this account.
+            errors.LeavingError: the entry accepts no new requests.
+            errors.OverloadedError: the entry or the account is at its limit.
         """
         checks.check_positive(self.threads, 'threads')
         if self._leaving:
             raise errors.LeavingError(
-                'entry is leaving', step='admit', retry_after_s=RETRY_AFTER_S
+                'entry is leaving',
+                step='admit',
+                retry_after_s=RETRY_AFTER_S,
             )
         n_reserved = max(1, int(self.threads * _RESERVED_SHARE))
         limit = max(1, self.threads - n_reserved)
@@ -62,30 +63,30 @@
             own = self._in_progress.get(account, 0)
             n_accounts = len(self._in_progress) + (not own)
             if n_in_progress >= limit:
-                raise _overloaded('all places are taken')
+                raise _overloaded('concurrency limit reached')
             if (
                 n_in_progress >= limit * _UNRESTRICTED_SHARE
                 and own >= limit / n_accounts
             ):
-                raise _overloaded('share of the account is taken')
+                raise _overloaded('concurrency share of the account reached')
             self._in_progress[account] += 1
 
     def release(self, account):
-        """Give a place back."""
+        """Count one request of an account as ended."""
         with self._lock:
             self._in_progress[account] -= 1
             if not self._in_progress[account]:
                 del self._in_progress[account]
 
     def release_after(self, account, body):
-        """Yield `body`, then give the place back."""
+        """Yield `body`, then call `release`."""
         try:
             yield from body
         finally:
             self.release(account)
 
     def report(self):
-        """Return requests in progress and accounts that have some."""
+        """Return the numbers of requests in progress and of their accounts."""
         with self._lock:
             return {
                 'in_progress': self._in_progress.total(),
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -1,4 +1,4 @@
-"""Brings one request to its whole answer, or to a clear error."""
+"""Delivers one request: retries, resumed streams and error reporting."""
 
 import json
 import time
@@ -11,18 +11,18 @@
 from catkinshunt import logs
 from catkinshunt import routing
 
-#: Bodies of a known length up to this are read whole before the caller gets
-#: the first byte, so that one that breaks off can still be asked for again.
+#: Bodies of known length up to this size are buffered before the caller gets
+#: the first byte, so that a truncated one can still be retried.
 _MAX_BUFFERED_BYTES = 1024 * 1024
 _FORWARDED_HEADERS = ('Content-Type', headers.ENGINE_MODEL_VERSION)
 _log = logs.get_logger('routing')
 
 
 class Delivery:
-    """The tries of one request.
+    """All attempts at one request.
 
     Args:
-        fleet: a `UpstreamSelector`.
+        selector: an `UpstreamSelector`.
         relay: a `Relay`.
         retry: a `retries.RetryPolicy`.
         req: the `CallerRequest`.
@@ -43,10 +43,10 @@
         self._last_error = None
 
     def deliver(self):
-        """Return the `httpio.Response`; a stream goes on being read.
+        """Return the `httpio.Response`; its body may still be streaming.
 
         Raises:
-            errors.RequestError: there is no answer.
+            errors.RequestError: no attempt gave a response.
         """
         self.retry.offer()
         while True:
@@ -78,10 +78,10 @@
         )
 
     def _open(self, resume=None):
-        """Try upstreams until one begins to answer.
+        """Try upstreams until one returns response headers.
 
         Raises:
-            errors.RequestError: no further try is allowed.
+            errors.RequestError: no further attempt is allowed.
         """
         while True:
             self._choose(resume)
@@ -104,7 +104,7 @@
         now = time.monotonic()
         if now >= self.req.deadline:
             self._raise_final(
-                errors.RefusedError('deadline has passed', step='choose')
+                errors.RefusedError('deadline exceeded', step='choose')
             )
         route = self.rule.then
         version = resume.version if resume else route.version
@@ -120,12 +120,12 @@
         try:
             self._choice = self.selector.choose(route_req, now, route.policy)
         except errors.RefusedError as exc:
-            # What the last upstream said tells the caller more.
+            # The last upstream's error is more specific.
             self._raise_final(self._last_error or exc)
         self._n_attempts += 1
         self._status = _relay.SidecarStatus()
         _log.info(
-            'Rule {rule}: {choice} of {candidates}, {grounds}.',
+            'Rule {rule}: chose {choice} of {candidates}, {grounds}.',
             request_id=self.req.request_id,
             rule=self.rule.name,
             choice=self._choice.upstream.name,
@@ -134,13 +134,14 @@
         )
 
     def _record_status(self, status):
-        """Keep what the head of a reply says of its sender."""
+        """Store the status in the headers of the current response."""
         self._status = status
 
     def _observe(self, result, finished):
-        """Tell the router of an exchange, and once what its head said.
+        """Report the result of an exchange to the router.
 
-        At the end of a long stream the head's load is old.
+        The status from the headers is reported only once: at the end of a
+        long stream its load is outdated.
         """
         status, self._status = self._status, _relay.SidecarStatus()
         self.selector.observe(
@@ -156,14 +157,14 @@
         )
 
     def _report_end(self, result):
-        """Note that the exchange with the chosen upstream has ended."""
+        """Report the end of the exchange with the chosen upstream."""
         self._observe(result, finished=True)
 
     def _handle_failure(self, exc):
-        """Note a failed try; return if another one is allowed.
+        """Record a failed attempt; return if another one is allowed.
 
         Raises:
-            errors.RequestError: it is not.
+            errors.RequestError: no further attempt is allowed.
         """
         is_rejected = exc.ran == 'no' and exc.step != 'connect'
         result = routing.Result.FAILED
@@ -181,7 +182,7 @@
             time.monotonic(),
         )
         _log.info(
-            'Failed at {choice}, {verdict}: {cause}; {grounds}.',
+            'Attempt at {choice} failed, {verdict}: {cause}; {grounds}.',
             request_id=self.req.request_id,
             choice=self._choice.upstream.name,
             verdict='tried again' if decision.should_retry else 'given up',
@@ -192,10 +193,10 @@
             self._raise_final(exc)
 
     def _raise_final(self, exc):
-        """Raise `exc`, or what is true of all tries together."""
+        """Raise `exc`, or unknown if an earlier attempt may have run."""
         if exc.ran == 'no' and self._may_have_run:
             raise errors.OutcomeUnknownError(
-                f'an earlier try may have run; {exc.message}',
+                f'an earlier attempt may have run; {exc.message}',
                 step=exc.step,
                 peer=exc.peer,
                 retry_after_s=exc.retry_after_s,
@@ -203,7 +204,7 @@
         raise exc
 
     def _relay_body(self, open_resp):
-        """Yield a body that is too long to be held."""
+        """Yield a body that is too long to be buffered."""
         result = routing.Result.CANCELLED
         try:
             yield from self.relay.read(open_resp)
@@ -217,7 +218,7 @@
             self._report_end(result)
 
     def _relay_lines(self, open_resp):
-        """Yield whole lines, taking the stream up elsewhere if it breaks."""
+        """Yield complete lines; resume a broken stream at another upstream."""
         validator = _lines.LineValidator(self.req.first_index)
         try:
             while True:
@@ -228,20 +229,20 @@
                 except errors.IncompleteAnswerError as exc:
                     open_resp.close()
                     if validator.done:
-                        # The caller has all lines; only what ends the body
-                        # was lost.
+                        # The caller has all lines; only the end of the body
+                        # is missing.
                         self._report_end(routing.Result.FAILED)
                         return
                     open_resp = self._resume(exc, validator, open_resp)
         except GeneratorExit:
-            # The caller went away; the sidecar sees the connection close and
-            # has the engine cancel, or it would go on for nobody.
+            # The caller disconnected. Closing the connection makes the
+            # sidecar cancel the request; otherwise the engine would continue.
             open_resp.close()
             self._report_end(routing.Result.CANCELLED)
             raise
         except errors.RequestError as exc:
-            # Without this line and the break a caller could take what came
-            # so far for the whole answer.
+            # Without this line and the broken connection a caller could take
+            # the partial response for a complete one.
             yield _error_line(exc, self.req.request_id)
             raise
 
@@ -254,18 +255,18 @@
         validator.check_end()
 
     def _resume(self, exc, validator, broken_resp):
-        """Return the stream's rest from another upstream."""
+        """Continue the stream at another upstream."""
         self._handle_failure(exc)
         validator.discard_partial_line()
         version = broken_resp.model_version
         resume = _relay.ResumePoint(validator.next_index, version)
         open_resp = self._open(resume)
         if open_resp.model_version != version:
-            # Pieces of two versions would make one answer of neither.
+            # One response must not mix the pieces of two versions.
             open_resp.close()
             self._report_end(routing.Result.REFUSED)
             raise errors.IncompleteAnswerError(
-                f'no other upstream answered from version {version}',
+                f'no other upstream serves version {version}',
                 step='resume',
                 peer=str(open_resp.address),
             )
--- a/catkinshunt/entry/_lines.py
+++ b/catkinshunt/entry/_lines.py
@@ -1,4 +1,4 @@
-"""Follows a stream of JSON lines and finds whether it is whole."""
+"""Validates a stream of JSON lines."""
 
 import json
 
@@ -8,14 +8,14 @@
 
 
 class LineValidator:
-    """Lets only whole lines through, in the order of their index.
+    """Passes complete lines only, in the order of their index.
 
-    A stream that is taken up at another upstream must go on exactly where
-    it broke off. Half a line, a piece twice or a piece left out would reach
-    the caller as a wrong answer that looks whole.
+    A stream that is resumed at another upstream must continue exactly where
+    it broke off. A truncated, duplicated or missing piece would reach the
+    caller as a wrong response that looks complete.
 
     Args:
-        first_index: index of the piece that the caller asked to begin with.
+        first_index: index of the first piece that the caller requested.
 
     Examples:
         >>> validator = LineValidator()
@@ -38,13 +38,13 @@
         self._error = ''
 
     def feed(self, piece):
-        """Return the lines that `piece` completes, up to a wrong one."""
+        """Return the lines that `piece` completes, up to an invalid one."""
         if self._error:
             return b''
         lines = (self._partial_line + piece).split(b'\n')
         self._partial_line = lines.pop()
         if len(self._partial_line) > _MAX_LINE_BYTES:
-            self._error = 'line too long'
+            self._error = 'line exceeds the size limit'
         valid_lines = []
         for line in lines:
             self._error = self._check(line)
@@ -54,39 +54,39 @@
         return b''.join(valid_lines)
 
     def check(self):
-        """Raise if a line was wrong.
+        """Raise if a line was invalid.
 
         Raises:
-            errors.IncompleteAnswerError: it was.
+            errors.IncompleteAnswerError: a line was invalid.
         """
         if self._error:
             raise _incomplete(self._error)
 
     def check_end(self):
-        """Raise unless the last line said that the answer is whole.
+        """Raise unless the stream ended with its end line.
 
         Raises:
             errors.IncompleteAnswerError: the stream ended before that.
         """
         self.check()
         if not self.done or self._partial_line:
-            raise _incomplete('ended early')
+            raise _incomplete('stream ended early')
 
     def discard_partial_line(self):
-        """Forget half a line or a wrong one, before another upstream."""
+        """Discard a partial or invalid line before resuming the stream."""
         self._partial_line = b''
         self._error = ''
 
     def _check(self, line):
-        """Return what is wrong with a line, or nothing."""
+        """Return why a line is invalid, or an empty text."""
         try:
             value = json.loads(line)
             done = value.get('done') is True
             index = value['pieces'] if done else value['index']
         except (ValueError, AttributeError, KeyError):
-            return f'unreadable line {line[:80]!r}'
+            return f'invalid line {line[:80]!r}'
         if self.done or index != self.next_index:
-            return f'line {index!r} came where {self.next_index} was next'
+            return f'line {index!r} out of order, expected {self.next_index}'
         self.done = done
         self.next_index += not done
         return ''
@@ -94,5 +94,5 @@
 
 def _incomplete(reason):
     return errors.IncompleteAnswerError(
-        f'answer broke off: {reason}', step='relay'
+        f'incomplete response: {reason}', step='relay'
     )
--- a/catkinshunt/entry/_process.py
+++ b/catkinshunt/entry/_process.py
@@ -1,4 +1,4 @@
-"""The parts of an entry instance, started and stopped together."""
+"""Starts and stops the components of an entry."""
 
 import attrs
 
@@ -13,7 +13,7 @@
 
 
 class EntryProcess(base.BaseService):
-    """An entry instance.
+    """The process of an entry instance.
 
     Args:
         cfg: `settings.EntrySettings`.
@@ -23,7 +23,7 @@
         self.cfg = cfg
 
     def start(self):
-        """Follow the configuration and the list, then listen."""
+        """Start following configuration and instances, then listen."""
         self._control = control.ControlPlane(self.cfg).start()
         store = kvstore.HttpKeyValueStore(
             httpio.Address.parse(self.cfg.platform.key_value)
@@ -53,7 +53,7 @@
         return self
 
     def report(self):
-        """Return what ``/status`` shows."""
+        """Return the content of ``/status``."""
         return {
             'name': self.cfg.name,
             'state': 'serving' if self._serving else 'leaving',
@@ -64,11 +64,11 @@
 
     @property
     def address(self):
-        """Address that callers use."""
+        """Address for callers."""
         return httpio.Address(self.cfg.host, self._server.port)
 
     def stop(self):
-        """Refuse new work, finish what is in progress, then stop."""
+        """Reject new requests, finish those in progress, then stop."""
         self._serving = False
         self._app.leave()
         self._server.join(self.cfg.stop_timeout_s)
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -1,4 +1,4 @@
-"""One try of a request at one sidecar."""
+"""One attempt at a request with one sidecar."""
 
 import http.client
 import json
@@ -17,12 +17,13 @@
 
 @attrs.frozen
 class SidecarStatus:
-    """What the head of a reply says of its sender.
+    """Status of a sidecar, as sent in its response headers.
 
     Attributes:
-        state: serving or leaving, or None.
-        load: requests it has, or None.
-        served: model versions it serves as ``model/version``, or None.
+        state: ``serving`` or ``leaving``; None if unknown.
+        load: number of its requests; None if unknown.
+        served_versions: model versions it serves as ``model/version``; None
+            if unknown.
     """
 
     state: str | None = None
@@ -31,7 +32,7 @@
 
     @classmethod
     def from_response(cls, resp):
-        """Read the head of an `http.client.HTTPResponse`."""
+        """Parse the headers of an `http.client.HTTPResponse`."""
         state = resp.getheader(headers.STATE)
         load = resp.getheader(headers.LOAD, '')
         served = resp.getheader(headers.SERVED)
@@ -44,11 +45,11 @@
 
 @attrs.frozen
 class ResumePoint:
-    """Where a broken answer is taken up again.
+    """Where a broken stream is resumed.
 
     Attributes:
         index: index of the next piece.
-        version: the model version that gave the pieces before it.
+        version: the model version that produced the pieces before it.
     """
 
     index: int
@@ -57,14 +58,15 @@
 
 @attrs.define(eq=False)
 class OpenResponse:
-    """A reply whose body is still to be read."""
+    """A response whose body has not been read yet."""
 
     address: httpio.Address
     conn: http.client.HTTPConnection
     resp: http.client.HTTPResponse
-    #: The connection drops it when the reply says that it closes.
+    #: Kept here since `conn` clears its own reference when the response
+    #: announces that the connection closes.
     sock: socket.socket
-    #: Whether the connection is in the pool again, and so somebody else's.
+    #: Whether the connection is back in the pool and may be in other use.
     conn_returned: bool = False
 
     @property
@@ -74,14 +76,14 @@
 
     @property
     def model_version(self):
-        """The model version that answers, or empty."""
+        """The model version of the response, or empty."""
         return self.resp.getheader(headers.ENGINE_MODEL_VERSION, '')
 
     def close(self):
-        """Break the exchange off; the sidecar then cancels it.
+        """Abort the exchange; the sidecar then cancels the request.
 
-        A stream can end as it should and still not be whole; its connection
-        may carry another request by then, which closing it would cut.
+        A body can end properly and still lack pieces. Its connection is then
+        back in the pool and may carry another request, so it is not closed.
         """
         if self.conn_returned:
             return
@@ -90,13 +92,14 @@
 
 
 class Relay:
-    """Sends requests to sidecars and passes their answers on.
+    """Sends requests to sidecars and relays their responses.
 
     Args:
         pool: `httpio.ConnectionPool`.
-        deployment_key: secret that sidecars ask for.
-        stall_timeout_s: longest wait for the next piece of an answer.
-        keeper: `configuration.Keeper` whose revision rides along.
+        deployment_key: secret that sidecars require.
+        stall_timeout_s: longest wait for the next piece of a response.
+        keeper: `configuration.Keeper`; its revision is exchanged in the
+            headers of requests and responses; or None.
     """
 
     def __init__(
@@ -108,25 +111,25 @@
         self.keeper = keeper
 
     def open(self, req, route, address, now, resume=None, on_status=None):
-        """Send `req` to the sidecar at `address`; wait for its reply's head.
+        """Send `req` to the sidecar at `address` and wait for the headers.
 
         Args:
             req: the `CallerRequest`.
             route: the `rules.Route`.
             address: `httpio.Address` of the sidecar.
             now: seconds, monotonic.
-            resume: a `ResumePoint`, or None to begin at the beginning.
+            resume: a `ResumePoint`, or None to start from the beginning.
             on_status: called with the `SidecarStatus` of the response, also
                 of a rejection.
 
         Raises:
-            errors.RefusedError: not run; no connection, or refused there.
-            errors.RequestError: the sidecar's error.
-            errors.OutcomeUnknownError: sent, and no reply came.
+            errors.RefusedError: not run; no connection or rejected.
+            errors.RequestError: the error that the sidecar returned.
+            errors.OutcomeUnknownError: sent, but no response arrived.
         """
         remaining_s = req.deadline - now
-        # On a kept connection a request can be lost without a sign whether
-        # it ran; one that must not run twice could then not be retried.
+        # The sidecar may close an idle connection at any time. A request lost
+        # on it may have run, and could not be retried unless idempotent.
         header_timeout_s = self._header_timeout_s(req, remaining_s)
         conn, _ = self.pool.take(
             address, header_timeout_s, fresh=not req.idempotent
@@ -137,7 +140,7 @@
                 conn.connect()
         except OSError as exc:
             raise errors.RefusedError(
-                f'no connection: {exc}', step='connect', peer=peer
+                f'connection failed: {exc}', step='connect', peer=peer
             ) from exc
         exchange_id = uuid.uuid4().hex
         request_headers = self._make_headers(req, route, remaining_s, resume)
@@ -152,7 +155,7 @@
         except (OSError, http.client.HTTPException) as exc:
             conn.close()
             raise errors.OutcomeUnknownError(
-                f'no reply: {exc!r}', step='exchange', peer=peer
+                f'no response: {exc!r}', step='exchange', peer=peer
             ) from exc
         open_resp = OpenResponse(address, conn, resp, sock)
         self._check_exchange_id(open_resp, exchange_id)
@@ -165,10 +168,10 @@
         return open_resp
 
     def read(self, open_resp):
-        """Yield the body's pieces; raise unless it came to its end.
+        """Yield the pieces of the body; raise if it is incomplete.
 
         Raises:
-            errors.IncompleteAnswerError: the body broke off.
+            errors.IncompleteAnswerError: the body is truncated.
         """
         resp = open_resp.resp
         try:
@@ -178,27 +181,27 @@
             raise _incomplete(open_resp, repr(exc)) from exc
         if resp.length:
             open_resp.close()
-            raise _incomplete(open_resp, 'ended early')
-        # http.client does not notice by itself that `read1` has taken the
-        # last byte of a body with a length, and refuses the next request.
+            raise _incomplete(open_resp, 'body ended early')
+        # http.client does not notice that `read1` returned the last byte of a
+        # body with a length, and would reject the next request.
         resp.close()
         open_resp.conn_returned = True
         self.pool.give_back(open_resp.address, open_resp.conn)
 
     def read_whole(self, open_resp):
-        """Return the whole body.
+        """Return the complete body.
 
         Raises:
-            errors.IncompleteAnswerError: the body broke off.
+            errors.IncompleteAnswerError: the body is truncated.
         """
         return b''.join(self.read(open_resp))
 
     def _header_timeout_s(self, req, remaining_s):
-        """Return the longest wait for the head of a reply.
+        """Return the timeout for the response headers.
 
-        A frozen process takes connections and says nothing; if the wait took
-        all the time to the deadline, none would be left to try elsewhere. An
-        engine begins to answer long before it has ended.
+        A frozen process accepts connections but sends nothing. A wait until
+        the deadline would leave no time for a retry. An engine sends its
+        headers long before the end of the response.
         """
         if not req.model:
             return remaining_s
@@ -226,23 +229,23 @@
         }
 
     def _check_exchange_id(self, open_resp, exchange_id):
-        """Refuse a reply that belongs to another exchange.
+        """Reject a response that belongs to another exchange.
 
-        A late or crossed reply would give a caller the answer to somebody
-        else's request, and each later reply on the connection as well.
+        A late or crossed response would reach the wrong caller, and so would
+        each later response on the connection.
         """
         echoed = open_resp.resp.getheader(headers.EXCHANGE_ID)
         if echoed == exchange_id:
             return
         open_resp.close()
         raise errors.OutcomeUnknownError(
-            f'reply to another exchange {echoed!r}',
+            f'response belongs to another exchange: {echoed!r}',
             step='exchange',
             peer=str(open_resp.address),
         )
 
     def _check_error(self, open_resp):
-        """Raise the sidecar's own error; an upstream's is an answer."""
+        """Raise an error of the sidecar; upstream errors are relayed."""
         if open_resp.resp.getheader(headers.ERROR) is None:
             return
         try:
@@ -255,7 +258,7 @@
 
 
 def _parse_served_versions(value):
-    """Return the model versions that a sidecar says it serves."""
+    """Return the model versions in the header of a sidecar."""
     names = map(headers.decode_text, value.split(','))
     return frozenset(names) - {''}
 
@@ -270,7 +273,7 @@
 
 def _incomplete(open_resp, reason):
     return errors.IncompleteAnswerError(
-        f'answer broke off: {reason}',
+        f'incomplete response: {reason}',
         step='relay',
         peer=str(open_resp.address),
     )
--- a/catkinshunt/entry/_request.py
+++ b/catkinshunt/entry/_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry reads it."""
+"""A parsed request of a caller."""
 
 import uuid
 
@@ -13,30 +13,31 @@
 _SAFE_METHODS = frozenset({'GET', 'HEAD', 'OPTIONS'})
 _GENERATE_PATH = '/generate'
 _PREFIX_CHARS = 256
-#: Longest number taken in a header.
+#: Limits the number in the deadline header.
 _MAX_DEADLINE_DIGITS = 12
 
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """One request, read whole.
+    """One request with its complete body.
 
     Attributes:
-        request_id: id of the request over all processes.
+        request_id: id of the request in all processes.
         service: first part of the path.
         path: the rest of the path, with the query.
         method: HTTP method.
-        account: who the request is for.
-        model: model asked for; empty for a plain service.
-        idempotency_key: one key for all tries of one operation, or empty.
-        deadline: present time plus the time the caller gives, in seconds.
-        body: the whole body.
-        content_type: of the body.
-        arrived: when it came, in seconds.
-        has_deadline: whether the caller named the deadline.
+        account: client account of the request.
+        model: requested model; empty for a plain service.
+        idempotency_key: one key for all attempts at one operation, or empty.
+        deadline: end of the time allowed for the response, in seconds,
+            monotonic.
+        body: the complete body.
+        content_type: media type of the body.
+        arrived_at: arrival time, in seconds, monotonic.
+        has_deadline: whether the caller set the deadline.
         prefix: model and start of the prompt, in bytes; empty for a plain
             service.
-        first_index: index of the piece that the answer is to begin with.
+        first_index: index of the first piece of the response.
     """
 
     request_id: str
@@ -56,10 +57,10 @@
 
     @classmethod
     def from_environ(cls, environ, now, default_deadline_s):
-        """Read a request from a WSGI environment.
+        """Parse a request from a WSGI environment.
 
         Raises:
-            errors.InvalidRequestError: a header or the body is wrong.
+            errors.InvalidRequestError: a header or the body is invalid.
         """
         service, _, rest = environ['PATH_INFO'][1:].partition('/')
         path = httpio.make_target('/' + rest)
@@ -89,10 +90,10 @@
         )
 
     def with_route_deadline(self, route):
-        """Return the request with the deadline that its rule sets.
+        """Return the request with the deadline of its route.
 
-        The rule can shorten the time that the caller gives, and replaces the
-        entry's own where the caller gives none.
+        The route can shorten the deadline of the caller, and replaces the
+        default of the entry if the caller sets none.
         """
         if route.deadline_s is None:
             return self
@@ -103,11 +104,11 @@
 
     @property
     def idempotent(self):
-        """Whether running the request twice does no harm."""
+        """Whether the request may safely run twice."""
         return self.method in _SAFE_METHODS or bool(self.model)
 
     def make_rule_request(self, data_centre, region):
-        """Return what rules see of the request."""
+        """Return the `rules.Request` that rules are matched against."""
         return rules.Request(
             service=self.service,
             account=self.account,
@@ -132,7 +133,7 @@
         text.isascii() and text.isdigit() and len(text) <= _MAX_DEADLINE_DIGITS
     ):
         raise errors.InvalidRequestError(
-            f'{headers.DEADLINE_MS} must be whole milliseconds, '
+            f'{headers.DEADLINE_MS} must be an integer in milliseconds, '
             f'got {text[:20]!r}',
             step='read',
         )
@@ -141,7 +142,7 @@
 
 @attrs.frozen
 class _EngineRequest:
-    """What the entry reads of a request to an engine."""
+    """The fields of an engine request that the entry uses."""
 
     model: str = ''
     prefix: bytes = b''
@@ -149,10 +150,10 @@
 
     @classmethod
     def from_body(cls, path, body):
-        """Read the body of a request to an engine.
+        """Parse the body of a request to an engine.
 
         Raises:
-            errors.InvalidRequestError: it is not such a body.
+            errors.InvalidRequestError: the body is invalid.
         """
         if path != _GENERATE_PATH:
             return cls()
@@ -168,10 +169,10 @@
             ) from exc
         if not isinstance(model, str) or not model.isprintable():
             raise errors.InvalidRequestError(
-                'model must be a text', step='read'
+                'model must be a printable string', step='read'
             )
         if type(first_index) is not int or first_index < 0:
             raise errors.InvalidRequestError(
-                'resume_from must be a whole number', step='read'
+                'resume_from must be a non-negative integer', step='read'
             )
         return cls(model, prefix, first_index)
--- a/catkinshunt/entry/_upstream_selector.py
+++ b/catkinshunt/entry/_upstream_selector.py
@@ -1,4 +1,4 @@
-"""Routes over the upstreams that the instance list shows."""
+"""Selects among the upstreams in the instance list."""
 
 from catkinshunt import base
 from catkinshunt import routing
@@ -8,7 +8,7 @@
 
 
 class UpstreamSelector(base.ParamsMixin):
-    """Hands the instance list to a `routing.Router` when it has changed.
+    """Updates a `routing.Router` whenever the instance list changes.
 
     Args:
         router: the `routing.Router`.
@@ -26,7 +26,8 @@
         Args:
             req: the `routing.RouteRequest`.
             now: seconds, monotonic.
-            policy_name: the rule's policy, or None for the router's.
+            policy_name: policy of the rule, or None for the default policy of
+                the router.
         """
         revision = self.directory.revision
         if revision != self._routed_revision:
@@ -40,7 +41,7 @@
         return self.router.choose(req, now, policy)
 
     def observe(self, observation, now):
-        """Learn from how an exchange ended."""
+        """Report an exchange to the router."""
         self.router.observe(observation, now)
 
 
--- a/catkinshunt/entry/tests/harness.py
+++ b/catkinshunt/entry/tests/harness.py
@@ -1,4 +1,4 @@
-"""An entry and sidecars in this process, over real sockets."""
+"""An entry and sidecars in one process, connected by real sockets."""
 
 import contextlib
 import http.client
@@ -33,33 +33,33 @@
 
 
 class Placement:
-    """Stands for the part of a sidecar that holds the weights."""
+    """Replaces `sidecar._placement.Placement`."""
 
     def __init__(self):
         self.served = {MODEL: VERSION}
 
     def report(self):
-        """Return what the engine serves."""
+        """Return the versions that the engine serves."""
         return {'wanted': {}, 'served': self.served}
 
 
 class DispatchAlways:
-    """Stands for the at-most-once record; these requests have no key."""
+    """Replaces `AtMostOnce` for requests without an idempotency key."""
 
     def execute(self, req, dispatch, now, epoch_now):
-        """Run the request."""
+        """Dispatch the request."""
         return dispatch()
 
 
 class Directory:
-    """Stands for the instance list."""
+    """Replaces `instances.Directory`."""
 
     def __init__(self):
         self.revision = 0
         self.instances = ()
 
     def add(self, name, service, address):
-        """List one more upstream."""
+        """Add an upstream to the instance list."""
         listed = instances.Instance(
             name=name,
             role='upstream',
@@ -73,10 +73,10 @@
 
 
 class ScriptedUpstream:
-    """Takes connections and answers each with given bytes, then closes.
+    """Sends a scripted response on each connection, then closes it.
 
     Args:
-        reply: the bytes, or a function that gives them for a request.
+        reply: the response bytes, or a function from a request to them.
     """
 
     def __init__(self, reply):
@@ -99,11 +99,11 @@
                     conn.sendall(_EMPTY)
                     continue
                 self.requests.append(request)
-                given = self.reply
-                conn.sendall(given(request) if callable(given) else given)
+                reply = self.reply
+                conn.sendall(reply(request) if callable(reply) else reply)
 
     def close(self):
-        """Take no more connections."""
+        """Accept no more connections."""
         self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
@@ -124,7 +124,7 @@
 
 
 def lines(*indices, pieces=None):
-    """Return lines of a stream, ended by ``done`` if `pieces` is given."""
+    """Return lines of a stream, with the end line if `pieces` is set."""
     values = [{'index': index, 'text': f't{index}'} for index in indices]
     if pieces is not None:
         values.append({'done': True, 'pieces': pieces})
@@ -132,18 +132,18 @@
 
 
 def error_of(reply):
-    """Return the error that ends a reply."""
+    """Return the error in the last line of a reply."""
     return json.loads(reply.body.splitlines()[-1])['error']
 
 
 def texts(reply):
-    """Return the texts of a stream's pieces, and its last line."""
+    """Return the texts of the pieces of a stream, and its last line."""
     found = [json.loads(line) for line in reply.body.splitlines()]
     return [line.get('text') for line in found[:-1]], found[-1]
 
 
 def chunked(*pieces, end=True, version=VERSION):
-    """Return the bytes of a chunked stream, cut off unless `end`."""
+    """Return a chunked HTTP response, truncated unless `end`."""
     head = (
         'HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\n'
         f'Model-Version: {version}\r\nTransfer-Encoding: chunked\r\n\r\n'
@@ -153,7 +153,7 @@
 
 
 class Harness(contextlib.ExitStack):
-    """An entry before sidecars, closed together."""
+    """An entry and its sidecars, closed together."""
 
     def __init__(self, **routes):
         super().__init__()
@@ -184,17 +184,17 @@
             httpio.HttpServer(self.entry_app, threads=32)
         )
 
-    def upstream(self, name, service, address, is_engine=False, **given):
-        """Put a sidecar before the upstream at `address`, and list it."""
+    def upstream(self, name, service, address, is_engine=False, **overrides):
+        """Start a sidecar for the upstream at `address`, and list it."""
         cfg = BASE_SETTINGS | {
             'name': name,
             'service': service,
             'upstream': str(address),
             'is_engine': is_engine,
-            # Demanded beside an engine; nothing listens there here.
+            # Required with `is_engine`; nothing listens on it here.
             'port': 8080,
         }
-        cfg = settings.structure(cfg | given, settings.SidecarSettings)
+        cfg = settings.structure(cfg | overrides, settings.SidecarSettings)
         app = sidecar.SidecarApp(cfg, Placement())
         server = self.enter_context(httpio.HttpServer(app, threads=32))
         self.apps[name] = app
@@ -203,16 +203,20 @@
         self.directory.add(name, service, address)
         return app
 
-    def scripted(self, name, service, reply, is_engine=False, **given):
-        """Put a sidecar before a `ScriptedUpstream`, and list it."""
+    def scripted(self, name, service, reply, is_engine=False, **overrides):
+        """Start a sidecar for a `ScriptedUpstream`, and list it."""
         upstream = ScriptedUpstream(reply)
         self.callback(upstream.close)
-        self.upstream(name, service, upstream.address, is_engine, **given)
+        self.upstream(name, service, upstream.address, is_engine, **overrides)
         return upstream
 
-    def send(self, path, value=None, method=None, deadline_s=20, **given):
+    def send(
+        self, path, value=None, method=None, deadline_s=20, **extra_headers
+    ):
         """Send one request to the entry; return its `httpio.Reply`."""
-        sent = {headers.DEADLINE_MS: str(int(deadline_s * 1000))} | given
+        sent = {
+            headers.DEADLINE_MS: str(int(deadline_s * 1000))
+        } | extra_headers
         body = None if value is None else json.dumps(value).encode()
         return httpio.exchange(
             httpio.Address(self.entry.host, self.entry.port),
@@ -224,7 +228,7 @@
         )
 
     def generate_broken(self, count):
-        """Ask for an answer that breaks off; return what came of it."""
+        """Send a generate request; return the truncated response body."""
         conn = http.client.HTTPConnection(self.entry.host, self.entry.port)
         generate_body = {'model': MODEL, 'prompt': 'bend', 'max_pieces': count}
         got = b''
@@ -237,9 +241,9 @@
             return got
         finally:
             conn.close()
-        raise AssertionError(f'came to a proper end: {got!r}')
+        raise AssertionError(f'response ended properly: {got!r}')
 
-    def generate(self, count, prompt='bend', **given):
-        """Ask the model for an answer of `count` pieces."""
+    def generate(self, count, prompt='bend', **options):
+        """Request `count` pieces from the model; return the reply."""
         value = {'model': MODEL, 'prompt': prompt, 'max_pieces': count}
-        return self.send('/models/generate', value, **given)
+        return self.send('/models/generate', value, **options)
--- a/catkinshunt/entry/tests/test_concurrency.py
+++ b/catkinshunt/entry/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on requests in progress."""
+"""Tests of the limit on requests in progress."""
 
 import pytest
 
@@ -16,9 +16,9 @@
 
 
 def test_large_account_leaves_threads_for_others():
-    """A large account floods an entry while small ones ask now and then.
+    """A large account floods an entry; small accounts send few requests.
 
-    Their requests would find all threads taken and be refused.
+    Without shares those would find no free thread and be rejected.
     """
     limiter = _concurrency.ConcurrencyLimiter(threads=16)
     limiter.acquire('small')
--- a/catkinshunt/entry/tests/test_delivery.py
+++ b/catkinshunt/entry/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Tests of bringing one request to its answer over several tries."""
+"""Tests of delivering one request over several attempts."""
 
 import types
 
@@ -14,7 +14,7 @@
 
 
 class UpstreamSelector:
-    """Gives a new upstream for each try."""
+    """Selects a new upstream for each attempt."""
 
     def choose(self, wanted, now, policy_name=None):
         name = f'upstream-{len(wanted.excluded)}'
@@ -27,7 +27,7 @@
 
 
 class Relay:
-    """Answers each try with the next of `results`."""
+    """Returns or raises the next of `results` for each attempt."""
 
     def __init__(self, *results):
         self.results = list(results)
@@ -43,7 +43,7 @@
 
 
 def open_resp(version, *pieces):
-    """Return a stream of `pieces` that a model version answers with."""
+    """Return a streamed response of a model version."""
     reply = types.SimpleNamespace(
         status=200, length=None, getheader=lambda name, default=None: default
     )
@@ -82,12 +82,12 @@
 
 
 def test_rejection_after_an_attempt_that_may_have_run_is_outcome_unknown():
-    """The first runner dies without an answer and all others refuse.
+    """The first engine dies before it responds; all others reject.
 
-    The last refusal is true for its own try only. Told as it is, the caller
-    would take the whole request for not run.
+    "Not run" holds for the last attempt only. Passed on to the caller, it
+    would claim that the whole request did not run.
     """
-    refusal = errors.OverloadedError('no place', retry_after_s=2.0)
+    refusal = errors.OverloadedError('queue is full', retry_after_s=2.0)
     relay = Relay(errors.OutcomeUnknownError('no reply'), refusal, refusal)
     with pytest.raises(errors.RequestError) as caught:
         deliver(relay)
@@ -96,9 +96,10 @@
 
 
 def test_stream_is_not_resumed_from_another_version():
-    """A runner dies, and the sidecar of the next one is of an older build.
+    """An engine dies during a stream; the next one has another version.
 
-    It does not look at the version asked for, and its engine has changed.
+    The sidecar of the next one is an older build, which does not check the
+    requested version.
     """
     relay = Relay(
         open_resp('v1', harness.lines(0)),
--- a/catkinshunt/entry/tests/test_lines.py
+++ b/catkinshunt/entry/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Tests of following a stream of lines."""
+"""Tests of validating a stream of lines."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -9,39 +9,39 @@
 from catkinshunt.entry.tests import harness
 from catkinshunt import errors
 
-WHOLE = harness.lines(*range(5), pieces=5)
+COMPLETE = harness.lines(*range(5), pieces=5)
 
 
 @settings(derandomize=True, database=None, max_examples=80)
-@given(st.lists(st.integers(0, len(WHOLE)), max_size=6))
+@given(st.lists(st.integers(0, len(COMPLETE)), max_size=6))
 def test_lines_do_not_depend_on_piece_boundaries(cuts):
     validator = _lines.LineValidator()
-    places = [0, *sorted(cuts), len(WHOLE)]
+    bounds = [0, *sorted(cuts), len(COMPLETE)]
     got = b''.join(
-        validator.feed(WHOLE[begin:end])
-        for begin, end in zip(places, places[1:], strict=False)
+        validator.feed(COMPLETE[begin:end])
+        for begin, end in zip(bounds, bounds[1:], strict=False)
     )
-    assert got == WHOLE
+    assert got == COMPLETE
     validator.check_end()
 
 
 @settings(derandomize=True, database=None, max_examples=80)
-@given(st.integers(0, len(WHOLE) - 1))
+@given(st.integers(0, len(COMPLETE) - 1))
 def test_break_at_any_byte_resumes_at_the_next_line(cut):
-    """A runner dies at any byte of its answer.
+    """An engine dies at an arbitrary byte of its response.
 
-    Whatever the byte, the lines before it and the rest from elsewhere make
-    the whole answer, with nothing twice and nothing missing.
+    The lines before that byte and the resumed stream together make the
+    complete response, with no piece duplicated or missing.
     """
     validator = _lines.LineValidator()
-    got = validator.feed(WHOLE[:cut])
+    got = validator.feed(COMPLETE[:cut])
     if validator.done:
         return
     with pytest.raises(errors.IncompleteAnswerError):
         validator.check_end()
     validator.discard_partial_line()
     rest = harness.lines(*range(validator.next_index, 5), pieces=5)
-    assert got + validator.feed(rest) == WHOLE
+    assert got + validator.feed(rest) == COMPLETE
     validator.check_end()
 
 
--- a/catkinshunt/entry/tests/test_relay.py
+++ b/catkinshunt/entry/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of one try of a request at one sidecar."""
+"""Tests of one attempt at a request with one sidecar."""
 
 import pytest
 
@@ -29,11 +29,11 @@
 
 @pytest.mark.parametrize('body', [[b'{"stock": 12}'], []])
 def test_next_request_on_a_reused_connection(body):
-    """An answer with a known length was read, and its connection kept.
+    """A body of known length was read and its connection pooled.
 
-    The next request on that connection failed before it was sent, and its
-    caller was told that nobody knew whether it had run: http.client had not
-    been told that the first answer was over.
+    Unless the response is closed, http.client takes it for unfinished and
+    rejects the next request on the connection before sending it. The caller
+    then gets an unknown outcome.
     """
     clients = set()
 
--- a/catkinshunt/entry/tests/test_streams.py
+++ b/catkinshunt/entry/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streamed answers through an entry and sidecars while engines fail."""
+"""Tests of streamed responses while engines fail."""
 
 import http.client
 import json
@@ -20,10 +20,10 @@
 
 
 def test_broken_stream_is_resumed_elsewhere(deployment):
-    """An engine dies while it streams, in the middle of a line.
+    """An engine dies during a stream, in the middle of a line.
 
-    Another runner of the same version goes on at the next piece; the caller
-    gets each piece once and the whole answer.
+    Another engine of the same version continues at the next piece; the
+    caller gets the complete response with each piece once.
     """
     cut = harness.chunked(harness.lines(0, 1), b'{"index": 2, "te', end=False)
     rest = harness.chunked(harness.lines(2, pieces=3))
@@ -50,10 +50,10 @@
     ids=['no end', 'too few', 'gap', 'twice', 'nonsense'],
 )
 def test_incomplete_stream_never_ends_as_complete(deployment, body):
-    """An engine ends its stream politely but pieces are missing or doubled.
+    """An engine ends its stream properly, but pieces are wrong.
 
-    The caller would take a fault explanation that is cut off for the whole.
-    It gets a last line that names the error, and no proper end.
+    The caller must not take a truncated response for a complete one. It gets
+    an error line and a broken connection.
     """
     deployment.scripted('a', 'models', harness.chunked(body), is_engine=True)
     got = deployment.generate_broken(3)
@@ -63,9 +63,9 @@
 
 
 def test_stream_is_never_resumed_from_another_version(deployment):
-    """A runner dies and the other one has changed to a new version.
+    """An engine dies and the other one has loaded a new version.
 
-    Pieces of both would make an answer of neither model.
+    A response must not mix the pieces of two versions.
     """
     cut = harness.chunked(harness.lines(0), end=False)
     new = harness.chunked(harness.lines(1, 2, pieces=3), version='v2')
@@ -82,9 +82,10 @@
 
 
 def test_disconnected_caller_cancels_the_engine_request(deployment):
-    """A caller hangs up in the middle of a long answer.
+    """A caller disconnects in the middle of a long response.
 
-    The engine would go on for nobody and hold a place that others wait for.
+    Unless cancelled, the engine would continue and occupy a slot that other
+    requests wait for.
     """
     cancelled = threading.Event()
     gone = threading.Event()
@@ -127,9 +128,10 @@
 
 
 def test_stalled_stream_is_resumed_elsewhere(deployment):
-    """An engine freezes in the middle of an answer; its connection stays.
+    """An engine freezes during a stream; its connection stays open.
 
-    The caller would wait until the deadline for a piece that never comes.
+    Without a timeout the caller would wait for the next piece until the
+    deadline.
     """
     deployment.entry_app._relay.stall_timeout_s = 0.2
     freed = threading.Event()
@@ -159,9 +161,9 @@
 
 
 def test_planned_stop_finishes_a_stream(deployment):
-    """An entry and a sidecar are stopped while a long answer is on its way.
+    """An entry and a sidecar are stopped during a stream.
 
-    It comes to its end; a request that comes later is refused as not run.
+    The stream is finished; a later request is rejected as not run.
     """
     going, freed = threading.Event(), threading.Event()
 
@@ -207,9 +209,9 @@
 
 
 def test_entry_checks_the_version_of_a_resumed_stream():
-    """A sidecar of an older release goes on from whatever its engine holds.
+    """A sidecar of an older release resumes from any loaded version.
 
-    Pieces of two versions would make an answer of neither model.
+    A response must not mix the pieces of two versions.
     """
 
     def app(environ, start_response):
@@ -236,10 +238,10 @@
 
 
 def test_incomplete_stream_does_not_close_a_pooled_connection():
-    """A stream ends as it should, but a piece is missing.
+    """A stream ends properly, but a piece is missing.
 
-    Its connection was kept again by then; the entry closed it all the same,
-    and the next request on it failed without an error that anyone could read.
+    Its connection is back in the pool by then. If the entry closed it, the
+    next request on it would fail without a proper error.
     """
 
     def app(environ, start_response):
--- a/catkinshunt/entry/tests/test_upstream_failures.py
+++ b/catkinshunt/entry/tests/test_upstream_failures.py
@@ -1,4 +1,4 @@
-"""Requests through an entry and sidecars while upstreams fail."""
+"""Tests of requests through entry and sidecar while upstreams fail."""
 
 import socket
 import threading
@@ -10,7 +10,7 @@
 from catkinshunt.httpio import headers
 from standins import engine
 
-WHOLE = harness.chunked(harness.lines(0, 1), harness.lines(2, pieces=3))
+COMPLETE = harness.chunked(harness.lines(0, 1), harness.lines(2, pieces=3))
 BOOKED = b'HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\n{}'
 
 
@@ -21,13 +21,13 @@
 
 
 def test_engine_that_dies_before_headers_is_retried_elsewhere(deployment):
-    """An engine takes a request and dies before it says a word.
+    """An engine accepts a request and dies before it responds.
 
-    The model request does no harm twice, so it is sent to another runner,
-    and the caller notices only a little time.
+    A model request may safely run twice, so it is retried at another engine
+    and the caller sees only a delay.
     """
     deployment.scripted('a', 'models', b'', is_engine=True)
-    deployment.scripted('b', 'models', WHOLE, is_engine=True)
+    deployment.scripted('b', 'models', COMPLETE, is_engine=True)
     for number in range(6):
         reply = deployment.generate(3, prompt=f'p{number}')
         assert reply.status == 200
@@ -38,10 +38,10 @@
 
 
 def test_booking_lost_before_headers_is_unknown_and_not_retried(deployment):
-    """A plain service takes a booking and dies before it answers.
+    """A plain service accepts a booking and dies before it responds.
 
-    It may have booked. Sent elsewhere it might book twice, so the caller is
-    told that nobody knows.
+    The booking may have run, and a retry could run it twice. The caller gets
+    an unknown outcome.
     """
     one = deployment.scripted('a', 'desk', b'')
     two = deployment.scripted('b', 'desk', b'')
@@ -52,9 +52,9 @@
 
 
 def test_refused_connection_is_retried_elsewhere(deployment):
-    """The upstream's process is gone and its port refuses connections.
+    """The process of an upstream is gone; its port refuses connections.
 
-    Nothing ran, so even a booking may go to another upstream.
+    Nothing ran, so even a booking may be retried at another upstream.
     """
     gone = harness.ScriptedUpstream(b'')
     gone.close()
@@ -68,7 +68,7 @@
 def test_rejection_by_all_upstreams_reports_not_run(deployment):
     """Every upstream of a service is gone.
 
-    The caller gets its refusal at once, as not run, with when to come back.
+    The caller is rejected at once, as not run, with a retry time.
     """
     gone = harness.ScriptedUpstream(b'')
     gone.close()
@@ -79,9 +79,9 @@
 
 
 def test_truncated_body_with_content_length(deployment):
-    """A plain service dies in the middle of an answer.
+    """A plain service dies in the middle of a response.
 
-    A read is asked again elsewhere; a booking has run, and says so.
+    A read is retried elsewhere; a booking is never reported as not run.
     """
     short = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
     good = b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole'
@@ -96,9 +96,9 @@
 
 
 def test_reply_to_another_exchange_is_rejected():
-    """A reply crosses with another one on its way through something between.
+    """An intermediary confuses two responses.
 
-    The caller must not get somebody else's answer, here a stock figure.
+    The caller must not get the response to another request.
     """
 
     def wrong(environ, start_response):
@@ -117,10 +117,10 @@
 
 
 def test_late_bytes_on_an_idle_connection_are_not_an_answer():
-    """An upstream sends a second, late reply after the first was read.
+    """An upstream sends a second, late response after the first was read.
 
-    Taken for the answer to the next request it would be a wrong one, and so
-    on for each request after it.
+    It would be taken for the response to the next request, and so on for
+    each request after it.
     """
     server = socket.create_server(('127.0.0.1', 0))
     pool = httpio.ConnectionPool()
@@ -137,10 +137,10 @@
 
 
 def test_leaving_sidecar_receives_no_new_requests(deployment):
-    """An instance is stopped as planned; the list does not say so yet.
+    """An instance is being stopped; the instance list does not show it yet.
 
-    Its refusal, not run, sends the booking elsewhere, and from then on
-    nothing goes to it.
+    A booking that it rejects is retried elsewhere, and no further request is
+    sent to it.
     """
     one = deployment.scripted('a', 'desk', BOOKED)
     two = deployment.scripted('b', 'desk', BOOKED)
@@ -159,10 +159,10 @@
 
 
 def test_flood_of_a_large_account_does_not_delay_a_small_one(deployment):
-    """A large account sends more than the upstream's queue holds at once.
+    """A large account sends more requests than the queue has room for.
 
-    Its newest are refused at once as not run; the small account's request
-    does not wait behind the rest.
+    Its newest are rejected at once as not run; the request of the small
+    account does not wait behind the others.
     """
     freed = threading.Event()
     served = []
@@ -218,9 +218,9 @@
 
 
 def test_engine_without_its_model_counts_as_not_run(deployment):
-    """An engine was restarted and has no model; its sidecar does not know.
+    """An engine restarted without its model, unnoticed by its sidecar.
 
-    Its "not found" is no answer, as another runner has the model.
+    Its "not found" is not final, as another engine has the model.
     """
     real = engine.Engine()
     real._models[harness.MODEL] = harness.VERSION
@@ -239,9 +239,9 @@
 
 @pytest.mark.parametrize('prompt', ['p0', 'p1', 'p2', 'p3'])
 def test_unknown_outcome_is_never_reported_as_not_run(deployment, prompt):
-    """One try may have run, and another is refused as not run.
+    """One attempt may have run, and another is rejected as not run.
 
-    "Not run" would be a lie for the request, whichever came first.
+    "Not run" would be false for the request, in either order of the two.
     """
     deployment.scripted('a', 'models', b'', is_engine=True)
     gone = harness.ScriptedUpstream(b'')
@@ -252,9 +252,9 @@
 
 
 def test_booking_is_never_sent_on_a_reused_connection():
-    """A sidecar may close a kept connection just as a booking is sent on it.
+    """A sidecar may close an idle connection while a booking is sent on it.
 
-    Nobody could tell whether it ran, and the caller would be told so.
+    Whether the booking ran would be unknown.
     """
     clients = []
 
@@ -280,10 +280,10 @@
 
 
 def test_half_of_the_upstreams_unreachable(deployment):
-    """Half of the upstreams die at once while requests go on.
+    """Half of the upstreams die at once while requests arrive.
 
-    Each request is answered, and after the first failures the dead ones get
-    hardly any connection.
+    Each request is served, and after the first failures hardly any
+    connection to the dead ones is attempted.
     """
     for name in ('a', 'b', 'c', 'd'):
         if name in ('a', 'c'):
