--- a/catkinshunt/sidecar/__init__.py
+++ b/catkinshunt/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside one upstream instance."""
+"""The sidecar: forwards requests to one upstream and places its weights."""
 
 from catkinshunt.sidecar._app import SidecarApp
 from catkinshunt.sidecar._process import SidecarProcess
--- a/catkinshunt/sidecar/_app.py
+++ b/catkinshunt/sidecar/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application that entries, peers and the engine meet."""
+"""The WSGI application that serves entries, peers and the engine."""
 
 import hmac
 import time
@@ -15,17 +15,17 @@
 
 _UPSTREAM_PREFIX = '/upstream'
 _log = logs.get_logger('sidecar')
-#: Threads left for refusals and chunks when all places and the queue are
-#: taken; a request that found no thread could not even be refused.
+#: Threads reserved for rejections and chunks when the concurrency limit and
+#: the queue are full; a request without a thread cannot even be rejected.
 _RESERVED_THREADS = 8
 
 
 class SidecarApp(base.ParamsMixin):
-    """Passes requests to the upstream, and weights to the engine.
+    """Forwards requests to the upstream and serves weights to the engine.
 
     Args:
         cfg: `settings.SidecarSettings`.
-        placement: holds the weights; see `SidecarProcess`.
+        placement: `Placement`, which serves weights and chunks.
     """
 
     def __init__(self, cfg, placement):
@@ -40,13 +40,13 @@
         self._leaving = False
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Serve one request."""
         try:
             resp = self._handle(environ)
         except errors.RequestError as exc:
             request_id = environ.get('HTTP_CATKINSHUNT_REQUEST_ID', '')
             _log.info(
-                'Ended as {code}, ran {ran}: {cause}.',
+                'Request failed with {code} (ran: {ran}): {cause}.',
                 request_id=request_id,
                 code=exc.code,
                 ran=exc.ran,
@@ -60,12 +60,12 @@
         return resp.send(start_response)
 
     def leave(self):
-        """Refuse new requests from now on."""
+        """Reject new requests from now on."""
         self._leaving = True
         self.admission.leave()
 
     def _make_status_headers(self, environ):
-        """Return the headers that tell an entry of this instance."""
+        """Return the headers with the status of this instance."""
         served = self.placement.report()['served']
         return (
             (headers.STATE, 'leaving' if self._leaving else 'serving'),
@@ -92,15 +92,17 @@
             return self.placement.serve_chunks(environ)
         if path.startswith(_UPSTREAM_PREFIX + '/'):
             return self._forward(environ, path[len(_UPSTREAM_PREFIX) :])
-        raise errors.InvalidRequestError(f'no such path {path}', step='read')
+        raise errors.InvalidRequestError(f'unknown path {path}', step='read')
 
     def _check_key(self, environ):
         given = environ.get('HTTP_CATKINSHUNT_KEY', '').encode()
         if not hmac.compare_digest(given, self.cfg.deployment_key.encode()):
-            raise errors.InvalidRequestError('wrong key', step='authenticate')
+            raise errors.InvalidRequestError(
+                'invalid deployment key', step='authenticate'
+            )
 
     def _check_attempt(self, req):
-        """Let an attempt at a request that is not idempotent pass once."""
+        """Reject a repeated attempt at a non-idempotent request."""
         if req.attempt_id:
             self._seen_attempts.check(
                 req.attempt_id, req.not_after, time.time()
@@ -116,11 +118,11 @@
         return resp.with_headers(*self._make_status_headers(environ))
 
     def _check_served(self, req):
-        """Refuse a request for what the engine does not serve.
+        """Reject a request for a version that the engine does not serve.
 
-        A new instance is listed before its engine has its weights. The
-        engine's own answer would reach the caller as final, although
-        another instance could have served the request.
+        A new instance is listed before its engine has its weights. The error
+        of the engine would be final for the caller, although another
+        instance could serve the request.
         """
         if not self.cfg.is_engine or not req.model:
             return
--- a/catkinshunt/sidecar/_forward.py
+++ b/catkinshunt/sidecar/_forward.py
@@ -1,4 +1,4 @@
-"""Passes admitted requests to the upstream and its answers back."""
+"""Forwards admitted requests to the upstream and relays its responses."""
 
 import http.client
 import json
@@ -16,7 +16,7 @@
 
 _MAX_BUFFERED_BYTES = 1024 * 1024
 _GENERATE_PATH = '/generate'
-#: Longest wait for an engine to begin or to go on, in seconds.
+#: Longest wait for the headers or the next piece of an engine.
 _STALL_TIMEOUT_S = 10.0
 _CANCEL_TIMEOUT_S = 2.0
 RETRY_AFTER_S = 1.0
@@ -24,7 +24,7 @@
 
 
 class Forwarder(base.ParamsMixin):
-    """The only way to the upstream.
+    """Forwards requests to the upstream through admission control.
 
     Args:
         cfg: `settings.SidecarSettings`.
@@ -38,10 +38,10 @@
         self._pool = httpio.ConnectionPool()
 
     def forward(self, req):
-        """Return the upstream's `httpio.Response` to a `ForwardedRequest`.
+        """Return the `httpio.Response` of the upstream.
 
         Raises:
-            errors.RequestError: there is none.
+            errors.RequestError: the upstream gave no response.
         """
         ticket = limits.Ticket(
             req.request_id, req.account, req.deadline, req.weight
@@ -51,8 +51,8 @@
         exchange = _Exchange(self, req)
         try:
             if req.is_disconnected():
-                # Its answer could reach nobody.
-                raise errors.RefusedError('caller has gone', step='admit')
+                # Nobody would receive the response.
+                raise errors.RefusedError('caller disconnected', step='admit')
             resp = exchange.open()
         except BaseException:
             self.admission.observe(ticket, time.monotonic())
@@ -63,23 +63,22 @@
         return attrs.evolve(resp, body=self._observe_end(resp.body, ticket))
 
     def _observe_end(self, body, ticket):
-        """Yield `body`; its place is free for the next when it has ended."""
+        """Yield `body`, then release the slot of the request."""
         try:
             yield from body
         finally:
             self.admission.observe(ticket, time.monotonic())
 
     def connect(self, timeout_s, fresh):
-        """Return a connection to the upstream, and whether it was kept.
+        """Return a connection to the upstream, and whether it is reused.
 
         Args:
-            timeout_s: longest wait for each step on it.
-            fresh: return a new one. The upstream may close a kept one at any
-                time, and a request lost on it cannot be told from one that
-                ran.
+            timeout_s: timeout of each socket operation.
+            fresh: return a new connection. The upstream may close an idle one
+                at any time, and whether a request lost on it ran is unknown.
 
         Raises:
-            errors.RefusedError: there is none; nothing was run.
+            errors.RefusedError: connection failed; the request did not run.
         """
         conn, reused = self._pool.take(self._upstream, timeout_s, fresh)
         if reused:
@@ -88,7 +87,7 @@
             conn.connect()
         except OSError as exc:
             raise errors.RefusedError(
-                f'no connection: {exc}',
+                f'connection failed: {exc}',
                 step='connect',
                 peer=str(self._upstream),
                 retry_after_s=RETRY_AFTER_S,
@@ -96,11 +95,11 @@
         return conn, False
 
     def give_back(self, conn):
-        """Keep a connection whose exchange is complete."""
+        """Return a connection to the pool after a complete exchange."""
         self._pool.give_back(self._upstream, conn)
 
     def cancel(self, engine_request_id):
-        """Tell the engine that nobody waits for an answer any more."""
+        """Cancel a request at the engine."""
         body = json.dumps({'request_id': engine_request_id}).encode()
         try:
             httpio.exchange(
@@ -111,11 +110,11 @@
                 timeout_s=_CANCEL_TIMEOUT_S,
             )
         except errors.RequestError as exc:
-            _log.info('Engine was not told to cancel: {}', exc)
+            _log.info('Cancelling at the engine failed: {}.', exc)
 
 
 class _Exchange:
-    """One request at the upstream."""
+    """One request to the upstream."""
 
     def __init__(self, forwarder, req):
         self.forwarder = forwarder
@@ -123,12 +122,12 @@
         cfg = forwarder.cfg
         self._is_generate = cfg.is_engine and req.path == _GENERATE_PATH
         self._peer = cfg.upstream
-        # Not the id of the request: a try that is cancelled must not cancel
-        # another try of the same request.
+        # Unique per attempt: cancelling one attempt must not cancel another
+        # attempt at the same request.
         self._engine_request_id = uuid.uuid4().hex
 
     def open(self):
-        """Send the request; return the response, still to be read."""
+        """Send the request; return the response with its body unread."""
         conn, sock, resp = self._send(fresh=bool(self.req.attempt_id))
         self._check_version(conn, resp)
         return self._respond(conn, sock, resp)
@@ -136,7 +135,7 @@
     def _send(self, fresh):
         header_timeout_s = max(0.001, self.req.deadline - time.monotonic())
         if self._is_generate:
-            # A frozen engine would keep its place until the deadline.
+            # A frozen engine would occupy the slot until the deadline.
             header_timeout_s = min(header_timeout_s, _STALL_TIMEOUT_S)
         conn, reused = self.forwarder.connect(header_timeout_s, fresh)
         self._check_deadline(conn)
@@ -147,13 +146,15 @@
                 self._make_body(),
                 {'Content-Type': self.req.content_type},
             )
-            # The connection drops it when the reply says that it closes.
+            # The connection clears its own reference when the response
+            # announces that it closes.
             sock = conn.sock
             return conn, sock, conn.getresponse()
         except ConnectionError as exc:
             conn.close()
             if reused:
-                # Closed while it was kept; the request does no harm twice.
+                # The upstream closed the idle connection; only requests that
+                # may safely run twice use one.
                 return self._send(fresh=True)
             raise self._outcome_unknown(exc) from exc
         except (OSError, http.client.HTTPException) as exc:
@@ -162,14 +163,14 @@
 
     def _outcome_unknown(self, exc):
         return errors.OutcomeUnknownError(
-            f'no reply: {exc!r}', step='exchange', peer=self._peer
+            f'no response: {exc!r}', step='exchange', peer=self._peer
         )
 
     def _check_deadline(self, conn):
-        """Refuse what has waited past its deadline.
+        """Reject a request whose deadline has passed.
 
-        This process may have been paused meanwhile. By now the entry counts
-        the try as over, and a repeat of a booking may be running.
+        This process may have been paused. The entry regards the attempt as
+        ended by now, and a repeated booking may be running.
         """
         expired = time.monotonic() >= self.req.deadline
         if expired or time.time() >= self.req.not_after:
@@ -190,18 +191,18 @@
         ).encode()
 
     def _check_version(self, conn, resp):
-        """Refuse an answer from another version than was routed for.
+        """Reject a response from another version than the requested one.
 
-        The engine may change over between the check of what it serves and
-        the answer; the caller would get the wrong model's answer.
+        The engine may load another version between the check of what it
+        serves and the response; the caller would get the wrong version.
         """
         if not self._is_generate:
             return
         if resp.status == 404:
-            # An engine that was restarted holds no model.
+            # A restarted engine has no model loaded.
             conn.close()
             raise errors.RefusedError(
-                'engine does not hold the model',
+                'engine has not loaded the model',
                 step='engine',
                 peer=self._peer,
                 retry_after_s=RETRY_AFTER_S,
@@ -210,7 +211,7 @@
         if self.req.version and answered_version != self.req.version:
             self._abort(conn)
             raise errors.WrongVersionError(
-                f'engine answered from {answered_version!r}, '
+                f'engine responded with version {answered_version!r}, '
                 f'not {self.req.version!r}',
                 step='engine',
                 peer=self._peer,
@@ -234,11 +235,11 @@
         return httpio.Response(resp.status, body, tuple(response_headers))
 
     def _iter_body(self, conn, sock, resp):
-        """Yield the upstream's body as it comes.
+        """Yield the body of the upstream as it arrives.
 
         Raises:
-            errors.IncompleteAnswerError: it broke off; the server then
-                breaks off the answer to the entry, too.
+            errors.IncompleteAnswerError: the body is truncated; the server
+                then aborts the response to the entry, too.
         """
         complete = False
         try:
@@ -253,11 +254,11 @@
             else:
                 self._abort(conn)
         if not complete:
-            raise self._incomplete('ended early')
+            raise self._incomplete('body ended early')
 
     def _incomplete(self, reason):
         return errors.IncompleteAnswerError(
-            f'answer broke off: {reason}', step='relay', peer=self._peer
+            f'incomplete response: {reason}', step='relay', peer=self._peer
         )
 
     def _abort(self, conn):
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -1,4 +1,4 @@
-"""Brings the model that the rules place here into the engine."""
+"""Loads the model version that the rules place here into the engine."""
 
 import threading
 import time
@@ -16,7 +16,7 @@
 
 RETRY_S = 0.5
 CONFIG_WAIT_S = 1.0
-#: Longest wait for weights before the rules are looked at again.
+#: Longest wait for a transfer before the rules are evaluated again.
 TRANSFER_WAIT_S = 0.2
 _log = logs.get_logger('placement')
 
@@ -26,7 +26,7 @@
 
     Args:
         cfg: `settings.SidecarSettings`.
-        follower: holds the configuration in force.
+        config_replica: replica of the active configuration.
         directory: `instances.Directory`.
     """
 
@@ -41,7 +41,7 @@
         self._stopped = threading.Event()
 
     def start(self):
-        """Act on each configuration in the background."""
+        """Start the transfer agent and the placement thread."""
         platform = self.cfg.platform
         store = platform.weight_store
         self._engine = engines.HttpEngine(
@@ -68,13 +68,13 @@
         return self
 
     def stop(self):
-        """Take up no further placement and end the transfer."""
+        """Stop the placement thread and the transfer."""
         self._stopped.set()
         if self._agent is not None:
             self._agent.stop()
 
     def report(self):
-        """Return the versions wanted and served, and the transfer."""
+        """Return wanted versions, served versions and the transfer."""
         status = {'wanted': self._wanted, 'served': self._served}
         if self._agent is not None:
             transfer = self._agent.report(time.monotonic())
@@ -82,19 +82,21 @@
         return status
 
     def serve(self, path):
-        """Return the response to the engine's pull of weights."""
+        """Return the response to a weights request of the engine."""
         if self._agent is None:
             raise errors.InvalidRequestError('unknown weights', step='pull')
         return self._weights_endpoint.handle(path)
 
     def serve_chunks(self, environ):
-        """Return the response to a peer's pull of a chunk."""
+        """Return the response to a chunk request of a peer."""
         if self._agent is None:
-            raise errors.InvalidRequestError('no chunks here', step='read')
+            raise errors.InvalidRequestError(
+                'this instance serves no chunks', step='read'
+            )
         return self._chunks.handle(environ)
 
     def observe(self, n_sent, n_received):
-        """Count bytes of live requests, to which a transfer yields."""
+        """Count bytes of live requests; transfers leave them bandwidth."""
         if self._agent is not None:
             now = time.monotonic()
             self._agent.upload_share.observe(n_sent, now)
@@ -107,8 +109,8 @@
             wait_s = CONFIG_WAIT_S if applied else TRANSFER_WAIT_S
             conf = self.config_replica.wait(revision, wait_s)
             revision = conf.revision
-            # The list counts, too: where a holder has gone, another one of
-            # the rule's instances takes its place.
+            # The instance list matters as well: when a replica leaves, the
+            # placement rule selects another instance.
             current = (revision, self.directory.revision)
             try:
                 if revision == 0 or (
@@ -117,40 +119,41 @@
                     continue
                 applied = current if self._apply(conf) else None
             except errors.CatkinshuntError as exc:
-                _log.warning('Placement failed: {}', exc)
+                _log.warning('Applying the placement failed: {}.', exc)
                 self._stopped.wait(RETRY_S)
             except Exception as exc:
-                # If the thread ended here, the instance would answer its
-                # requests and stay at its version through every rollout.
-                _log.error('Placement broke: {!r}', exc)
+                # If the thread ended, the instance would keep serving its
+                # old version and ignore every later rollout.
+                _log.error('Unexpected error in placement: {!r}.', exc)
                 applied = None
                 self._stopped.wait(RETRY_S)
 
     def _engine_is_loaded(self):
-        """Return whether the engine still holds what it was ordered to.
+        """Return whether the engine still has the versions loaded into it.
 
-        An engine that restarts comes back empty and tells nobody. Every
-        request sent to it would be refused until the next change of the
-        rules, while this instance counted as a replica that serves.
+        An engine that restarts has no model and does not report it. Its
+        requests would be rejected until the next change of the rules, while
+        this instance counted as a serving replica.
         """
         if not self._served:
             return True
         try:
             engine_versions = self._engine.report()
         except errors.OrderError as exc:
-            # It may come back as it was; orders would fail now anyway.
-            _log.info('Engine not asked: {}', exc)
+            # The engine may be reachable again later with its model; a load
+            # order would fail now anyway.
+            _log.info('Engine report unavailable: {}.', exc)
             return True
         if self._served.items() <= engine_versions.items():
             return True
         _log.warning(
-            'Engine holds {} and not {}.', engine_versions, self._served
+            'Engine has {} loaded, expected {}.', engine_versions, self._served
         )
         self._served = {}
         return False
 
     def _apply(self, conf):
-        """Come closer to `conf`; return whether nothing is left to do."""
+        """Apply the placement of `conf`; return whether it is complete."""
         placement = control.choose_placement(
             conf.rule_set, self._own_instance(), self.directory.instances
         )
@@ -191,7 +194,7 @@
         self._served = {manifest.model: manifest.version}
 
     def _list_members(self, wanted):
-        """Return the instances that want the same version."""
+        """Return the members of the transfer of a version."""
         names = control.find_holders(
             self.config_replica.current.rule_set,
             self._own_instance(),
@@ -204,7 +207,7 @@
         )
 
     def _own_instance(self):
-        """Return the own instance; the list may not show it yet."""
+        """Return this instance, which may not be listed yet."""
         address = httpio.Address(self.cfg.host, self.port or self.cfg.port)
         return instances.Instance(
             name=self.cfg.name,
--- a/catkinshunt/sidecar/_process.py
+++ b/catkinshunt/sidecar/_process.py
@@ -1,4 +1,4 @@
-"""The parts of a sidecar, started and stopped together."""
+"""Starts and stops the components of a sidecar."""
 
 from catkinshunt import base
 from catkinshunt import control
@@ -10,7 +10,7 @@
 
 
 class SidecarProcess(base.BaseService):
-    """The process beside one upstream instance.
+    """The sidecar process of one upstream instance.
 
     Args:
         cfg: `settings.SidecarSettings`.
@@ -20,7 +20,7 @@
         self.cfg = cfg
 
     def start(self):
-        """Listen, then follow the configuration."""
+        """Listen, then start following the configuration."""
         self._control = control.ControlPlane(self.cfg)
         self._placement = _placement.Placement(
             self.cfg, self._control.keeper, self._control.directory
@@ -48,7 +48,7 @@
         return self
 
     def report(self):
-        """Return what ``/status`` shows."""
+        """Return the content of ``/status``."""
         return {
             'name': self.cfg.name,
             'state': 'serving' if self._serving else 'leaving',
@@ -58,11 +58,11 @@
 
     @property
     def address(self):
-        """Address that entries and peers use."""
+        """Address for entries and peers."""
         return httpio.Address(self.cfg.host, self._server.port)
 
     def stop(self):
-        """Refuse new work, finish what is in progress, then stop."""
+        """Reject new requests, finish those in progress, then stop."""
         self._serving = False
         self._app.leave()
         self._app.admission.join(self.cfg.stop_timeout_s)
--- a/catkinshunt/sidecar/_request.py
+++ b/catkinshunt/sidecar/_request.py
@@ -1,4 +1,4 @@
-"""A request from an entry, as a sidecar reads it."""
+"""A parsed request of an entry."""
 
 import math
 
@@ -8,7 +8,7 @@
 from catkinshunt import httpio
 from catkinshunt.httpio import headers
 
-#: Deadline of a request that names none, in seconds.
+#: Used for a request without a deadline header.
 _DEFAULT_DEADLINE_S = 30.0
 
 
@@ -17,21 +17,22 @@
     """A request from an entry.
 
     Attributes:
-        request_id: id of the request over all processes.
+        request_id: id of the request in all processes.
         method: HTTP method.
-        path: path and query at the upstream.
-        account: who the request is for.
-        weight: share of the account.
-        priority: in the engine's queue.
-        model: model asked for; empty for a plain service.
-        version: model version that must answer; empty for any.
-        deadline: when its answer must be whole, in seconds.
-        attempt_id: unique id of a try that may be dispatched once only.
-        not_after: seconds since the epoch after which that try must not be
-            dispatched.
-        body: the whole body.
-        content_type: of the body.
-        is_disconnected: tells whether the entry has closed its connection.
+        path: path and query for the upstream.
+        account: client account of the request.
+        weight: weight of the account in fair queueing.
+        priority: priority in the queue of the engine.
+        model: requested model; empty for a plain service.
+        version: required model version; empty for any.
+        deadline: when the response must be complete, in seconds,
+            monotonic.
+        attempt_id: unique id of an attempt that may be dispatched only once.
+        not_after: time after which that attempt must not be dispatched, in
+            seconds since the epoch.
+        body: the complete body.
+        content_type: media type of the body.
+        is_disconnected: returns whether the entry has closed its connection.
     """
 
     request_id: str
@@ -51,10 +52,10 @@
 
     @classmethod
     def from_environ(cls, environ, path, now):
-        """Read a request from a WSGI environment.
+        """Parse a request from a WSGI environment.
 
         Raises:
-            errors.InvalidRequestError: a header is wrong.
+            errors.InvalidRequestError: a header is invalid.
         """
         default_ms = _DEFAULT_DEADLINE_S * 1000
         remaining_ms = _read_number(environ, headers.DEADLINE_MS, default_ms)
@@ -90,7 +91,7 @@
         value = -1.0
     if not 0 <= value < 1e9:
         raise errors.InvalidRequestError(
-            f'{name} must be a number, got {text!r}', step='read'
+            f'{name} must be a non-negative number, got {text!r}', step='read'
         )
     return value
 
@@ -99,7 +100,7 @@
     text = httpio.read_header(environ, headers.PRIORITY) or '0'
     if not text.removeprefix('-').isdecimal():
         raise errors.InvalidRequestError(
-            f'{headers.PRIORITY} must be a whole number', step='read'
+            f'{headers.PRIORITY} must be an integer', step='read'
         )
     return int(text)
 
--- a/catkinshunt/sidecar/tests/test_app.py
+++ b/catkinshunt/sidecar/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of what a sidecar lets through to its upstream."""
+"""Tests of which requests a sidecar forwards."""
 
 import json
 
@@ -11,13 +11,13 @@
 
 
 class Placement:
-    """Stands for `sidecar._placement.Placement`."""
+    """Replaces `sidecar._placement.Placement`."""
 
     def __init__(self):
         self.served = {}
 
     def report(self):
-        """Return what the engine serves."""
+        """Return the versions that the engine serves."""
         return {'wanted': {'drafts': 'v1'}, 'served': self.served}
 
 
@@ -27,10 +27,10 @@
 
 
 def test_model_not_served_yet_is_rejected_as_not_run():
-    """A new instance is on the list before its engine has its weights.
+    """A new instance is listed before its engine has its weights.
 
-    The caller got the engine's own "not found" as the final answer,
-    although other instances served the model.
+    The "not found" of the engine would reach the caller as final, although
+    other instances serve the model.
     """
     with httpio.HttpServer(engine, threads=1) as upstream:
         cfg = settings.structure(
@@ -47,7 +47,7 @@
                 'service': 'model-servers',
                 'upstream': f'127.0.0.1:{upstream.port}',
                 'is_engine': True,
-                # Demanded beside an engine; nothing listens there here.
+                # Required with `is_engine`; nothing listens on it here.
                 'port': 8080,
             },
             settings.SidecarSettings,
--- a/catkinshunt/sidecar/tests/test_forward.py
+++ b/catkinshunt/sidecar/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""Tests of what a sidecar does with an admitted request."""
+"""Tests of forwarding an admitted request."""
 
 import io
 import time
@@ -28,7 +28,7 @@
         'service': 'models',
         'upstream': str(upstream.address),
         'is_engine': is_engine,
-        # Demanded beside an engine; nothing listens there here.
+        # Required with `is_engine`; nothing listens on it here.
         'port': 8080,
     }
     cfg = settings.structure(cfg, settings.SidecarSettings)
@@ -36,10 +36,10 @@
     return _forward.Forwarder(cfg, admission)
 
 
-def request(**given):
+def request(**extra_headers):
     environ = {'REQUEST_METHOD': 'POST', 'CONTENT_LENGTH': '0'}
     environ['wsgi.input'] = io.BytesIO()
-    for name, value in given.items():
+    for name, value in extra_headers.items():
         environ[f'HTTP_CATKINSHUNT_{name}'] = value
     return _request.ForwardedRequest.from_environ(
         environ, '/generate', time.monotonic()
@@ -54,10 +54,10 @@
     ],
 )
 def test_request_is_not_dispatched_after_its_deadline(upstream, given, step):
-    """A sidecar was paused, or a message came very late.
+    """A sidecar was paused, or a request arrived very late.
 
-    The entry counts the try as over by then; to run it now could run a
-    booking beside its repeat.
+    The entry regards the attempt as ended by then. Dispatching it could run
+    a booking in addition to its repeat.
     """
     forwarder = make(upstream, is_engine=False)
     with pytest.raises(errors.RefusedError) as caught:
@@ -67,9 +67,9 @@
 
 
 def test_disconnected_caller_is_not_served(upstream):
-    """A caller gives up while its request waits beside a busy upstream.
+    """A caller disconnects while its request is queued.
 
-    To run it all the same would hold up those who still wait.
+    Running it anyway would delay the requests that are still waited for.
     """
     forwarder = make(upstream, is_engine=False)
     req = request()
@@ -81,9 +81,9 @@
 
 
 def test_answer_of_another_version_is_rejected(upstream):
-    """The engine changed its version between the check and the answer.
+    """The engine changed its version between the check and the response.
 
-    The caller would get the answer of a model that it was not routed for.
+    The caller would get the response of another version than requested.
     """
     forwarder = make(upstream)
     with pytest.raises(errors.WrongVersionError) as caught:
@@ -110,9 +110,9 @@
 
 
 def test_closed_idle_connection_is_replaced():
-    """The upstream closes a connection that a sidecar has kept.
+    """The upstream closes an idle connection in the pool of a sidecar.
 
-    A read that is lost on it is sent again at once.
+    An idempotent request that is lost on it is sent again at once.
     """
     kept = harness.ScriptedUpstream(lambda _: REPLY)
     try:
--- a/catkinshunt/sidecar/tests/test_placement.py
+++ b/catkinshunt/sidecar/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of keeping an engine at the version that the rules place."""
+"""Tests of loading the version that the rules place."""
 
 import contextlib
 import json
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def engine_and_sidecar():
-    """Return an engine, the sidecar beside it, and a wait for both."""
+    """Return an engine and its sidecar, with version v1 loaded."""
     runner = engine.Engine()
     source = origin.Origin(chunk_bytes=1024)
     source.publish(MODEL, 'v1', 10_000)
@@ -72,10 +72,10 @@
 
 
 def test_restarted_engine_is_loaded_again(engine_and_sidecar):
-    """The engine restarts and comes back empty; its sidecar runs on.
+    """The engine restarts without a model while its sidecar keeps running.
 
-    Each request sent there was refused, and the instance stayed without a
-    model until the next change of the rules.
+    Without a check of the engine its requests would be rejected until the
+    next change of the rules.
     """
     runner, process = engine_and_sidecar
     runner.restart()
@@ -89,10 +89,10 @@
 def test_placement_continues_after_an_unexpected_exception(
     engine_and_sidecar, monkeypatch
 ):
-    """A call breaks with an error outside the system's own tree.
+    """A call raises an exception that is no `CatkinshuntError`.
 
-    The thread that keeps the placement ended without a word, and the
-    instance stayed at its version through every later rollout.
+    If it ended the placement thread, the instance would ignore every later
+    rollout without an error.
     """
     runner, process = engine_and_sidecar
     engine_client = process._placement._engine
@@ -103,7 +103,7 @@
         if broken.is_set():
             return report()
         broken.set()
-        raise ZeroDivisionError('nobody foresaw this')
+        raise ZeroDivisionError('unexpected error')
 
     monkeypatch.setattr(engine_client, 'report', break_once)
     assert broken.wait(deployments.WAIT_S)
