--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -76,7 +76,7 @@
     def _admit(self, req):
         self.limiter.acquire(req.account)
         try:
-            resp = self._answer(req)
+            resp = self._route(req)
         except BaseException:
             self.limiter.release(req.account)
             raise
@@ -86,7 +86,7 @@
         body = self.limiter.release_after(req.account, resp.body)
         return attrs.evolve(resp, body=body)
 
-    def _answer(self, req):
+    def _route(self, req):
         rule_request = req.make_rule_request(
             self.cfg.data_centre, self.cfg.region
         )
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -57,7 +57,7 @@
             if length is None or length > _MAX_BUFFERED_BYTES:
                 return self._respond(open_resp, self._relay_body(open_resp))
             try:
-                body = self.relay.read_whole(open_resp)
+                body = self.relay.read_all(open_resp)
             except errors.IncompleteAnswerError as exc:
                 self._handle_failure(exc)
                 continue
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -188,7 +188,7 @@
         open_resp.conn_returned = True
         self.pool.give_back(open_resp.address, open_resp.conn)
 
-    def read_whole(self, open_resp):
+    def read_all(self, open_resp):
         """Return the complete body.
 
         Raises:
@@ -249,7 +249,7 @@
         if open_resp.resp.getheader(headers.ERROR) is None:
             return
         try:
-            body = self.read_whole(open_resp)
+            body = self.read_all(open_resp)
         except errors.IncompleteAnswerError as exc:
             raise errors.OutcomeUnknownError(
                 exc.message, step='exchange', peer=exc.peer
--- a/catkinshunt/entry/tests/harness.py
+++ b/catkinshunt/entry/tests/harness.py
@@ -43,7 +43,7 @@
         return {'wanted': {}, 'served': self.served}
 
 
-class DispatchAlways:
+class AlwaysDispatch:
     """Replaces `AtMostOnce` for requests without an idempotency key."""
 
     def execute(self, req, dispatch, now, epoch_now):
@@ -178,7 +178,7 @@
         keeper.offer(configuration.EMPTY.edited('first', steps), now=0.0)
         cfg = settings.structure(BASE_SETTINGS, settings.EntrySettings)
         self.entry_app = entry.EntryApp(
-            cfg, keeper, self.directory, DispatchAlways()
+            cfg, keeper, self.directory, AlwaysDispatch()
         )
         self.entry = self.enter_context(
             httpio.HttpServer(self.entry_app, threads=32)
@@ -214,7 +214,7 @@
         self, path, value=None, method=None, deadline_s=20, **extra_headers
     ):
         """Send one request to the entry; return its `httpio.Reply`."""
-        sent = {
+        request_headers = {
             headers.DEADLINE_MS: str(int(deadline_s * 1000))
         } | extra_headers
         body = None if value is None else json.dumps(value).encode()
@@ -223,7 +223,7 @@
             method or ('GET' if value is None else 'POST'),
             path,
             body,
-            sent,
+            request_headers,
             timeout_s=20.0,
         )
 
--- a/catkinshunt/entry/tests/test_streams.py
+++ b/catkinshunt/entry/tests/test_streams.py
@@ -15,8 +15,8 @@
 
 @pytest.fixture
 def deployment():
-    with harness.Harness(models={}, desk={}) as made:
-        yield made
+    with harness.Harness(models={}, desk={}) as fixture:
+        yield fixture
 
 
 def test_broken_stream_is_resumed_elsewhere(deployment):
@@ -88,7 +88,7 @@
     requests wait for.
     """
     cancelled = threading.Event()
-    gone = threading.Event()
+    disconnected = threading.Event()
 
     def app(environ, start_response):
         body = httpio.read_body(environ)
@@ -96,16 +96,16 @@
             assert json.loads(body)['request_id']
             cancelled.set()
             return httpio.Response.of_json(200, {}).send(start_response)
-        kind = ('Content-Type', 'application/x-ndjson')
+        content_type = ('Content-Type', 'application/x-ndjson')
         version = ('Model-Version', harness.VERSION)
-        return httpio.Response(200, pieces(), (kind, version)).send(
+        return httpio.Response(200, pieces(), (content_type, version)).send(
             start_response
         )
 
     def pieces():
         for index in range(100_000):
             if index == 1:
-                assert gone.wait(20)
+                assert disconnected.wait(20)
             if cancelled.is_set():
                 return
             yield harness.lines(index)
@@ -122,7 +122,7 @@
         assert resp.read1().startswith(b'{"index": 0')
         resp.close()
         conn.close()
-        gone.set()
+        disconnected.set()
         assert cancelled.wait(20)
         assert deployment.apps['a'].admission.join(20)
 
@@ -134,20 +134,20 @@
     deadline.
     """
     deployment.entry_app._relay.stall_timeout_s = 0.2
-    freed = threading.Event()
+    released = threading.Event()
 
     def app(environ, start_response):
         generate_body = json.loads(httpio.read_body(environ))
-        kind = ('Content-Type', 'application/x-ndjson')
+        content_type = ('Content-Type', 'application/x-ndjson')
         version = ('Model-Version', harness.VERSION)
         return httpio.Response(
-            200, pieces(generate_body), (kind, version)
+            200, pieces(generate_body), (content_type, version)
         ).send(start_response)
 
     def pieces(generate_body):
         if 'resume_from' not in generate_body:
             yield harness.lines(0)
-            freed.wait(20)
+            released.wait(20)
             return
         yield harness.lines(*range(generate_body['resume_from'], 2), pieces=2)
 
@@ -156,7 +156,7 @@
         for name in ('a', 'b'):
             deployment.upstream(name, 'models', address, is_engine=True)
         answer = harness.texts(deployment.generate(2))
-        freed.set()
+        released.set()
     assert answer == (['t0', 't1'], {'done': True, 'pieces': 2})
 
 
@@ -165,20 +165,20 @@
 
     The stream is finished; a later request is rejected as not run.
     """
-    going, freed = threading.Event(), threading.Event()
+    started, released = threading.Event(), threading.Event()
 
     def app(environ, start_response):
         httpio.read_body(environ)
-        kind = ('Content-Type', 'application/x-ndjson')
+        content_type = ('Content-Type', 'application/x-ndjson')
         version = ('Model-Version', harness.VERSION)
-        return httpio.Response(200, pieces(), (kind, version)).send(
+        return httpio.Response(200, pieces(), (content_type, version)).send(
             start_response
         )
 
     def pieces():
         yield harness.lines(0)
-        going.set()
-        assert freed.wait(20)
+        started.set()
+        assert released.wait(20)
         yield harness.lines(1, pieces=2)
 
     with httpio.HttpServer(app, threads=4) as server:
@@ -189,7 +189,7 @@
             target=lambda: replies.append(deployment.generate(2))
         )
         thread.start()
-        assert going.wait(20)
+        assert started.wait(20)
         side.leave()
         deployment.entry_app.leave()
         late = deployment.generate(2)
@@ -199,7 +199,7 @@
         )
         assert harness.error_of(late)['ran'] == 'no'
         assert not deployment.entry.join(0.05)
-        freed.set()
+        released.set()
         assert deployment.entry.join(20) and side.admission.join(20)
         thread.join(20)
     assert harness.texts(replies[0]) == (
@@ -217,13 +217,15 @@
     def app(environ, start_response):
         generate_body = json.loads(httpio.read_body(environ))
         resumed = 'resume_from' in generate_body
-        given = (
+        response_headers = (
             ('Content-Type', 'application/x-ndjson'),
             ('Model-Version', 'v2' if resumed else 'v1'),
             (headers.EXCHANGE_ID, environ['HTTP_CATKINSHUNT_EXCHANGE_ID']),
         )
         body = harness.lines(1, pieces=2) if resumed else harness.lines(0)
-        return httpio.Response(200, iter([body]), given).send(start_response)
+        return httpio.Response(200, iter([body]), response_headers).send(
+            start_response
+        )
 
     with (
         harness.Harness(models={}) as deployment,
@@ -247,13 +249,15 @@
     def app(environ, start_response):
         generate_body = json.loads(httpio.read_body(environ))
         good = generate_body['prompt'] == 'good'
-        given = (
+        response_headers = (
             ('Content-Type', 'application/x-ndjson'),
             ('Model-Version', 'v1'),
             (headers.EXCHANGE_ID, environ['HTTP_CATKINSHUNT_EXCHANGE_ID']),
         )
         body = harness.lines(0, pieces=1) if good else harness.lines(0)
-        return httpio.Response(200, iter([body]), given).send(start_response)
+        return httpio.Response(200, iter([body]), response_headers).send(
+            start_response
+        )
 
     with (
         harness.Harness(models={}) as deployment,
--- a/catkinshunt/entry/tests/test_upstream_failures.py
+++ b/catkinshunt/entry/tests/test_upstream_failures.py
@@ -16,8 +16,8 @@
 
 @pytest.fixture
 def deployment():
-    with harness.Harness(models={}, desk={}) as made:
-        yield made
+    with harness.Harness(models={}, desk={}) as fixture:
+        yield fixture
 
 
 def test_engine_that_dies_before_headers_is_retried_elsewhere(deployment):
@@ -56,9 +56,9 @@
 
     Nothing ran, so even a booking may be retried at another upstream.
     """
-    gone = harness.ScriptedUpstream(b'')
-    gone.close()
-    deployment.upstream('a', 'desk', gone.address)
+    closed_upstream = harness.ScriptedUpstream(b'')
+    closed_upstream.close()
+    deployment.upstream('a', 'desk', closed_upstream.address)
     good = deployment.scripted('b', 'desk', BOOKED)
     for _ in range(4):
         assert deployment.send('/desk/bookings', {'order': 1}).status == 201
@@ -70,9 +70,9 @@
 
     The caller is rejected at once, as not run, with a retry time.
     """
-    gone = harness.ScriptedUpstream(b'')
-    gone.close()
-    deployment.upstream('a', 'desk', gone.address)
+    closed_upstream = harness.ScriptedUpstream(b'')
+    closed_upstream.close()
+    deployment.upstream('a', 'desk', closed_upstream.address)
     reply = deployment.send('/desk/bookings', {'order': 1})
     assert (reply.status, harness.error_of(reply)['ran']) == (503, 'no')
     assert harness.error_of(reply)['retry_after_s'] > 0
@@ -102,8 +102,13 @@
     """
 
     def wrong(environ, start_response):
-        given = ((headers.EXCHANGE_ID, 'of another'), ('Content-Length', '3'))
-        return httpio.Response(200, [b'999'], given).send(start_response)
+        response_headers = (
+            (headers.EXCHANGE_ID, 'of another'),
+            ('Content-Length', '3'),
+        )
+        return httpio.Response(200, [b'999'], response_headers).send(
+            start_response
+        )
 
     with (
         harness.Harness(desk={}) as deployment,
@@ -150,11 +155,13 @@
             deployment.send('/desk/bookings', {'order': number}).status == 201
         )
     assert (len(one.requests), len(two.requests)) == (0, 12)
-    states = {view.name: view.state for view in _views(deployment)}
+    states = {
+        view.name: view.state for view in _list_upstream_views(deployment)
+    }
     assert states['a'] == 'leaving'
 
 
-def _views(deployment):
+def _list_upstream_views(deployment):
     return deployment.entry_app._selector.router.report()
 
 
@@ -164,13 +171,13 @@
     Its newest are rejected at once as not run; the request of the small
     account does not wait behind the others.
     """
-    freed = threading.Event()
+    released = threading.Event()
     served = []
 
     def app(environ, start_response):
         body = httpio.read_body(environ)
         served.append(body)
-        assert freed.wait(20)
+        assert released.wait(20)
         length = ('Content-Length', str(len(body)))
         return httpio.Response(200, [body], (length,)).send(start_response)
 
@@ -180,27 +187,33 @@
             'a', 'desk', address, concurrency=1, threads=14
         )
         replies = {'large': [], 'small': []}
-        fair = threading.Condition()
+        replies_changed = threading.Condition()
 
         def send(account):
-            given = {headers.ACCOUNT: account}
-            reply = deployment.send('/desk/draw', {'for': account}, **given)
-            with fair:
+            request_headers = {headers.ACCOUNT: account}
+            reply = deployment.send(
+                '/desk/draw', {'for': account}, **request_headers
+            )
+            with replies_changed:
                 replies[account].append(reply)
-                fair.notify_all()
+                replies_changed.notify_all()
 
         threads = [
             threading.Thread(target=send, args=('large',)) for _ in range(9)
         ]
         for thread in threads:
             thread.start()
-        with fair:
-            assert fair.wait_for(lambda: len(replies['large']) >= 3, 20)
+        with replies_changed:
+            assert replies_changed.wait_for(
+                lambda: len(replies['large']) >= 3, 20
+            )
         small = threading.Thread(target=send, args=('small',))
         small.start()
-        with fair:
-            assert fair.wait_for(lambda: len(replies['large']) >= 4, 20)
-        freed.set()
+        with replies_changed:
+            assert replies_changed.wait_for(
+                lambda: len(replies['large']) >= 4, 20
+            )
+        released.set()
         for thread in (*threads, small):
             thread.join(20)
         assert [reply.status for reply in replies['small']] == [200]
@@ -244,9 +257,9 @@
     "Not run" would be false for the request, in either order of the two.
     """
     deployment.scripted('a', 'models', b'', is_engine=True)
-    gone = harness.ScriptedUpstream(b'')
-    gone.close()
-    deployment.upstream('b', 'models', gone.address, is_engine=True)
+    closed_upstream = harness.ScriptedUpstream(b'')
+    closed_upstream.close()
+    deployment.upstream('b', 'models', closed_upstream.address, is_engine=True)
     reply = deployment.generate(3, prompt=prompt)
     assert harness.error_of(reply)['ran'] == 'unknown'
 
@@ -260,11 +273,13 @@
 
     def app(environ, start_response):
         clients.append((environ['REQUEST_METHOD'], environ['REMOTE_PORT']))
-        given = (
+        response_headers = (
             (headers.EXCHANGE_ID, environ['HTTP_CATKINSHUNT_EXCHANGE_ID']),
             ('Content-Length', '2'),
         )
-        return httpio.Response(200, [b'{}'], given).send(start_response)
+        return httpio.Response(200, [b'{}'], response_headers).send(
+            start_response
+        )
 
     with (
         harness.Harness(desk={}) as deployment,
@@ -287,15 +302,17 @@
     """
     for name in ('a', 'b', 'c', 'd'):
         if name in ('a', 'c'):
-            gone = harness.ScriptedUpstream(b'')
-            gone.close()
-            deployment.upstream(name, 'desk', gone.address)
+            closed_upstream = harness.ScriptedUpstream(b'')
+            closed_upstream.close()
+            deployment.upstream(name, 'desk', closed_upstream.address)
         else:
             deployment.scripted(name, 'desk', BOOKED)
     for number in range(30):
         assert (
             deployment.send('/desk/bookings', {'order': number}).status == 201
         )
-    tries = 30 + sum(view.state == 'suspect' for view in _views(deployment))
+    tries = 30 + sum(
+        view.state == 'suspect' for view in _list_upstream_views(deployment)
+    )
     assert tries == 32
     assert deployment.entry_app._retry.budget.report()['tokens'] > 5
--- a/catkinshunt/sidecar/tests/test_forward.py
+++ b/catkinshunt/sidecar/tests/test_forward.py
@@ -18,9 +18,9 @@
 
 @pytest.fixture
 def upstream():
-    made = harness.ScriptedUpstream(REPLY)
-    yield made
-    made.close()
+    scripted = harness.ScriptedUpstream(REPLY)
+    yield scripted
+    scripted.close()
 
 
 def make(upstream, is_engine=True):
@@ -47,13 +47,15 @@
 
 
 @pytest.mark.parametrize(
-    'given, step',
+    'extra_headers, step',
     [
         ({'DEADLINE_MS': '0'}, 'deadline'),
         ({'ATTEMPT_ID': 'a1', 'NOT_AFTER': '5.0'}, 'deadline'),
     ],
 )
-def test_request_is_not_dispatched_after_its_deadline(upstream, given, step):
+def test_request_is_not_dispatched_after_its_deadline(
+    upstream, extra_headers, step
+):
     """A sidecar was paused, or a request arrived very late.
 
     The entry regards the attempt as ended by then. Dispatching it could run
@@ -61,7 +63,7 @@
     """
     forwarder = make(upstream, is_engine=False)
     with pytest.raises(errors.RefusedError) as caught:
-        forwarder.forward(request(**given))
+        forwarder.forward(request(**extra_headers))
     assert (caught.value.ran, upstream.requests) == ('no', [])
     assert forwarder.admission.load == 0
 
--- a/catkinshunt/sidecar/tests/test_placement.py
+++ b/catkinshunt/sidecar/tests/test_placement.py
@@ -37,7 +37,7 @@
 @pytest.fixture
 def engine_and_sidecar():
     """Return an engine and its sidecar, with version v1 loaded."""
-    runner = engine.Engine()
+    stand_in = engine.Engine()
     source = origin.Origin(chunk_bytes=1024)
     source.publish(MODEL, 'v1', 10_000)
     with contextlib.ExitStack() as stack:
@@ -54,7 +54,7 @@
             data_centre='centre-1',
             deployment_key=deployments.KEY,
             service='model-servers',
-            upstream=str(_serve(stack, runner.app)),
+            upstream=str(_serve(stack, stand_in.app)),
             is_engine=True,
             platform=settings.PlatformSettings(
                 key_value=str(store),
@@ -68,7 +68,7 @@
         deployments.wait_until(
             lambda: process.report()['served'] == {MODEL: 'v1'}, 'placement'
         )
-        yield runner, process
+        yield stand_in, process
 
 
 def test_restarted_engine_is_loaded_again(engine_and_sidecar):
@@ -77,13 +77,13 @@
     Without a check of the engine its requests would be rejected until the
     next change of the rules.
     """
-    runner, process = engine_and_sidecar
-    runner.restart()
-    deployments.wait_until(lambda: len(runner.orders) == 1, 'second order')
+    stand_in, process = engine_and_sidecar
+    stand_in.restart()
+    deployments.wait_until(lambda: len(stand_in.orders) == 1, 'second order')
     deployments.wait_until(
         lambda: process.report()['served'] == {MODEL: 'v1'}, 'placement'
     )
-    assert runner.orders[0]['version'] == 'v1'
+    assert stand_in.orders[0]['version'] == 'v1'
 
 
 def test_placement_continues_after_an_unexpected_exception(
@@ -94,18 +94,18 @@
     If it ended the placement thread, the instance would ignore every later
     rollout without an error.
     """
-    runner, process = engine_and_sidecar
+    stand_in, process = engine_and_sidecar
     engine_client = process._placement._engine
     report = engine_client.report
-    broken = threading.Event()
+    raised = threading.Event()
 
-    def break_once():
-        if broken.is_set():
+    def raise_once():
+        if raised.is_set():
             return report()
-        broken.set()
+        raised.set()
         raise ZeroDivisionError('unexpected error')
 
-    monkeypatch.setattr(engine_client, 'report', break_once)
-    assert broken.wait(deployments.WAIT_S)
-    runner.restart()
-    deployments.wait_until(lambda: len(runner.orders) == 1, 'second order')
+    monkeypatch.setattr(engine_client, 'report', raise_once)
+    assert raised.wait(deployments.WAIT_S)
+    stand_in.restart()
+    deployments.wait_until(lambda: len(stand_in.orders) == 1, 'second order')
