--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -38,7 +38,9 @@
         self.at_most_once = at_most_once
         self.limiter = _concurrency.ConcurrencyLimiter(cfg.threads)
         self._relay = _relay.Relay(
-            httpio.ConnectionPool(), cfg.deployment_key, keeper=config_replica
+            httpio.ConnectionPool(),
+            cfg.deployment_key,
+            config_replica=config_replica,
         )
         self._retry = retries.RetryPolicy(retries.Budget())
         router = routing.Router(
--- a/catkinshunt/entry/_at_most_once.py
+++ b/catkinshunt/entry/_at_most_once.py
@@ -60,7 +60,7 @@
         )
 
     def _claim(self, req, now, epoch_now):
-        digest = claims.digest_of(
+        digest = claims.compute_request_digest(
             req.method, f'/{req.service}{req.path}', req.body
         )
         claim = self.ledger.claim(
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -48,7 +48,7 @@
         Raises:
             errors.RequestError: no attempt gave a response.
         """
-        self.retry.offer()
+        self.retry.add_request()
         while True:
             open_resp = self._open()
             if open_resp.is_stream and self.req.model:
--- a/catkinshunt/entry/_process.py
+++ b/catkinshunt/entry/_process.py
@@ -33,7 +33,7 @@
         ).start()
         self._app = _app.EntryApp(
             self.cfg,
-            self._control.keeper,
+            self._control.config_replica,
             self._control.directory,
             _at_most_once.AtMostOnce(
                 self._ledger, self._ledger.body_limit_bytes
@@ -57,7 +57,7 @@
         return {
             'name': self.cfg.name,
             'state': 'serving' if self._serving else 'leaving',
-            'revision': self._control.keeper.revision,
+            'revision': self._control.config_replica.revision,
             'wanted': {},
             'served': {},
         }
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -98,17 +98,17 @@
         pool: `httpio.ConnectionPool`.
         deployment_key: secret that sidecars require.
         stall_timeout_s: longest wait for the next piece of a response.
-        keeper: `configuration.Keeper`; its revision is exchanged in the
+        keeper: `configuration.ConfigurationReplica`; its revision is exchanged in the
             headers of requests and responses; or None.
     """
 
     def __init__(
-        self, pool, deployment_key, stall_timeout_s=10.0, keeper=None
+        self, pool, deployment_key, stall_timeout_s=10.0, config_replica=None
     ):
         self.pool = pool
         self.deployment_key = deployment_key
         self.stall_timeout_s = stall_timeout_s
-        self.keeper = keeper
+        self.config_replica = config_replica
 
     def open(self, req, route, address, now, resume=None, on_status=None):
         """Send `req` to the sidecar at `address` and wait for the headers.
@@ -159,8 +159,10 @@
             ) from exc
         open_resp = OpenResponse(address, conn, resp, sock)
         self._check_exchange_id(open_resp, exchange_id)
-        if self.keeper is not None:
-            self.keeper.hear(resp.getheader(headers.REVISION), now)
+        if self.config_replica is not None:
+            self.config_replica.observe_revision(
+                resp.getheader(headers.REVISION), now
+            )
         if on_status is not None:
             on_status(SidecarStatus.from_response(resp))
         self._check_error(open_resp)
@@ -214,8 +216,8 @@
             not_after = time.time() + remaining_s
             optional[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
             optional[headers.NOT_AFTER] = f'{not_after:.3f}'
-        if self.keeper is not None:
-            optional[headers.REVISION] = str(self.keeper.revision)
+        if self.config_replica is not None:
+            optional[headers.REVISION] = str(self.config_replica.revision)
         return optional | {
             'Content-Type': req.content_type,
             headers.ACCOUNT: req.account,
--- a/catkinshunt/entry/tests/harness.py
+++ b/catkinshunt/entry/tests/harness.py
@@ -174,11 +174,13 @@
             configuration.Add(rule, position)
             for position, rule in enumerate(document['rules'])
         ]
-        keeper = configuration.Keeper()
-        keeper.offer(configuration.EMPTY.edited('first', steps), now=0.0)
+        config_replica = configuration.ConfigurationReplica()
+        config_replica.offer(
+            configuration.EMPTY.edited('first', steps), now=0.0
+        )
         cfg = settings.structure(BASE_SETTINGS, settings.EntrySettings)
         self.entry_app = entry.EntryApp(
-            cfg, keeper, self.directory, AlwaysDispatch()
+            cfg, config_replica, self.directory, AlwaysDispatch()
         )
         self.entry = self.enter_context(
             httpio.HttpServer(self.entry_app, threads=32)
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -58,7 +58,7 @@
         self._chunks = weights.ChunkApp(
             self._agent, self.cfg.deployment_key, self._agent.upload_share
         )
-        self._weights_endpoint = engines.WeightsSlot(
+        self._weights_endpoint = engines.WeightsEndpoint(
             self.cfg.host, self.port, self._agent.transfer
         )
         thread = threading.Thread(
@@ -164,7 +164,7 @@
         if self._served == self._wanted:
             return True
         wanted = weights.Wanted(
-            place.model, place.version, place.lean_fraction
+            place.model, place.version, place.time_preference
         )
         self._agent.offer(wanted)
         transfer = self._agent.wait_whole(wanted, TRANSFER_WAIT_S)
@@ -195,7 +195,7 @@
 
     def _list_members(self, wanted):
         """Return the members of the transfer of a version."""
-        names = control.find_holders(
+        names = control.find_replica_names(
             self.config_replica.current.rule_set,
             self._own_instance(),
             self.directory.instances,
