--- a/catkinshunt/entry/_concurrency.py
+++ b/catkinshunt/entry/_concurrency.py
@@ -60,13 +60,13 @@
         limit = max(1, self.threads - n_reserved)
         with self._lock:
             n_in_progress = self._in_progress.total()
-            own = self._in_progress.get(account, 0)
-            n_accounts = len(self._in_progress) + (not own)
+            n_own = self._in_progress.get(account, 0)
+            n_accounts = len(self._in_progress) + (not n_own)
             if n_in_progress >= limit:
                 raise _overloaded('concurrency limit reached')
             if (
                 n_in_progress >= limit * _UNRESTRICTED_SHARE
-                and own >= limit / n_accounts
+                and n_own >= limit / n_accounts
             ):
                 raise _overloaded('concurrency share of the account reached')
             self._in_progress[account] += 1
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -98,8 +98,8 @@
         pool: `httpio.ConnectionPool`.
         deployment_key: secret that sidecars require.
         stall_timeout_s: longest wait for the next piece of a response.
-        keeper: `configuration.ConfigurationReplica`; its revision is exchanged in the
-            headers of requests and responses; or None.
+        config_replica: `configuration.ConfigurationReplica`, whose revision
+            is exchanged in the headers of requests and responses; or None.
     """
 
     def __init__(
@@ -128,9 +128,9 @@
             errors.OutcomeUnknownError: sent, but no response arrived.
         """
         remaining_s = req.deadline - now
+        header_timeout_s = self._header_timeout_s(req, remaining_s)
         # The sidecar may close an idle connection at any time. A request lost
         # on it may have run, and could not be retried unless idempotent.
-        header_timeout_s = self._header_timeout_s(req, remaining_s)
         conn, _ = self.pool.take(
             address, header_timeout_s, fresh=not req.idempotent
         )
--- a/catkinshunt/entry/tests/test_delivery.py
+++ b/catkinshunt/entry/tests/test_delivery.py
@@ -87,8 +87,8 @@
     "Not run" holds for the last attempt only. Passed on to the caller, it
     would claim that the whole request did not run.
     """
-    refusal = errors.OverloadedError('queue is full', retry_after_s=2.0)
-    relay = Relay(errors.OutcomeUnknownError('no reply'), refusal, refusal)
+    rejection = errors.OverloadedError('queue is full', retry_after_s=2.0)
+    relay = Relay(errors.OutcomeUnknownError('no reply'), rejection, rejection)
     with pytest.raises(errors.RequestError) as caught:
         deliver(relay)
     assert caught.value.ran == 'unknown'
--- a/catkinshunt/entry/tests/test_upstream_failures.py
+++ b/catkinshunt/entry/tests/test_upstream_failures.py
@@ -218,9 +218,9 @@
             thread.join(20)
         assert [reply.status for reply in replies['small']] == [200]
         assert side.admission.load == 0
-    refused = [reply for reply in replies['large'] if reply.status == 429]
-    assert len(refused) == 4
-    assert {harness.error_of(reply)['ran'] for reply in refused} == {'no'}
+    rejected = [reply for reply in replies['large'] if reply.status == 429]
+    assert len(rejected) == 4
+    assert {harness.error_of(reply)['ran'] for reply in rejected} == {'no'}
     assert b'small' in served[1] or b'small' in served[2]
 
 
--- a/catkinshunt/sidecar/_forward.py
+++ b/catkinshunt/sidecar/_forward.py
@@ -60,9 +60,9 @@
         if isinstance(resp.body, list):
             self.admission.finish(ticket, time.monotonic())
             return resp
-        return attrs.evolve(resp, body=self._observe_end(resp.body, ticket))
+        return attrs.evolve(resp, body=self._finish_after(resp.body, ticket))
 
-    def _observe_end(self, body, ticket):
+    def _finish_after(self, body, ticket):
         """Yield `body`, then release the slot of the request."""
         try:
             yield from body
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -114,7 +114,7 @@
             current = (revision, self.directory.revision)
             try:
                 if revision == 0 or (
-                    current == applied and self._engine_is_loaded()
+                    current == applied and self._check_engine()
                 ):
                     continue
                 applied = current if self._apply(conf) else None
@@ -128,8 +128,8 @@
                 applied = None
                 self._stopped.wait(RETRY_S)
 
-    def _engine_is_loaded(self):
-        """Return whether the engine still has the versions loaded into it.
+    def _check_engine(self):
+        """Return whether the engine still has its versions; reset if not.
 
         An engine that restarts has no model and does not report it. Its
         requests would be rejected until the next change of the rules, while
