--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -1,15 +1,15 @@
-"""The WSGI application that callers meet."""
+"""The WSGI application that serves callers."""
 
 import time
 
 import attrs
 
 from catkinshunt import base
-from catkinshunt.entry import _delivery
-from catkinshunt.entry import _upstream_selector
 from catkinshunt.entry import _concurrency
+from catkinshunt.entry import _delivery
 from catkinshunt.entry import _relay
 from catkinshunt.entry import _request
+from catkinshunt.entry import _upstream_selector
 from catkinshunt import errors
 from catkinshunt import httpio
 from catkinshunt import logs
@@ -22,25 +22,25 @@
 
 
 class EntryApp(base.ParamsMixin):
-    """Routes each request by the first rule that matches.
+    """Routes each request by the first matching rule.
 
     Args:
         cfg: `settings.EntrySettings`.
-        follower: holds the configuration in force.
+        config_replica: replica of the active configuration.
         directory: `instances.Directory`.
-        once: `AtMostOnce`.
+        at_most_once: `AtMostOnce`.
     """
 
-    def __init__(self, cfg, follower, directory, once):
+    def __init__(self, cfg, config_replica, directory, at_most_once):
         self.cfg = cfg
-        self.follower = follower
+        self.config_replica = config_replica
         self.directory = directory
-        self.once = once
-        self.gate = _concurrency.Gate(cfg.threads)
+        self.at_most_once = at_most_once
+        self.limiter = _concurrency.ConcurrencyLimiter(cfg.threads)
         self._relay = _relay.Relay(
             httpio.ConnectionPool(),
             cfg.deployment_key,
-            config_replica=follower,
+            config_replica=config_replica,
         )
         self._retry = retries.RetryPolicy(retries.Budget())
         router = routing.Router(
@@ -49,10 +49,10 @@
             data_centre=cfg.data_centre,
             region=cfg.region,
         )
-        self._fleet = _upstream_selector.Fleet(router, directory)
+        self._selector = _upstream_selector.UpstreamSelector(router, directory)
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Serve one request."""
         request_id = ''
         try:
             req = _request.CallerRequest.from_environ(
@@ -62,7 +62,7 @@
             resp = self._admit(req)
         except errors.RequestError as exc:
             _log.info(
-                'Ended as {code}, ran {ran}: {cause}.',
+                'Request failed with {code} (ran: {ran}): {cause}.',
                 request_id=request_id,
                 code=exc.code,
                 ran=exc.ran,
@@ -72,28 +72,32 @@
         return resp.send(start_response)
 
     def leave(self):
-        """Refuse new requests from now on."""
-        self.gate.leave()
+        """Reject new requests from now on."""
+        self.limiter.leave()
 
     def _admit(self, req):
-        self.gate.begin(req.account)
+        self.limiter.acquire(req.account)
         try:
-            resp = self._answer(req)
+            resp = self._route(req)
         except BaseException:
-            self.gate.end(req.account)
+            self.limiter.release(req.account)
             raise
         if isinstance(resp.body, list):
-            self.gate.end(req.account)
+            self.limiter.release(req.account)
             return resp
-        held = self.gate.hold(req.account, resp.body)
-        return attrs.evolve(resp, body=held)
+        body = self.limiter.release_after(req.account, resp.body)
+        return attrs.evolve(resp, body=body)
 
-    def _answer(self, req):
-        subject = req.subject(self.cfg.data_centre, self.cfg.region)
-        rule = self.follower.current.rule_set.match(subject)
+    def _route(self, req):
+        rule_request = req.make_rule_request(
+            self.cfg.data_centre, self.cfg.region
+        )
+        rule = self.config_replica.current.rule_set.match(rule_request)
         if rule is None:
             raise errors.RefusedError(
-                'no rule matches', step='match', retry_after_s=RETRY_AFTER_S
+                'no rule matches the request',
+                step='match',
+                retry_after_s=RETRY_AFTER_S,
             )
         if isinstance(rule.then, rules.Refuse):
             raise errors.RefusedError(
@@ -101,8 +105,8 @@
                 step='match',
                 retry_after_s=rule.then.retry_after_s,
             )
-        req = req.for_route(rule.then)
-        return self.once.answer(
+        req = req.with_route_deadline(rule.then)
+        return self.at_most_once.execute(
             req,
             lambda: self._deliver(req, rule),
             time.monotonic(),
@@ -111,5 +115,5 @@
 
     def _deliver(self, req, rule):
         return _delivery.Delivery(
-            self._fleet, self._relay, self._retry, req, rule
-        ).answer()
+            self._selector, self._relay, self._retry, req, rule
+        ).deliver()
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -1,4 +1,4 @@
-"""One try of a request at one sidecar."""
+"""One attempt at a request with one sidecar."""
 
 import http.client
 import json
@@ -12,43 +12,44 @@
 from catkinshunt import httpio
 from catkinshunt.httpio import headers
 
-_STREAM = 'application/x-ndjson'
+_STREAM_TYPE = 'application/x-ndjson'
 
 
 @attrs.frozen
-class Reported:
-    """What the head of a reply says of its sender.
+class SidecarStatus:
+    """Status of a sidecar, as sent in its response headers.
 
     Attributes:
-        state: serving or leaving, or None.
-        load: requests it has, or None.
-        served: model versions it serves as ``model/version``, or None.
+        state: ``serving`` or ``leaving``; None if unknown.
+        load: number of its requests; None if unknown.
+        served_versions: model versions it serves as ``model/version``; None
+            if unknown.
     """
 
     state: str | None = None
     load: float | None = None
-    served: frozenset | None = None
+    served_versions: frozenset | None = None
 
     @classmethod
-    def from_reply(cls, resp):
-        """Read the head of an `http.client.HTTPResponse`."""
+    def from_response(cls, resp):
+        """Parse the headers of an `http.client.HTTPResponse`."""
         state = resp.getheader(headers.STATE)
         load = resp.getheader(headers.LOAD, '')
         served = resp.getheader(headers.SERVED)
         return cls(
             state if state in ('serving', 'leaving') else None,
             float(load) if load.isdigit() else None,
-            None if served is None else _read_served(served),
+            None if served is None else _parse_served_versions(served),
         )
 
 
 @attrs.frozen
-class Resume:
-    """Where a broken answer is taken up again.
+class ResumePoint:
+    """Where a broken stream is resumed.
 
     Attributes:
         index: index of the next piece.
-        version: the model version that gave the pieces before it.
+        version: the model version that produced the pieces before it.
     """
 
     index: int
@@ -56,165 +57,171 @@
 
 
 @attrs.define(eq=False)
-class Opened:
-    """A reply whose body is still to be read."""
+class OpenResponse:
+    """A response whose body has not been read yet."""
 
     address: httpio.Address
     conn: http.client.HTTPConnection
     resp: http.client.HTTPResponse
-    #: The connection drops it when the reply says that it closes.
+    #: Kept here since `conn` clears its own reference when the response
+    #: announces that the connection closes.
     sock: socket.socket
-    #: Whether the connection is in the pool again, and so somebody else's.
-    returned: bool = False
+    #: Whether the connection is back in the pool and may be in other use.
+    conn_returned: bool = False
 
     @property
-    def streamed(self):
+    def is_stream(self):
         """Whether the body is a stream of JSON lines."""
-        return self.resp.getheader('Content-Type') == _STREAM
+        return self.resp.getheader('Content-Type') == _STREAM_TYPE
 
     @property
     def model_version(self):
-        """The model version that answers, or empty."""
+        """The model version of the response, or empty."""
         return self.resp.getheader(headers.ENGINE_MODEL_VERSION, '')
 
     def close(self):
-        """Break the exchange off; the sidecar then cancels it.
+        """Abort the exchange; the sidecar then cancels the request.
 
-        A stream can end as it should and still not be whole; its connection
-        may carry another request by then, which closing it would cut.
+        A body can end properly and still lack pieces. Its connection is then
+        back in the pool and may carry another request, so it is not closed.
         """
-        if self.returned:
+        if self.conn_returned:
             return
         self.resp.close()
         self.conn.close()
 
 
 class Relay:
-    """Sends requests to sidecars and passes their answers on.
+    """Sends requests to sidecars and relays their responses.
 
     Args:
         pool: `httpio.ConnectionPool`.
-        deployment_key: secret that sidecars ask for.
-        stall_s: longest wait for the next piece of an answer.
-        config_replica: `configuration.ConfigurationReplica`; its revision
-            is sent with each request.
+        deployment_key: secret that sidecars require.
+        stall_timeout_s: longest wait for the next piece of a response.
+        config_replica: `configuration.ConfigurationReplica`, whose revision
+            is exchanged in the headers of requests and responses; or None.
     """
 
     def __init__(
-        self, pool, deployment_key, stall_s=10.0, config_replica=None
+        self, pool, deployment_key, stall_timeout_s=10.0, config_replica=None
     ):
         self.pool = pool
         self.deployment_key = deployment_key
-        self.stall_s = stall_s
+        self.stall_timeout_s = stall_timeout_s
         self.config_replica = config_replica
 
-    def open(self, req, route, address, now, resume=None, learn=None):
-        """Send `req` to the sidecar at `address`; wait for its reply's head.
+    def open(self, req, route, address, now, resume=None, on_status=None):
+        """Send `req` to the sidecar at `address` and wait for the headers.
 
         Args:
             req: the `CallerRequest`.
             route: the `rules.Route`.
             address: `httpio.Address` of the sidecar.
             now: seconds, monotonic.
-            resume: a `Resume`, or None to begin at the beginning.
-            learn: called with the `Reported` of the reply, also a refusal.
+            resume: a `ResumePoint`, or None to start from the beginning.
+            on_status: called with the `SidecarStatus` of the response, also
+                of a rejection.
 
         Raises:
-            errors.RefusedError: not run; no connection, or refused there.
-            errors.RequestError: the sidecar's error.
-            errors.OutcomeUnknownError: sent, and no reply came.
+            errors.RefusedError: not run; no connection or rejected.
+            errors.RequestError: the error that the sidecar returned.
+            errors.OutcomeUnknownError: sent, but no response arrived.
         """
-        left_s = req.deadline - now
-        # On a kept connection a request can be lost without a sign whether
-        # it ran; one that must not run twice could then not be retried.
-        wait_s = self._head_wait_s(req, left_s)
-        conn, _ = self.pool.take(address, wait_s, fresh=not req.idempotent)
+        remaining_s = req.deadline - now
+        header_timeout_s = self._header_timeout_s(req, remaining_s)
+        # The sidecar may close an idle connection at any time. A request lost
+        # on it may have run, and could not be retried unless idempotent.
+        conn, _ = self.pool.take(
+            address, header_timeout_s, fresh=not req.idempotent
+        )
         peer = str(address)
         try:
             if conn.sock is None:
                 conn.connect()
         except OSError as exc:
             raise errors.RefusedError(
-                f'no connection: {exc}', step='connect', peer=peer
+                f'connection failed: {exc}', step='connect', peer=peer
             ) from exc
         exchange_id = uuid.uuid4().hex
-        sent = self._headers(req, route, left_s, resume)
-        sent[headers.EXCHANGE_ID] = exchange_id
+        request_headers = self._make_headers(req, route, remaining_s, resume)
+        request_headers[headers.EXCHANGE_ID] = exchange_id
         try:
-            body = _resumed_body(req, resume)
-            conn.request(req.method, '/upstream' + req.path, body, sent)
+            body = _make_body(req, resume)
+            conn.request(
+                req.method, '/upstream' + req.path, body, request_headers
+            )
             sock = conn.sock
             resp = conn.getresponse()
         except (OSError, http.client.HTTPException) as exc:
             conn.close()
             raise errors.OutcomeUnknownError(
-                f'no reply: {exc!r}', step='exchange', peer=peer
+                f'no response: {exc!r}', step='exchange', peer=peer
             ) from exc
-        opened = Opened(address, conn, resp, sock)
-        self._check_echo(opened, exchange_id)
+        open_resp = OpenResponse(address, conn, resp, sock)
+        self._check_exchange_id(open_resp, exchange_id)
         if self.config_replica is not None:
             self.config_replica.observe_revision(
                 resp.getheader(headers.REVISION), now
             )
-        if learn is not None:
-            learn(Reported.from_reply(resp))
-        self._check_refusal(opened)
-        sock.settimeout(min(left_s, self.stall_s))
-        return opened
+        if on_status is not None:
+            on_status(SidecarStatus.from_response(resp))
+        self._check_error(open_resp)
+        sock.settimeout(min(remaining_s, self.stall_timeout_s))
+        return open_resp
 
-    def read(self, opened):
-        """Yield the body's pieces; raise unless it came to its end.
+    def read(self, open_resp):
+        """Yield the pieces of the body; raise if it is incomplete.
 
         Raises:
-            errors.IncompleteAnswerError: the body broke off.
+            errors.IncompleteAnswerError: the body is truncated.
         """
-        resp = opened.resp
+        resp = open_resp.resp
         try:
-            yield from httpio.iter_pieces(resp, opened.sock)
+            yield from httpio.iter_pieces(resp, open_resp.sock)
         except httpio.BROKEN as exc:
-            opened.close()
-            raise _incomplete(opened, repr(exc)) from exc
+            open_resp.close()
+            raise _incomplete(open_resp, repr(exc)) from exc
         if resp.length:
-            opened.close()
-            raise _incomplete(opened, 'ended early')
-        # http.client does not notice by itself that `read1` has taken the
-        # last byte of a body with a length, and refuses the next request.
+            open_resp.close()
+            raise _incomplete(open_resp, 'body ended early')
+        # http.client does not notice that `read1` returned the last byte of a
+        # body with a length, and would reject the next request.
         resp.close()
-        opened.returned = True
-        self.pool.give_back(opened.address, opened.conn)
+        open_resp.conn_returned = True
+        self.pool.give_back(open_resp.address, open_resp.conn)
 
-    def read_whole(self, opened):
-        """Return the whole body.
+    def read_all(self, open_resp):
+        """Return the complete body.
 
         Raises:
-            errors.IncompleteAnswerError: the body broke off.
+            errors.IncompleteAnswerError: the body is truncated.
         """
-        return b''.join(self.read(opened))
+        return b''.join(self.read(open_resp))
 
-    def _head_wait_s(self, req, left_s):
-        """Return the longest wait for the head of a reply.
+    def _header_timeout_s(self, req, remaining_s):
+        """Return the timeout for the response headers.
 
-        A frozen process takes connections and says nothing; if the wait took
-        all the time to the deadline, none would be left to try elsewhere. An
-        engine begins to answer long before it has ended.
+        A frozen process accepts connections but sends nothing. A wait until
+        the deadline would leave no time for a retry. An engine sends its
+        headers long before the end of the response.
         """
         if not req.model:
-            return left_s
-        return max(left_s / 2, min(left_s, self.stall_s))
+            return remaining_s
+        return max(remaining_s / 2, min(remaining_s, self.stall_timeout_s))
 
-    def _headers(self, req, route, left_s, resume):
+    def _make_headers(self, req, route, remaining_s, resume):
         version = resume.version if resume else route.version or ''
-        once = {}
+        optional = {}
         if not req.idempotent:
-            not_after = time.time() + left_s
-            once[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
-            once[headers.NOT_AFTER] = f'{not_after:.3f}'
+            not_after = time.time() + remaining_s
+            optional[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
+            optional[headers.NOT_AFTER] = f'{not_after:.3f}'
         if self.config_replica is not None:
-            once[headers.REVISION] = str(self.config_replica.revision)
-        return once | {
+            optional[headers.REVISION] = str(self.config_replica.revision)
+        return optional | {
             'Content-Type': req.content_type,
             headers.ACCOUNT: req.account,
-            headers.DEADLINE_MS: str(int(left_s * 1000)),
+            headers.DEADLINE_MS: str(int(remaining_s * 1000)),
             headers.DEPLOYMENT_KEY: self.deployment_key,
             headers.MODEL: headers.encode_text(req.model),
             headers.MODEL_VERSION: headers.encode_text(version),
@@ -223,42 +230,42 @@
             headers.WEIGHT: str(route.account_weight),
         }
 
-    def _check_echo(self, opened, exchange_id):
-        """Refuse a reply that belongs to another exchange.
+    def _check_exchange_id(self, open_resp, exchange_id):
+        """Reject a response that belongs to another exchange.
 
-        A late or crossed reply would give a caller the answer to somebody
-        else's request, and each later reply on the connection as well.
+        A late or crossed response would reach the wrong caller, and so would
+        each later response on the connection.
         """
-        echoed = opened.resp.getheader(headers.EXCHANGE_ID)
+        echoed = open_resp.resp.getheader(headers.EXCHANGE_ID)
         if echoed == exchange_id:
             return
-        opened.close()
+        open_resp.close()
         raise errors.OutcomeUnknownError(
-            f'reply to another exchange {echoed!r}',
+            f'response belongs to another exchange: {echoed!r}',
             step='exchange',
-            peer=str(opened.address),
+            peer=str(open_resp.address),
         )
 
-    def _check_refusal(self, opened):
-        """Raise the sidecar's own error; an upstream's is an answer."""
-        if opened.resp.getheader(headers.ERROR) is None:
+    def _check_error(self, open_resp):
+        """Raise an error of the sidecar; upstream errors are relayed."""
+        if open_resp.resp.getheader(headers.ERROR) is None:
             return
         try:
-            body = self.read_whole(opened)
+            body = self.read_all(open_resp)
         except errors.IncompleteAnswerError as exc:
             raise errors.OutcomeUnknownError(
                 exc.message, step='exchange', peer=exc.peer
             ) from exc
-        raise httpio.read_error(body, str(opened.address))
+        raise httpio.read_error(body, str(open_resp.address))
 
 
-def _read_served(value):
-    """Return the model versions that a sidecar says it serves."""
+def _parse_served_versions(value):
+    """Return the model versions in the header of a sidecar."""
     names = map(headers.decode_text, value.split(','))
     return frozenset(names) - {''}
 
 
-def _resumed_body(req, resume):
+def _make_body(req, resume):
     if resume is None:
         return req.body
     return json.dumps(
@@ -266,7 +273,9 @@
     ).encode()
 
 
-def _incomplete(opened, reason):
+def _incomplete(open_resp, reason):
     return errors.IncompleteAnswerError(
-        f'answer broke off: {reason}', step='relay', peer=str(opened.address)
+        f'incomplete response: {reason}',
+        step='relay',
+        peer=str(open_resp.address),
     )
--- a/catkinshunt/entry/_request.py
+++ b/catkinshunt/entry/_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry reads it."""
+"""A parsed request of a caller."""
 
 import uuid
 
@@ -11,32 +11,33 @@
 from catkinshunt import rules
 
 _SAFE_METHODS = frozenset({'GET', 'HEAD', 'OPTIONS'})
-_GENERATE = '/generate'
+_GENERATE_PATH = '/generate'
 _PREFIX_CHARS = 256
-#: Longest number taken in a header.
-_MAX_DIGITS = 12
+#: Limits the number in the deadline header.
+_MAX_DEADLINE_DIGITS = 12
 
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """One request, read whole.
+    """One request with its complete body.
 
     Attributes:
-        request_id: id of the request over all processes.
+        request_id: id of the request in all processes.
         service: first part of the path.
         path: the rest of the path, with the query.
         method: HTTP method.
-        account: who the request is for.
-        model: model asked for; empty for a plain service.
-        idempotency_key: one key for all tries of one operation, or empty.
-        deadline: present time plus the time the caller gives, in seconds.
-        body: the whole body.
-        content_type: of the body.
-        arrived: when it came, in seconds.
-        deadline_given: whether the caller named the deadline.
+        account: client account of the request.
+        model: requested model; empty for a plain service.
+        idempotency_key: one key for all attempts at one operation, or empty.
+        deadline: end of the time allowed for the response, in seconds,
+            monotonic.
+        body: the complete body.
+        content_type: media type of the body.
+        arrived_at: arrival time, in seconds, monotonic.
+        has_deadline: whether the caller set the deadline.
         prefix: model and start of the prompt, in bytes; empty for a plain
             service.
-        first_index: index of the piece that the answer is to begin with.
+        first_index: index of the first piece of the response.
     """
 
     request_id: str
@@ -49,65 +50,65 @@
     deadline: float
     body: bytes
     content_type: str
-    arrived: float = 0.0
-    deadline_given: bool = True
+    arrived_at: float = 0.0
+    has_deadline: bool = True
     prefix: bytes = b''
     first_index: int = 0
 
     @classmethod
     def from_environ(cls, environ, now, default_deadline_s):
-        """Read a request from a WSGI environment.
+        """Parse a request from a WSGI environment.
 
         Raises:
-            errors.InvalidRequestError: a header or the body is wrong.
+            errors.InvalidRequestError: a header or the body is invalid.
         """
         service, _, rest = environ['PATH_INFO'][1:].partition('/')
         path = httpio.make_target('/' + rest)
         query = environ.get('QUERY_STRING')
         body = httpio.read_body(environ)
-        prompt = _Prompt.from_body(path, body)
+        engine_req = _EngineRequest.from_body(path, body)
         return cls(
             request_id=httpio.read_header(environ, headers.REQUEST_ID)
-            or _new_id(),
+            or _make_request_id(),
             service=service,
             path=httpio.make_target('/' + rest, query),
             method=environ['REQUEST_METHOD'],
             account=httpio.read_header(environ, headers.ACCOUNT),
-            model=prompt.model,
+            model=engine_req.model,
             idempotency_key=httpio.read_header(
                 environ, headers.IDEMPOTENCY_KEY
             ),
-            deadline=now + _deadline_s(environ, default_deadline_s),
+            deadline=now + _read_deadline_s(environ, default_deadline_s),
             body=body,
             content_type=environ.get('CONTENT_TYPE', ''),
-            arrived=now,
-            deadline_given=bool(
+            arrived_at=now,
+            has_deadline=bool(
                 httpio.read_header(environ, headers.DEADLINE_MS)
             ),
-            prefix=prompt.prefix,
-            first_index=prompt.first_index,
+            prefix=engine_req.prefix,
+            first_index=engine_req.first_index,
         )
 
-    def for_route(self, route):
-        """Return the request with the deadline that its rule sets.
+    def with_route_deadline(self, route):
+        """Return the request with the deadline of its route.
 
-        The rule can shorten the time that the caller gives, and replaces the
-        entry's own where the caller gives none.
+        The route can shorten the deadline of the caller, and replaces the
+        default of the entry if the caller sets none.
         """
         if route.deadline_s is None:
             return self
-        deadline = self.arrived + route.deadline_s
-        if self.deadline_given:
+        deadline = self.arrived_at + route.deadline_s
+        if self.has_deadline:
             deadline = min(deadline, self.deadline)
         return attrs.evolve(self, deadline=deadline)
 
     @property
     def idempotent(self):
-        """Whether running the request twice does no harm."""
+        """Whether the request may safely run twice."""
         return self.method in _SAFE_METHODS or bool(self.model)
 
-    def subject(self, data_centre, region):
-        """Return what rules see of the request."""
+    def make_rule_request(self, data_centre, region):
+        """Return the `rules.Request` that rules are matched against."""
         return rules.Request(
             service=self.service,
             account=self.account,
@@ -120,17 +121,19 @@
         )
 
 
-def _new_id():
+def _make_request_id():
     return uuid.uuid4().hex
 
 
-def _deadline_s(environ, default_s):
+def _read_deadline_s(environ, default_s):
     text = httpio.read_header(environ, headers.DEADLINE_MS)
     if not text:
         return default_s
-    if not (text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS):
+    if not (
+        text.isascii() and text.isdigit() and len(text) <= _MAX_DEADLINE_DIGITS
+    ):
         raise errors.InvalidRequestError(
-            f'{headers.DEADLINE_MS} must be whole milliseconds, '
+            f'{headers.DEADLINE_MS} must be an integer in milliseconds, '
             f'got {text[:20]!r}',
             step='read',
         )
@@ -138,8 +141,8 @@
 
 
 @attrs.frozen
-class _Prompt:
-    """What the entry reads of a request to an engine."""
+class _EngineRequest:
+    """The fields of an engine request that the entry uses."""
 
     model: str = ''
     prefix: bytes = b''
@@ -147,12 +150,12 @@
 
     @classmethod
     def from_body(cls, path, body):
-        """Read the body of a request to an engine.
+        """Parse the body of a request to an engine.
 
         Raises:
-            errors.InvalidRequestError: it is not such a body.
+            errors.InvalidRequestError: the body is invalid.
         """
-        if path != _GENERATE:
+        if path != _GENERATE_PATH:
             return cls()
         try:
             value = checks.load_json(body)
@@ -166,10 +169,10 @@
             ) from exc
         if not isinstance(model, str) or not model.isprintable():
             raise errors.InvalidRequestError(
-                'model must be a text', step='read'
+                'model must be a printable string', step='read'
             )
         if type(first_index) is not int or first_index < 0:
             raise errors.InvalidRequestError(
-                'resume_from must be a whole number', step='read'
+                'resume_from must be a non-negative integer', step='read'
             )
         return cls(model, prefix, first_index)
--- a/catkinshunt/entry/_upstream_selector.py
+++ b/catkinshunt/entry/_upstream_selector.py
@@ -1,14 +1,14 @@
-"""Routes over the upstreams that the instance list shows."""
+"""Selects among the upstreams in the instance list."""
 
 from catkinshunt import base
 from catkinshunt import routing
 
-_UPSTREAM = 'upstream'
+_UPSTREAM_ROLE = 'upstream'
 _STATES = {'leaving': routing.State.LEAVING}
 
 
-class Fleet(base.ParamsMixin):
-    """Hands the instance list to a `routing.Router` when it has changed.
+class UpstreamSelector(base.ParamsMixin):
+    """Updates a `routing.Router` whenever the instance list changes.
 
     Args:
         router: the `routing.Router`.
@@ -18,7 +18,7 @@
     def __init__(self, router, directory):
         self.router = router
         self.directory = directory
-        self._offered = None
+        self._routed_revision = None
 
     def choose(self, req, now, policy_name=None):
         """Return the `routing.Choice` for a `routing.RouteRequest`.
@@ -26,25 +26,26 @@
         Args:
             req: the `routing.RouteRequest`.
             now: seconds, monotonic.
-            policy_name: the rule's policy, or None for the router's.
+            policy_name: policy of the rule, or None for the default policy of
+                the router.
         """
         revision = self.directory.revision
-        if revision != self._offered:
-            self._offered = revision
+        if revision != self._routed_revision:
+            self._routed_revision = revision
             self.router.offer(
-                _make_view(instance)
+                _make_upstream_view(instance)
                 for instance in self.directory.instances
-                if instance.role == _UPSTREAM
+                if instance.role == _UPSTREAM_ROLE
             )
         policy = routing.find_policy(policy_name) if policy_name else None
         return self.router.choose(req, now, policy)
 
     def observe(self, observation, now):
-        """Learn from how an exchange ended."""
+        """Report an exchange to the router."""
         self.router.observe(observation, now)
 
 
-def _make_view(instance):
+def _make_upstream_view(instance):
     return routing.UpstreamView(
         name=instance.name,
         address=instance.address,
--- a/catkinshunt/entry/tests/test_delivery.py
+++ b/catkinshunt/entry/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Tests of bringing one request to its answer over several tries."""
+"""Tests of delivering one request over several attempts."""
 
 import types
 
@@ -13,8 +13,8 @@
 from catkinshunt import routing
 
 
-class Fleet:
-    """Gives a new upstream for each try."""
+class UpstreamSelector:
+    """Selects a new upstream for each attempt."""
 
     def choose(self, wanted, now, policy_name=None):
         name = f'upstream-{len(wanted.excluded)}'
@@ -27,7 +27,7 @@
 
 
 class Relay:
-    """Answers each try with the next of `results`."""
+    """Returns or raises the next of `results` for each attempt."""
 
     def __init__(self, *results):
         self.results = list(results)
@@ -38,12 +38,12 @@
             raise result
         return result
 
-    def read(self, opened):
-        yield from opened.pieces
+    def read(self, open_resp):
+        yield from open_resp.pieces
 
 
-def opened(version, *pieces):
-    """Return a stream of `pieces` that a model version answers with."""
+def open_resp(version, *pieces):
+    """Return a streamed response of a model version."""
     reply = types.SimpleNamespace(
         status=200, length=None, getheader=lambda name, default=None: default
     )
@@ -51,7 +51,7 @@
         address='127.0.0.1:1',
         conn=None,
         resp=reply,
-        streamed=True,
+        is_stream=True,
         model_version=version,
         pieces=pieces,
         close=lambda: None,
@@ -76,31 +76,34 @@
     )
     rule = types.SimpleNamespace(name='route', then=route)
     retry = retries.RetryPolicy()
-    return _delivery.Delivery(Fleet(), relay, retry, req, rule).answer()
+    return _delivery.Delivery(
+        UpstreamSelector(), relay, retry, req, rule
+    ).deliver()
 
 
-def test_refusal_after_a_try_that_may_have_run_is_not_told_as_not_run():
-    """The first runner dies without an answer and all others refuse.
+def test_rejection_after_an_attempt_that_may_have_run_is_outcome_unknown():
+    """The first engine dies before it responds; all others reject.
 
-    The last refusal is true for its own try only. Told as it is, the caller
-    would take the whole request for not run.
+    "Not run" holds for the last attempt only. Passed on to the caller, it
+    would claim that the whole request did not run.
     """
-    refusal = errors.OverloadedError('no place', retry_after_s=2.0)
-    relay = Relay(errors.OutcomeUnknownError('no reply'), refusal, refusal)
+    rejection = errors.OverloadedError('queue is full', retry_after_s=2.0)
+    relay = Relay(errors.OutcomeUnknownError('no reply'), rejection, rejection)
     with pytest.raises(errors.RequestError) as caught:
         deliver(relay)
     assert caught.value.ran == 'unknown'
     assert caught.value.retry_after_s == 2.0
 
 
-def test_stream_does_not_go_on_from_another_version():
-    """A runner dies, and the sidecar of the next one is of an older build.
+def test_stream_is_not_resumed_from_another_version():
+    """An engine dies during a stream; the next one has another version.
 
-    It does not look at the version asked for, and its engine has changed.
+    The sidecar of the next one is an older build, which does not check the
+    requested version.
     """
     relay = Relay(
-        opened('v1', harness.lines(0)),
-        opened('v2', harness.lines(1, pieces=2)),
+        open_resp('v1', harness.lines(0)),
+        open_resp('v2', harness.lines(1, pieces=2)),
     )
     got = []
     with pytest.raises(errors.IncompleteAnswerError):
--- a/catkinshunt/sidecar/tests/test_forward.py
+++ b/catkinshunt/sidecar/tests/test_forward.py
@@ -1,4 +1,4 @@
-"""Tests of what a sidecar does with an admitted request."""
+"""Tests of forwarding an admitted request."""
 
 import io
 import time
@@ -18,17 +18,17 @@
 
 @pytest.fixture
 def upstream():
-    made = harness.ScriptedUpstream(REPLY)
-    yield made
-    made.close()
+    scripted = harness.ScriptedUpstream(REPLY)
+    yield scripted
+    scripted.close()
 
 
 def make(upstream, is_engine=True):
-    cfg = harness.PLACE | {
+    cfg = harness.BASE_SETTINGS | {
         'service': 'models',
         'upstream': str(upstream.address),
         'is_engine': is_engine,
-        # Demanded beside an engine; nothing listens there here.
+        # Required with `is_engine`; nothing listens on it here.
         'port': 8080,
     }
     cfg = settings.structure(cfg, settings.SidecarSettings)
@@ -36,54 +36,56 @@
     return _forward.Forwarder(cfg, admission)
 
 
-def request(**given):
+def request(**extra_headers):
     environ = {'REQUEST_METHOD': 'POST', 'CONTENT_LENGTH': '0'}
     environ['wsgi.input'] = io.BytesIO()
-    for name, value in given.items():
+    for name, value in extra_headers.items():
         environ[f'HTTP_CATKINSHUNT_{name}'] = value
-    return _request.Forwarded.from_environ(
+    return _request.ForwardedRequest.from_environ(
         environ, '/generate', time.monotonic()
     )
 
 
 @pytest.mark.parametrize(
-    'given, step',
+    'extra_headers, step',
     [
         ({'DEADLINE_MS': '0'}, 'deadline'),
         ({'ATTEMPT_ID': 'a1', 'NOT_AFTER': '5.0'}, 'deadline'),
     ],
 )
-def test_nothing_is_dispatched_after_its_deadline(upstream, given, step):
-    """A sidecar was paused, or a message came very late.
+def test_request_is_not_dispatched_after_its_deadline(
+    upstream, extra_headers, step
+):
+    """A sidecar was paused, or a request arrived very late.
 
-    The entry counts the try as over by then; to run it now could run a
-    booking beside its repeat.
+    The entry regards the attempt as ended by then. Dispatching it could run
+    a booking in addition to its repeat.
     """
     forwarder = make(upstream, is_engine=False)
     with pytest.raises(errors.RefusedError) as caught:
-        forwarder.forward(request(**given))
+        forwarder.forward(request(**extra_headers))
     assert (caught.value.ran, upstream.requests) == ('no', [])
     assert forwarder.admission.load == 0
 
 
-def test_caller_that_has_gone_is_not_served(upstream):
-    """A caller gives up while its request waits beside a busy upstream.
+def test_disconnected_caller_is_not_served(upstream):
+    """A caller disconnects while its request is queued.
 
-    To run it all the same would hold up those who still wait.
+    Running it anyway would delay the requests that are still waited for.
     """
     forwarder = make(upstream, is_engine=False)
     req = request()
-    req = attrs.evolve(req, is_gone=lambda: True)
+    req = attrs.evolve(req, is_disconnected=lambda: True)
     with pytest.raises(errors.RefusedError):
         forwarder.forward(req)
     assert upstream.requests == []
     assert forwarder.admission.load == 0
 
 
-def test_answer_of_another_version_is_refused(upstream):
-    """The engine changed its version between the check and the answer.
+def test_answer_of_another_version_is_rejected(upstream):
+    """The engine changed its version between the check and the response.
 
-    The caller would get the answer of a model that it was not routed for.
+    The caller would get the response of another version than requested.
     """
     forwarder = make(upstream)
     with pytest.raises(errors.WrongVersionError) as caught:
@@ -104,15 +106,15 @@
         ('NOT_AFTER', 'x'),
     ],
 )
-def test_wrong_headers_are_named(name, text):
+def test_invalid_header_is_rejected(name, text):
     with pytest.raises(errors.InvalidRequestError):
         request(**{name: text})
 
 
-def test_kept_connection_that_was_closed_costs_no_answer():
-    """The upstream closes a connection that a sidecar has kept.
+def test_closed_idle_connection_is_replaced():
+    """The upstream closes an idle connection in the pool of a sidecar.
 
-    A read that is lost on it is sent again at once.
+    An idempotent request that is lost on it is sent again at once.
     """
     kept = harness.ScriptedUpstream(lambda _: REPLY)
     try:
--- a/catkinshunt/sidecar/tests/test_placement.py
+++ b/catkinshunt/sidecar/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of keeping an engine at the version that the rules place."""
+"""Tests of loading the version that the rules place."""
 
 import contextlib
 import json
@@ -35,9 +35,9 @@
 
 
 @pytest.fixture
-def placed():
-    """Return an engine, the sidecar beside it, and a wait for both."""
-    runner = engine.Engine()
+def engine_and_sidecar():
+    """Return an engine and its sidecar, with version v1 loaded."""
+    stand_in = engine.Engine()
     source = origin.Origin(chunk_bytes=1024)
     source.publish(MODEL, 'v1', 10_000)
     with contextlib.ExitStack() as stack:
@@ -54,7 +54,7 @@
             data_centre='centre-1',
             deployment_key=deployments.KEY,
             service='model-servers',
-            upstream=str(_serve(stack, runner.app)),
+            upstream=str(_serve(stack, stand_in.app)),
             is_engine=True,
             platform=settings.PlatformSettings(
                 key_value=str(store),
@@ -68,44 +68,44 @@
         deployments.wait_until(
             lambda: process.report()['served'] == {MODEL: 'v1'}, 'placement'
         )
-        yield runner, process
+        yield stand_in, process
 
 
-def test_an_engine_that_was_restarted_is_loaded_again(placed):
-    """The engine restarts and comes back empty; its sidecar runs on.
+def test_restarted_engine_is_loaded_again(engine_and_sidecar):
+    """The engine restarts without a model while its sidecar keeps running.
 
-    Each request sent there was refused, and the instance stayed without a
-    model until the next change of the rules.
+    Without a check of the engine its requests would be rejected until the
+    next change of the rules.
     """
-    runner, process = placed
-    runner.restart()
-    deployments.wait_until(lambda: len(runner.orders) == 1, 'second order')
+    stand_in, process = engine_and_sidecar
+    stand_in.restart()
+    deployments.wait_until(lambda: len(stand_in.orders) == 1, 'second order')
     deployments.wait_until(
         lambda: process.report()['served'] == {MODEL: 'v1'}, 'placement'
     )
-    assert runner.orders[0]['version'] == 'v1'
+    assert stand_in.orders[0]['version'] == 'v1'
 
 
-def test_placement_goes_on_after_an_error_that_nobody_foresaw(
-    placed, monkeypatch
+def test_placement_continues_after_an_unexpected_exception(
+    engine_and_sidecar, monkeypatch
 ):
-    """A call breaks with an error outside the system's own tree.
+    """A call raises an exception that is no `CatkinshuntError`.
 
-    The thread that keeps the placement ended without a word, and the
-    instance stayed at its version through every later rollout.
+    If it ended the placement thread, the instance would ignore every later
+    rollout without an error.
     """
-    runner, process = placed
+    stand_in, process = engine_and_sidecar
     engine_client = process._placement._engine
     report = engine_client.report
-    broken = threading.Event()
+    raised = threading.Event()
 
-    def break_once():
-        if broken.is_set():
+    def raise_once():
+        if raised.is_set():
             return report()
-        broken.set()
-        raise ZeroDivisionError('nobody foresaw this')
+        raised.set()
+        raise ZeroDivisionError('unexpected error')
 
-    monkeypatch.setattr(engine_client, 'report', break_once)
-    assert broken.wait(deployments.WAIT_S)
-    runner.restart()
-    deployments.wait_until(lambda: len(runner.orders) == 1, 'second order')
+    monkeypatch.setattr(engine_client, 'report', raise_once)
+    assert raised.wait(deployments.WAIT_S)
+    stand_in.restart()
+    deployments.wait_until(lambda: len(stand_in.orders) == 1, 'second order')
