--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -49,7 +49,7 @@
     'predicted-delay-chooses',
     _CHOICE,
     'cost_s = delay_s + self._distance_penalty_s(upstream)',
-    'cost_s = len(state.jobs) + state.asking\n'
+    'cost_s = len(state.jobs) + state.pending_permit_requests\n'
     '        cost_s += self._distance_penalty_s(upstream)',
 )
 #: Engines take requests in the order in which they come.
@@ -57,12 +57,12 @@
     'ranks-order-engines',
     _ENTRIES,
     'request.rank = rank\n',
-    'request.rank = rank = dispatch.Rank.ON_TIME\n',
+    'request.rank = rank = dispatch.Rank.EARLY\n',
 )
 #: Callers that come back count as new ones.
 RETURNS = mutations.Mutation(
     'returned-callers-are-known',
-    'catkinshunt/dispatch/_returning.py',
+    'catkinshunt/dispatch/_client_retry.py',
     'if is_longest:',
     'if True:',
 )
--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -79,12 +79,12 @@
     The work is the same whatever the number of upstreams and entries: one
     look at the deadline, one rank, one delay learnt.
     """
-    returns = dispatch.ReturningRequestDetector()
+    returns = dispatch.ClientRetryDetector()
     forecast = dispatch.DelayCorrector()
     rng = random.Random(1)
     began = time.process_time()
     for number in range(RANKS):
-        waited_s = returns.waited_s('chat', 6.0 - rng.random())
+        waited_s = returns.estimate_wait_s('chat', 6.0 - rng.random())
         forecast.rank(waited_s, 0.2, 0.5, number)
         forecast.observe(0.2, 0.3, number)
     return (time.process_time() - began) / RANKS * 1e6
--- a/benchmarks/bench_retries.py
+++ b/benchmarks/bench_retries.py
@@ -75,7 +75,7 @@
     def serve(self, entry, arrived):
         """Bring one request to its end."""
         router, policy = self.entries[entry]
-        policy.offer()
+        policy.add_request()
         outage = OUT_FROM_S <= arrived < OUT_TO_S
         self.demand += outage
         now, tries, tried = arrived, 0, set()
@@ -88,7 +88,7 @@
                 return
             now += TRY_S
             deadline = arrived + DEADLINE_S
-            if not policy.check(exc, True, tries, deadline, now).should_retry:
+            if not policy.decide(exc, True, tries, deadline, now).should_retry:
                 return
 
     def attempt(self, router, req, now, tried, outage):
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -170,8 +170,8 @@
     Mutation(
         'retries-kept-for-moves',
         'catkinshunt/retries/_policy.py',
-        'self.budget.choose(self.reserve if is_full else 0.0)',
-        'self.budget.choose()',
+        'self.budget.try_take(self.reserve if is_full else 0.0)',
+        'self.budget.try_take()',
     ),
     Mutation(
         'retries-shared-by-number',
@@ -188,7 +188,7 @@
     # Queues past capacity.
     Mutation(
         'various-deadlines-are-no-return',
-        'catkinshunt/dispatch/_returning.py',
+        'catkinshunt/dispatch/_client_retry.py',
         'timeouts.max_share >= self.constant_share',
         'True',
     ),
--- a/catkinshunt/dispatch/_returning.py
+++ b/catkinshunt/dispatch/_client_retry.py
@@ -62,7 +62,7 @@
         self.first_attempt = (min_s - MARGIN_SHARE * ordered[-1], median_s)
 
 
-class ReturningRequestDetector(base.ParamsMixin):
+class ClientRetryDetector(base.ParamsMixin):
     """Estimates from its timeout how long a returning request has waited.
 
     A client that retries after a rejection sends a shorter timeout but not
@@ -78,9 +78,10 @@
             on any shorter timeout marks a retry.
 
     Examples:
-        >>> detector = ReturningRequestDetector()
-        >>> waited = [detector.waited_s('chat', 6.0, 1.0) for _ in range(20)]
-        >>> detector.waited_s('chat', 5.5, now=1.0)
+        >>> detector = ClientRetryDetector()
+        >>> for _ in range(20):
+        ...     waited_s = detector.estimate_wait_s('chat', 6.0, 1.0)
+        >>> detector.estimate_wait_s('chat', 5.5, now=1.0)
         0.5
     """
 
@@ -93,7 +94,7 @@
         """Record a rejected request; its client is likely to retry."""
         self._rejected_at = now
 
-    def waited_s(self, service, deadline_s, now):
+    def estimate_wait_s(self, service, deadline_s, now):
         """Return the seconds that a client has waited in earlier attempts.
 
         Args:
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -48,7 +48,7 @@
         Raises:
             errors.RequestError: there is no answer.
         """
-        self.retry.offer()
+        self.retry.add_request()
         while True:
             opened = self._open()
             if opened.streamed and self.req.model:
@@ -171,7 +171,7 @@
         self._may_have_run |= exc.ran != 'no'
         self._tried.add(self._choice.upstream.name)
         self._failure = exc
-        verdict = self.retry.check(
+        verdict = self.retry.decide(
             exc,
             self.req.idempotent,
             self._tries,
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -47,10 +47,10 @@
         >>> queue = FairQueue(random_state=0)
         >>> for account in ('big', 'big', 'big', 'small'):
         ...     ticket = base.Ticket('', account, deadline=9.0)
-        ...     queue.offer(ticket, 10.0, 0.1, now=0.0)
+        ...     queue.push(ticket, 10.0, 0.1, now=0.0)
         >>> taken = []
         >>> for _ in range(4):
-        ...     ticket = queue.choose(0.0)
+        ...     ticket = queue.pop(0.0)
         ...     queue.begin(ticket, 0.1)
         ...     taken.append(ticket.account)
         >>> taken
@@ -68,7 +68,7 @@
     def __len__(self):
         return self._length
 
-    def offer(self, ticket, rate_per_s, service_s, now):
+    def push(self, ticket, rate_per_s, service_s, now):
         """Enqueue a request.
 
         If the queue is full, it or the newest request of the heaviest account
@@ -96,7 +96,7 @@
         account.tickets.append(ticket)
         self._length += 1
 
-    def choose(self, now):
+    def pop(self, now):
         """Dequeue the oldest request of the account that is next, or None."""
         waiting = [each for each in self._accounts.values() if each.tickets]
         if not waiting:
@@ -134,7 +134,7 @@
         ticket.cost_s = account.mean_s or service_s
         account.virtual_s += ticket.cost_s / account.weight
 
-    def observe(self, ticket, took_s):
+    def finish(self, ticket, took_s):
         """Correct the charge by the service time of the request."""
         account = self._account(ticket)
         account.virtual_s += (took_s - ticket.cost_s) / account.weight
--- a/catkinshunt/limits/_fifo.py
+++ b/catkinshunt/limits/_fifo.py
@@ -20,7 +20,7 @@
     def __len__(self):
         return len(self._tickets)
 
-    def offer(self, ticket, rate_per_s, service_s, now):
+    def push(self, ticket, rate_per_s, service_s, now):
         """Enqueue a request unless the queue is full."""
         if len(self._tickets) >= self.limit:
             raise errors.OverloadedError(
@@ -30,7 +30,7 @@
             )
         self._tickets.append(ticket)
 
-    def choose(self, now):
+    def pop(self, now):
         """Return the oldest request."""
         return self._tickets.popleft() if self._tickets else None
 
--- a/catkinshunt/limits/base.py
+++ b/catkinshunt/limits/base.py
@@ -44,7 +44,7 @@
         """Return the number of waiting requests."""
 
     @abc.abstractmethod
-    def offer(self, ticket, rate_per_s, service_s, now):
+    def push(self, ticket, rate_per_s, service_s, now):
         """Enqueue a request, or reject it or another one.
 
         Args:
@@ -58,7 +58,7 @@
         """
 
     @abc.abstractmethod
-    def choose(self, now):
+    def pop(self, now):
         """Return the next request to run, or None."""
 
     @abc.abstractmethod
@@ -68,5 +68,5 @@
     def begin(self, ticket, service_s):  # noqa: B027
         """Record that a request starts, whether it waited or not."""
 
-    def observe(self, ticket, took_s):  # noqa: B027
+    def finish(self, ticket, took_s):  # noqa: B027
         """Record the service time of a request that ended."""
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -16,14 +16,14 @@
 
 def offer(queue, account, now=0.0, deadline=100.0, **fields):
     ticket = limits.Ticket('', account, deadline, **fields)
-    queue.offer(ticket, RATE, SERVICE_S, now)
+    queue.push(ticket, RATE, SERVICE_S, now)
     return ticket
 
 
 def run_next(queue):
-    ticket = queue.choose(0.0)
+    ticket = queue.pop(0.0)
     queue.begin(ticket, SERVICE_S)
-    queue.observe(ticket, SERVICE_S)
+    queue.finish(ticket, SERVICE_S)
     return ticket.account
 
 
@@ -112,7 +112,7 @@
     waiting, taken = [], []
     for step in steps:
         if step == 'take':
-            ticket = queue.choose(0.0)
+            ticket = queue.pop(0.0)
             if ticket is not None:
                 taken.append(ticket)
         elif step == 'drop' and waiting:
@@ -120,7 +120,7 @@
         elif step in ('a', 'b', 'c'):
             ticket = limits.Ticket('', step, 100.0)
             try:
-                queue.offer(ticket, RATE, SERVICE_S, 0.0)
+                queue.push(ticket, RATE, SERVICE_S, 0.0)
                 waiting.append(ticket)
             except errors.OverloadedError:
                 continue
--- a/catkinshunt/places/_allocator.py
+++ b/catkinshunt/places/_allocator.py
@@ -35,7 +35,7 @@
 #: Seconds after a grant in which its request may not have arrived yet.
 ARRIVAL_GRACE_S = 0.3
 #: Seconds after the expected end of loading at which requests are admitted
-#: anyway, in case the engine gave up loading or `open` was never called.
+#: anyway, in case the engine gave up loading or `end_reload` was never called.
 REOPEN_TIMEOUT_S = 3.0
 #: Reasons of a rejection, as sent in messages.
 NO_ROOM = 'no-room'
@@ -186,7 +186,7 @@
 
     # Loading another version.
 
-    def close(self, closes_at, opens_at):
+    def schedule_reload(self, closes_at, opens_at):
         """Grant no permit that would be in use past `closes_at`.
 
         The engine loads another version then. It finishes its answers first
@@ -200,7 +200,7 @@
         self._closes_at = closes_at
         self._opens_at = opens_at
 
-    def open(self, now):
+    def end_reload(self, now):
         """Grant permits again; return replies."""
         self._closes_at = math.inf
         self._opens_at = math.inf
--- a/catkinshunt/places/base.py
+++ b/catkinshunt/places/base.py
@@ -3,7 +3,7 @@
 import abc
 
 
-class BaseAdmission(abc.ABC):
+class BasePermitAdmission(abc.ABC):
     """Admits requests to an engine."""
 
     @abc.abstractmethod
@@ -15,7 +15,7 @@
         """
 
     @abc.abstractmethod
-    def close(self, closes_in_s, opens_in_s):
+    def schedule_reload(self, closes_in_s, opens_in_s):
         """Admit no request that would last longer than `closes_in_s`.
 
         Args:
@@ -24,7 +24,7 @@
         """
 
     @abc.abstractmethod
-    def open(self):
+    def end_reload(self):
         """Admit requests again."""
 
     @abc.abstractmethod
--- a/catkinshunt/places/tests/test_allocator.py
+++ b/catkinshunt/places/tests/test_allocator.py
@@ -169,14 +169,14 @@
     One long answer that has just started keeps it idle for seconds.
     """
     allocator = places.PermitAllocator(spare=0)
-    allocator.close(closes_at=2.0, opens_at=2.4)
+    allocator.schedule_reload(closes_at=2.0, opens_at=2.4)
     ((_, short),) = allocator.request(
         'a', request(1, occupancy_s=0.5), now=1.0
     )
     ((_, long),) = allocator.request('a', request(2, occupancy_s=1.5), now=1.0)
     assert short.kind == 'granted'
     assert (long.kind, long.reason) == ('refused', places.RELOADING)
-    allocator.open(now=2.3)
+    allocator.end_reload(now=2.3)
     assert kinds(
         allocator.request('a', request(3, occupancy_s=1.5), now=2.3)
     ) == [('a', 'granted', 3)]
@@ -185,7 +185,7 @@
 def test_queued_request_is_rejected_before_a_reload():
     allocator = full_allocator()
     allocator.request('b', request(10, wait_s=0.9), now=0.1)
-    allocator.close(closes_at=0.5, opens_at=1.0)
+    allocator.schedule_reload(closes_at=0.5, opens_at=1.0)
     ((_, reply),) = allocator.release('a', 1, now=0.4)
     assert (reply.kind, reply.reason) == ('refused', places.RELOADING)
 
@@ -231,9 +231,9 @@
 
 
 def test_closed_engine_is_reopened_after_a_timeout():
-    """Loading failed, or the call of `open` was missed."""
+    """Loading failed, or the call of `end_reload` was missed."""
     allocator = places.PermitAllocator(spare=0)
-    allocator.close(closes_at=1.0, opens_at=1.5)
+    allocator.schedule_reload(closes_at=1.0, opens_at=1.5)
     assert kinds(allocator.request('a', request(1), now=2.0)) == [
         ('a', 'refused', 1)
     ]
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -32,7 +32,7 @@
     A retried booking that had run would be made twice.
     """
     policy = retries.RetryPolicy(retries.Budget())
-    verdict = policy.check(exc, idempotent, tries=1, deadline=9.0, now=0.0)
+    verdict = policy.decide(exc, idempotent, tries=1, deadline=9.0, now=0.0)
     assert verdict.should_retry is expected
     assert verdict.grounds
 
@@ -40,15 +40,15 @@
 @pytest.mark.parametrize('tries, left_s', [(3, 9.0), (1, 0.01), (1, -1.0)])
 def test_no_retry_after_last_attempt_or_near_deadline(tries, left_s):
     policy = retries.RetryPolicy(retries.Budget())
-    assert not policy.check(
+    assert not policy.decide(
         REFUSED, True, tries, 5.0 + left_s, 5.0
     ).should_retry
 
 
 def test_spent_budget_is_reported():
     policy = retries.RetryPolicy(retries.Budget(ratio=0.1, burst=1.0))
-    assert policy.check(REFUSED, True, 1, 9.0, 0.0).should_retry
-    verdict = policy.check(REFUSED, True, 1, 9.0, 0.0)
+    assert policy.decide(REFUSED, True, 1, 9.0, 0.0).should_retry
+    verdict = policy.decide(REFUSED, True, 1, 9.0, 0.0)
     assert verdict.grounds == 'retry budget spent'
 
 
@@ -62,14 +62,14 @@
     budget = retries.Budget(ratio=0.1, burst=5.0)
     used = 0
     for count in wanted:
-        budget.offer()
-        used += sum(budget.choose() for _ in range(count))
+        budget.add_request()
+        used += sum(budget.try_take() for _ in range(count))
     assert used <= 5 + 0.1 * len(wanted) + 1e-6
 
 
 def test_invalid_ratio_is_named():
     with pytest.raises(ValueError, match='ratio'):
-        retries.Budget(ratio=2).offer()
+        retries.Budget(ratio=2).add_request()
 
 
 def test_rejections_by_full_upstreams_leave_reserved_tokens():
@@ -84,7 +84,7 @@
     broken = errors.OutcomeUnknownError('reset')
 
     def check(exc):
-        return policy.check(
+        return policy.decide(
             exc, True, tries=1, deadline=9.0, now=0.0
         ).should_retry
 
