--- a/catkinshunt/dispatch/_client_retry.py
+++ b/catkinshunt/dispatch/_client_retry.py
@@ -22,7 +22,7 @@
 #: Timeouts kept per service, and after how many new ones the estimate is
 #: updated. Timeouts during bursts of rejections are not sampled.
 MAX_SAMPLES = 200
-MIN_SAMPLES = 15
+UPDATE_PERIOD = 15
 #: Share of the shortest samples that is ignored, and the share of the longest
 #: sample by which a timeout must be below the rest to count as shortened.
 OUTLIER_SHARE = 0.02
@@ -38,7 +38,7 @@
         max_share: running share of requests with about the longest timeout.
         samples: latest timeouts outside bursts.
         sample_count: samples taken so far.
-        first_attempt: lower bound and median of the timeouts of first
+        first_attempt_bounds: lower bound and median of the timeouts of first
             attempts; None until there are enough samples.
     """
 
@@ -48,18 +48,21 @@
         factory=lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
     sample_count: int = 0
-    first_attempt: tuple | None = None
+    first_attempt_bounds: tuple | None = None
 
-    def add_sample(self, deadline_s):
+    def add_sample(self, timeout_s):
         """Record a timeout that was set while no request was rejected."""
-        self.samples.append(deadline_s)
+        self.samples.append(timeout_s)
         self.sample_count += 1
-        if self.sample_count % MIN_SAMPLES:
+        if self.sample_count % UPDATE_PERIOD:
             return
         ordered = sorted(self.samples)
         min_s = ordered[int(OUTLIER_SHARE * len(ordered))]
         median_s = ordered[len(ordered) // 2]
-        self.first_attempt = (min_s - MARGIN_SHARE * ordered[-1], median_s)
+        self.first_attempt_bounds = (
+            min_s - MARGIN_SHARE * ordered[-1],
+            median_s,
+        )
 
 
 class ClientRetryDetector(base.ParamsMixin):
@@ -94,34 +97,34 @@
         """Record a rejected request; its client is likely to retry."""
         self._rejected_at = now
 
-    def estimate_wait_s(self, service, deadline_s, now):
+    def estimate_wait_s(self, service, timeout_s, now):
         """Return the seconds that a client has waited in earlier attempts.
 
         Args:
             service: name of the requested service.
-            deadline_s: timeout of the request, in seconds from now.
+            timeout_s: timeout of the request, in seconds from now.
             now: seconds on the steady clock.
         """
         checks.check_fraction(self.constant_share, 'constant_share')
         timeouts = self._timeouts.get(service)
         if timeouts is None:
-            timeouts = self._timeouts[service] = _Timeouts(deadline_s)
-        shorter_by_s = timeouts.max_s - deadline_s
-        timeouts.max_s = max(timeouts.max_s, deadline_s)
+            timeouts = self._timeouts[service] = _Timeouts(timeout_s)
+        shorter_by_s = timeouts.max_s - timeout_s
+        timeouts.max_s = max(timeouts.max_s, timeout_s)
         is_longest = shorter_by_s <= TOLERANCE_S
         timeouts.max_share += NEWEST_WEIGHT * (is_longest - timeouts.max_share)
         # In a burst, requests that other entries rejected return here too.
         if now - self._rejected_at > timeouts.max_s:
-            timeouts.add_sample(deadline_s)
+            timeouts.add_sample(timeout_s)
         if is_longest:
             return 0.0
         if timeouts.max_share >= self.constant_share:
             return shorter_by_s
-        return self._estimate_waited_s(timeouts, deadline_s)
+        return self._estimate_waited_s(timeouts, timeout_s)
 
-    def _estimate_waited_s(self, timeouts, deadline_s):
+    def _estimate_waited_s(self, timeouts, timeout_s):
         """Return the likely wait where timeouts vary."""
-        if timeouts.first_attempt is None:
+        if timeouts.first_attempt_bounds is None:
             return 0.0
-        min_s, median_s = timeouts.first_attempt
-        return 0.0 if deadline_s >= min_s else median_s - deadline_s
+        min_s, median_s = timeouts.first_attempt_bounds
+        return 0.0 if timeout_s >= min_s else median_s - timeout_s
--- a/catkinshunt/dispatch/tests/multi_entry.py
+++ b/catkinshunt/dispatch/tests/multi_entry.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define(eq=False)
-class Caller:
+class SentRequest:
     """A request with its entry and its engine."""
 
     request: simulation.Request
@@ -57,7 +57,7 @@
 
     def __init__(self, upstream):
         super().__init__(upstream, dispatch.UpstreamState())
-        self.callers = {}
+        self.sent_requests = {}
 
     def run_pass(self, now):
         """See `simulation.SimulatedEngine.run_pass`."""
@@ -66,35 +66,35 @@
         end = super().run_pass(now)
         for request in unanswered:
             if request.first_s is not None:
-                self._report_load(self.callers[request], end)
+                self._report_load(self.sent_requests[request], end)
         for request in before:
             if request.remaining_output <= 0:
-                caller = self.callers.pop(request)
-                caller.entry.tracker.state(self.upstream).end(request.job)
+                sent = self.sent_requests.pop(request)
+                sent.entry.tracker.state(self.upstream).end(request.job)
         return end
 
-    def _report_load(self, caller, now):
+    def _report_load(self, sent, now):
         load = dispatch.Load(
             len(self.running), len(self.waiting), simulation.ENGINE.slots
         )
-        caller.entry.tracker.state(self.upstream).report(load, now)
-        corrector = caller.entry.corrector
-        if corrector and not caller.request.job.rank:
-            corrector.observe(caller.predicted_s, caller.request.first_s, now)
+        sent.entry.tracker.state(self.upstream).report(load, now)
+        corrector = sent.entry.corrector
+        if corrector and not sent.request.job.rank:
+            corrector.observe(sent.predicted_s, sent.request.first_s, now)
 
-    def leave(self, caller, now):
+    def leave(self, sent, now):
         """Remove the request of a client that disconnects without a token."""
-        request = caller.request
+        request = sent.request
         if request.first_s is not None:
             return
         for queue in (self.running, self.waiting):
             if request in queue:
                 queue.remove(request)
-        self.callers.pop(request)
-        caller.entry.tracker.state(self.upstream).end(request.job)
-        corrector = caller.entry.corrector
+        self.sent_requests.pop(request)
+        sent.entry.tracker.state(self.upstream).end(request.job)
+        corrector = sent.entry.corrector
         if corrector and not request.job.rank:
-            corrector.observe(caller.predicted_s, PATIENCE_S, now)
+            corrector.observe(sent.predicted_s, PATIENCE_S, now)
 
 
 def simulate(
@@ -120,7 +120,7 @@
     engines_by_id = {u.id: SharedEngine(u) for u in upstreams}
     all_entries = [Entry(with_correction) for _ in range(entries)]
     order = itertools.count()
-    events, callers = [], []
+    events, sent_requests = [], []
     for now, tokens, answer in simulation.make_requests(rate, seconds, rng):
         heapq.heappush(events, (now, next(order), 'arrival', (tokens, answer)))
     while events:
@@ -131,15 +131,15 @@
             found = entry.send(upstreams, job, now)
             engine = engines_by_id[found.upstream.id]
             request = simulation.Request(now, job, *payload)
-            caller = Caller(request, entry, engine, found.delay_s)
-            engine.callers[request] = caller
-            callers.append(caller)
+            sent = SentRequest(request, entry, engine, found.delay_s)
+            engine.sent_requests[request] = sent
+            sent_requests.append(sent)
             if not engine.running and not engine.waiting:
                 heapq.heappush(events, (now, next(order), 'pass', engine))
             engine.enqueue(request, now)
             leaves_at = now + PATIENCE_S
             heapq.heappush(
-                events, (leaves_at, next(order), 'disconnect', caller)
+                events, (leaves_at, next(order), 'disconnect', sent)
             )
         elif kind == 'pass':
             if payload.running or payload.waiting:
@@ -147,6 +147,6 @@
                 heapq.heappush(events, (end, next(order), 'pass', payload))
         else:
             payload.engine.leave(payload, now)
-    in_time = [c for c in callers if (c.request.first_s or 9) <= GOAL_S]
-    served = [c for c in callers if c.is_served]
-    return len(in_time) / len(callers), len(served) / len(callers)
+    in_time = [c for c in sent_requests if (c.request.first_s or 9) <= GOAL_S]
+    served = [c for c in sent_requests if c.is_served]
+    return len(in_time) / len(sent_requests), len(served) / len(sent_requests)
--- a/catkinshunt/dispatch/tests/test_burst.py
+++ b/catkinshunt/dispatch/tests/test_burst.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize('seed', [3, 4, 5])
-def test_correction_is_harmless_below_capacity(seed):
+def test_correction_delays_no_request_below_capacity(seed):
     in_time, served = multi_entry.simulate(50.0, seed=seed)
     assert in_time >= 0.98
     assert served == 1.0
--- a/catkinshunt/dispatch/tests/test_client_retry.py
+++ b/catkinshunt/dispatch/tests/test_client_retry.py
@@ -5,14 +5,14 @@
 from catkinshunt import dispatch
 
 
-def test_shorter_timeout_marks_a_returning_request():
+def test_shorter_timeout_marks_a_client_retry():
     detector = dispatch.ClientRetryDetector()
     for _ in range(20):
         detector.estimate_wait_s('chat', 6.0, 1.0)
     assert detector.estimate_wait_s('chat', 5.2, 1.0) == pytest.approx(0.8)
 
 
-def test_varying_timeouts_are_not_taken_for_returning_requests():
+def test_varying_timeouts_are_not_taken_for_client_retries():
     """Clients use timeouts between 4.8 and 6 s.
 
     Taken for returning requests, half of all requests would be ranked late
@@ -27,7 +27,7 @@
     assert not any(detected[20:])
 
 
-def test_many_returning_requests_are_detected():
+def test_many_client_retries_are_detected():
     """Two in five requests of a burst are returning ones."""
     rng = random.Random(4)
     detector = dispatch.ClientRetryDetector()
@@ -51,7 +51,7 @@
     assert detector.estimate_wait_s('desk', 1.5, 1.0) == 0.0
 
 
-def test_first_request_may_be_a_returning_one():
+def test_first_request_may_be_a_client_retry():
     """An entry starts during a burst."""
     detector = dispatch.ClientRetryDetector()
     detector.estimate_wait_s('chat', 4.0, 1.0)
@@ -74,12 +74,12 @@
         detector.estimate_wait_s('chat', rng.uniform(5.1, 6.0), 3.0)
         for _ in range(200)
     ]
-    back = [
+    retried = [
         detector.estimate_wait_s('chat', rng.uniform(5.1, 6.0) - 1.2, 3.0)
         for _ in range(200)
     ]
     assert not any(first)
-    assert sum(map(bool, back)) >= 0.95 * len(back)
+    assert sum(map(bool, retried)) >= 0.95 * len(retried)
 
 
 def test_timeouts_during_a_burst_are_not_sampled():
