--- a/catkinshunt/places/_allocator.py
+++ b/catkinshunt/places/_allocator.py
@@ -27,7 +27,7 @@
 MIN_LATE_RATE_PER_S = 0.5
 #: Seconds after a request that is not late found no free permit during which
 #: late ones get none, so that the next one in time finds a permit.
-SCARCITY_S = 0.5
+RESERVE_S = 0.5
 #: Longest prefill backlog of an engine that gets another request, in seconds.
 #: Prompts are prefilled one after the other, so the first token of each waits
 #: for all prompts before it.
@@ -80,12 +80,12 @@
         self._queue = {}
         self._late_queue = {}
         self._without_permit = 0
-        self._unused = 0
+        self._unused_count = 0
         self._late_count = 0.0
-        self._late_at = 0.0
+        self._late_counted_at = 0.0
         self._last_retry_at = 0.0
         self._prefill_done_at = 0.0
-        self._scarce_until = -math.inf
+        self._reserved_until = -math.inf
         self._closes_at = math.inf
         self._opens_at = math.inf
         self._expires_at = math.inf
@@ -111,7 +111,7 @@
         checks.check_count(self.spare, 'spare')
         self._slots = request.slots
         if not request.late and self._free() <= 0:
-            self._scarce_until = now + SCARCITY_S
+            self._reserved_until = now + RESERVE_S
         key = (peer, request.number)
         if key in self._granted:
             return [
@@ -151,7 +151,7 @@
         if key is not None and self._free() > 0:
             ready_at = self._prefill_ready_at()
             if key in self._late_queue:
-                ready_at = max(ready_at, self._scarce_until)
+                ready_at = max(ready_at, self._reserved_until)
             times.append(ready_at)
         return min(times, default=None)
 
@@ -177,10 +177,10 @@
             if now - since > ARRIVAL_GRACE_S
         ]
         unused = len(arrived) - present
-        lost = min(unused, self._unused)
+        lost = min(unused, self._unused_count)
         for key in arrived[: max(0, lost)]:
             del self._granted[key]
-        self._unused = max(0, unused - max(0, lost))
+        self._unused_count = max(0, unused - max(0, lost))
         self._without_permit = max(0, present - len(self._granted))
         return self._grant_free(now)
 
@@ -243,7 +243,7 @@
         """Return whether a permit is free and the request may have it now."""
         if self._free() <= 0:
             return False
-        if request.late and now < self._scarce_until:
+        if request.late and now < self._reserved_until:
             return False
         return request.resumed or now >= self._prefill_ready_at()
 
@@ -306,7 +306,7 @@
         )
         if request.late:
             self._late_count = self._late_rate(now) * LATE_RATE_DECAY_S + 1
-            self._late_at = now
+            self._late_counted_at = now
         peer, number = key
         return peer, _messages.PermitGranted(number, self.in_use)
 
@@ -337,6 +337,6 @@
 
     def _late_rate(self, now):
         """Return the recent rate of permits for late requests, per second."""
-        age_s = max(0.0, now - self._late_at)
+        age_s = max(0.0, now - self._late_counted_at)
         count = self._late_count * math.exp(-age_s / LATE_RATE_DECAY_S)
         return max(MIN_LATE_RATE_PER_S, count / LATE_RATE_DECAY_S)
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -60,7 +60,7 @@
             self._client.send(self._host, self.request)
             if await self._next_reply(REPLY_TIMEOUT_S) is not None:
                 break
-        self._client.record_reply(self._host, self.reply is not None)
+        self._client.record_outcome(self._host, self.reply is not None)
         return self.reply
 
     async def await_decision(self):
@@ -186,7 +186,7 @@
         """Pass no more replies to `handle`."""
         self._handles.pop(handle.request.number, None)
 
-    def record_reply(self, host, is_answered):
+    def record_outcome(self, host, is_answered):
         """Record whether the sidecar on `host` replied to a request."""
         previous = self._back_offs.pop(host, None)
         if is_answered:
