--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -40,8 +40,8 @@
         self._idle = threading.Condition(self._lock)
         self._running = 0
         self._service_s = 0.0
-        self._deviation_s = 0.0
-        self._leaving = False
+        self._mean_deviation_s = 0.0
+        self._is_leaving = False
 
     @property
     def load(self):
@@ -57,7 +57,7 @@
         """
         checks.check_positive(self.concurrency, 'concurrency')
         with self._lock:
-            if self._leaving:
+            if self._is_leaving:
                 raise errors.LeavingError('instance is leaving', step='queue')
             ticket.offered_at = now
             if self._running < self.concurrency:
@@ -65,7 +65,7 @@
                 self._start(ticket, now)
             else:
                 self.queue.push(
-                    ticket, self._rate(), self._upper_service_s, now
+                    ticket, self._rate_per_s(), self._upper_service_s, now
                 )
         return ticket
 
@@ -83,7 +83,7 @@
             pass
         with self._lock:
             removed = self.queue.remove(ticket)
-            backlog_s = len(self.queue) / self._rate()
+            backlog_s = len(self.queue) / self._rate_per_s()
         if removed:
             raise errors.OverloadedError(
                 'too late to finish before the deadline',
@@ -107,7 +107,7 @@
     def leave(self):
         """Reject new requests from now on; queued ones still run."""
         with self._lock:
-            self._leaving = True
+            self._is_leaving = True
 
     def join(self, timeout_s):
         """Wait until no request runs or waits; return whether that is so."""
@@ -126,18 +126,18 @@
     @property
     def _upper_service_s(self):
         """Upper bound of most service times: mean plus two deviations."""
-        return self._service_s + 2 * self._deviation_s
+        return self._service_s + 2 * self._mean_deviation_s
 
     def _update_service_time(self, took_s):
         if not self._service_s:
             self._service_s = took_s
         error_s = took_s - self._service_s
         self._service_s += _NEWEST_WEIGHT * error_s
-        self._deviation_s += _NEWEST_WEIGHT * (
-            abs(error_s) - self._deviation_s
+        self._mean_deviation_s += _NEWEST_WEIGHT * (
+            abs(error_s) - self._mean_deviation_s
         )
 
-    def _rate(self):
+    def _rate_per_s(self):
         if not self._service_s:
             return math.inf
         return self.concurrency / self._service_s
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -11,7 +11,7 @@
 #: Weight of the newest service time in the running mean of an account.
 _NEWEST_WEIGHT = 0.2
 #: Accounts from which on those without waiting requests are evicted.
-_MAX_IDLE_ACCOUNTS = 1024
+_MAX_ACCOUNTS = 1024
 #: Shortest retry time of a rejected request, in seconds.
 _MIN_RETRY_AFTER_S = 0.05
 
@@ -155,7 +155,7 @@
 
         Clients choose account names, so memory would grow without limit.
         """
-        if len(self._accounts) < _MAX_IDLE_ACCOUNTS:
+        if len(self._accounts) < _MAX_ACCOUNTS:
             return
         for name in [
             name for name, each in self._accounts.items() if not each.tickets
--- a/catkinshunt/limits/tests/test_admission.py
+++ b/catkinshunt/limits/tests/test_admission.py
@@ -85,7 +85,7 @@
     assert good.fut.done()
 
 
-def test_leaving_rejects_new_and_finishes_accepted_requests():
+def test_shutdown_rejects_new_and_finishes_accepted_requests():
     """The instance is stopped while requests run and wait.
 
     Those are finished; a new one is rejected as not run.
