--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -26,15 +26,15 @@
         (WRONG, True, False),
     ],
 )
-def test_only_harmless_retries_are_allowed(exc, idempotent, expected):
+def test_only_safe_retries_are_allowed(exc, idempotent, expected):
     """An upstream dies, and it is not known which requests ran.
 
     A retried booking that had run would be made twice.
     """
     policy = retries.RetryPolicy(retries.Budget())
-    verdict = policy.decide(exc, idempotent, tries=1, deadline=9.0, now=0.0)
-    assert verdict.should_retry is expected
-    assert verdict.grounds
+    decision = policy.decide(exc, idempotent, tries=1, deadline=9.0, now=0.0)
+    assert decision.should_retry is expected
+    assert decision.grounds
 
 
 @pytest.mark.parametrize('tries, left_s', [(3, 9.0), (1, 0.01), (1, -1.0)])
@@ -48,8 +48,8 @@
 def test_spent_budget_is_reported():
     policy = retries.RetryPolicy(retries.Budget(ratio=0.1, burst=1.0))
     assert policy.decide(REFUSED, True, 1, 9.0, 0.0).should_retry
-    verdict = policy.decide(REFUSED, True, 1, 9.0, 0.0)
-    assert verdict.grounds == 'retry budget spent'
+    decision = policy.decide(REFUSED, True, 1, 9.0, 0.0)
+    assert decision.grounds == 'retry budget spent'
 
 
 @settings(derandomize=True, database=None, max_examples=50)
--- a/catkinshunt/retries/tests/test_shares.py
+++ b/catkinshunt/retries/tests/test_shares.py
@@ -7,13 +7,13 @@
     )
 
 
-def test_burst_is_divided_by_the_number_of_processes():
+def test_retries_are_divided_by_the_number_of_processes():
     share = make_share()
     share.observe(4, now=0.0)
     assert share.burst_at(now=1.0) == 25.0
 
 
-def test_started_process_does_not_take_the_whole_burst():
+def test_started_process_does_not_take_all_retries():
     """A process sees only itself until the others are listed.
 
     After a restart of all processes each would use the whole burst.
@@ -24,7 +24,7 @@
     assert share.burst_at(now=0.2) == 25.0
 
 
-def test_process_that_lost_its_lease_still_counts():
+def test_process_that_lost_the_store_still_counts():
     """Its lease expires while it still serves and retries."""
     share = make_share()
     share.observe(5, now=0.0)
