--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -139,8 +139,10 @@
         limit_s = self.decision.serve.timeout_s
         if self.info.deadline_s is not None:
             limit_s = min(limit_s, self.info.deadline_s)
-            self.progress.before_s = self.context.return_detector.waited_s(
-                self.decision.service, self.info.deadline_s, now
+            self.progress.before_s = (
+                self.context.return_detector.estimate_wait_s(
+                    self.decision.service, self.info.deadline_s, now
+                )
             )
         self.deadline = self.req.received_at + limit_s
         if self.info.last_event_id:
