--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -22,13 +22,14 @@
 #: Assumed seconds per request at a plain service. Only the resulting order
 #: of upstreams matters.
 PLAIN_REQUEST_S = 0.05
-#: Passes of a full engine until the first token of a request that got a free
-#: slot: half of the current pass, its own pass, and the prefill of requests
-#: that were admitted with it.
+#: Passes of a full engine from a free slot to the first token of the request
+#: that gets it: half of the current pass, one pass of its own, and the rest
+#: for the prefill of requests that are admitted with it.
 FIRST_TOKEN_PASSES = 3.0
-#: Prefills of other requests per decoding pass. If this is too high, an
-#: engine that is about to load a version rejects requests that would have
-#: finished before.
+#: Prefills of other requests per decoding pass, for `occupancy_s`. The
+#: sidecar of an engine that is about to load a version rejects requests whose
+#: occupancy would last into the load; with too high a number it rejects ones
+#: that would have finished before.
 PREFILLS_PER_PASS = 0.3
 #: Cached rendezvous scores, one per upstream.
 SCORE_CACHE_SIZE = 1 << 14
@@ -57,16 +58,17 @@
     """Return the predicted seconds until the first byte for `job`.
 
     An engine prefills the prompts in order of arrival and then makes a
-    decoding pass; requests beyond its slots wait until others end. Callers
-    rank requests that are predicted to miss their goal as late, so that past
-    capacity the others are in time.
+    decoding pass; requests beyond its slots wait until others end. A request
+    that is predicted to miss the goal of its service, the target time to the
+    first byte, is sent with `Rank.LATE` (see `DelayCorrector.rank`), so that
+    past capacity the others are in time.
 
     Args:
         state: `UpstreamState`.
         engine: `catalog.EngineProfile`, or None for a plain service.
         slots: requests that the upstream processes concurrently.
         job: `Job` that is to be sent.
-        now: seconds on the steady clock.
+        now: seconds on the monotonic clock.
     """
     # Late requests that have not started are queued behind this one.
     preceding = [
@@ -83,12 +85,22 @@
     )
     waiting = state.load.waiting if state.load and others else 0
     prefill_tokens += min(waiting, others) * engine.mean_prompt_tokens
-    prefill_s = (prefill_tokens + job.tokens_in) / engine.prefill_tokens_per_s
+    total_prefill_s = (
+        prefill_tokens + job.tokens_in
+    ) / engine.prefill_tokens_per_s
     step_s = engine.step_s + engine.step_s_per_request * min(count, slots)
     pass_s = engine.steps_per_pass * step_s
     excess = max(0.0, count + 1 - slots)
+    # Prefills of other prompts are taken to prolong an answer by half.
     answer_s = engine.mean_output_tokens * step_s * 1.5
-    return prefill_s + pass_s * (1 + count / slots) + excess * answer_s / slots
+    # The first token needs the prefill, then one pass and, in proportion to
+    # the slots in use, one under way; and each request beyond the slots waits
+    # until an answer ends.
+    return (
+        total_prefill_s
+        + pass_s * (1 + count / slots)
+        + excess * answer_s / slots
+    )
 
 
 def first_token_s(engine, job):
@@ -97,6 +109,9 @@
     The current pass ends first; then the prompt is prefilled, with those of
     requests admitted at the same time, and the next pass is made.
 
+    For a request that waits for a permit: unlike `predict_delay_s`, it takes
+    the engine to be full and leaves out the wait for the slot.
+
     Args:
         engine: `catalog.EngineProfile`.
         job: `Job` that is to be sent.
@@ -157,7 +172,7 @@
             tracker: `UpstreamTracker`.
             engine: profile of the service's engines, or None.
             job: `Job` that is to be sent.
-            now: seconds on the steady clock.
+            now: seconds on the monotonic clock.
             avoid: keys of upstreams to leave out.
         """
         return min(
--- a/catkinshunt/dispatch/_client_retry.py
+++ b/catkinshunt/dispatch/_client_retry.py
@@ -1,4 +1,4 @@
-"""Detection of returning requests: retries by clients after a rejection."""
+"""Detection of client retries: requests sent again after a rejection."""
 
 import collections
 import math
@@ -8,23 +8,26 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Difference between equal client timeouts, in seconds.
+#: Timeouts that differ by at most this many seconds count as equal.
 TOLERANCE_S = 0.02
 #: Share of requests with the longest timeout from which on the clients of a
 #: service are taken to use one constant timeout. Where timeouts vary, few
 #: requests are near the longest.
 CONSTANT_SHARE = 0.3
-#: Initial value of that share. A process that starts during a burst detects
-#: returning requests from its second request on.
+#: Initial value of that share. It is above `CONSTANT_SHARE`, so that a process
+#: that starts during a burst detects client retries from its second request
+#: on.
 INITIAL_SHARE = 0.5
 #: Weight of the newest request in that share, which covers about the last ten.
 NEWEST_WEIGHT = 0.1
-#: Timeouts kept per service, and after how many new ones the estimate is
-#: updated. Timeouts during bursts of rejections are not sampled.
+#: Latest timeouts kept per service. Those during bursts of rejections are not
+#: sampled, since many belong to client retries.
 MAX_SAMPLES = 200
+#: Number of new samples after which the estimate is updated; before the first
+#: update no client retry is detected where timeouts vary.
 UPDATE_PERIOD = 15
-#: Share of the shortest samples that is ignored, and the share of the longest
-#: sample by which a timeout must be below the rest to count as shortened.
+#: A timeout is that of a client retry if it is below this quantile of the
+#: samples by more than this share of the longest sample.
 OUTLIER_SHARE = 0.02
 MARGIN_SHARE = 0.03
 
@@ -35,11 +38,11 @@
 
     Attributes:
         max_s: longest timeout.
-        max_share: running share of requests with about the longest timeout.
+        max_share: running share of requests with the longest timeout.
         samples: latest timeouts outside bursts.
         sample_count: samples taken so far.
-        first_attempt_bounds: lower bound and median of the timeouts of first
-            attempts; None until there are enough samples.
+        first_attempt_bounds: pair of the lower bound and the median of the
+            timeouts of first attempts; None until there are enough samples.
     """
 
     max_s: float
@@ -66,14 +69,14 @@
 
 
 class ClientRetryDetector(base.ParamsMixin):
-    """Estimates from its timeout how long a returning request has waited.
+    """Estimates from the timeout of a request how long its client has waited.
 
     A client that retries after a rejection sends a shorter timeout but not
     the time of its first attempt. Where all clients use the same timeout, any
     shorter one marks a retry. Where timeouts vary, those that were sampled
     outside bursts give the shortest timeout of a first attempt.
 
-    Past capacity a returning request cannot be in time. Counted as a new one,
+    Past capacity a client retry cannot be in time. Counted as a first attempt,
     it would get a permit with which another request would have been in time.
 
     Args:
@@ -100,10 +103,13 @@
     def estimate_wait_s(self, service, timeout_s, now):
         """Return the seconds that a client has waited in earlier attempts.
 
+        It is 0 for a first attempt. The timeout is also recorded for the
+        estimates of later requests, so this is called once per request.
+
         Args:
             service: name of the requested service.
-            timeout_s: timeout of the request, in seconds from now.
-            now: seconds on the steady clock.
+            timeout_s: timeout of the request, in seconds.
+            now: seconds on the monotonic clock.
         """
         checks.check_fraction(self.constant_share, 'constant_share')
         timeouts = self._timeouts.get(service)
@@ -113,7 +119,7 @@
         timeouts.max_s = max(timeouts.max_s, timeout_s)
         is_longest = shorter_by_s <= TOLERANCE_S
         timeouts.max_share += NEWEST_WEIGHT * (is_longest - timeouts.max_share)
-        # In a burst, requests that other entries rejected return here too.
+        # In a burst, clients that other entries rejected retry here too.
         if now - self._rejected_at > timeouts.max_s:
             timeouts.add_sample(timeout_s)
         if is_longest:
@@ -123,7 +129,10 @@
         return self._estimate_waited_s(timeouts, timeout_s)
 
     def _estimate_waited_s(self, timeouts, timeout_s):
-        """Return the likely wait where timeouts vary."""
+        """Return the likely wait where timeouts vary.
+
+        The timeout of the first attempt is not known; the median is assumed.
+        """
         if timeouts.first_attempt_bounds is None:
             return 0.0
         min_s, median_s = timeouts.first_attempt_bounds
--- a/catkinshunt/dispatch/_correction.py
+++ b/catkinshunt/dispatch/_correction.py
@@ -12,9 +12,10 @@
 MIN_SCALE = 1.0
 MAX_SCALE = 4.0
 #: Half-life of the correction without observations, in seconds. An entry that
-#: ranks all its requests as late observes no delays, and without the decay
-#: would go on so after the burst. Shorter than a burst, and longer than the
-#: pauses in which engines load a version.
+#: ranks all its requests below `Rank.EARLY` observes no delays, and without
+#: the decay would keep ranking them so after the burst. The half-life is
+#: shorter than a burst, and longer than the pauses in which engines load a
+#: version.
 HALF_LIFE_S = 2.0
 
 
@@ -22,9 +23,9 @@
     """Estimates by which factor delays exceed their predictions.
 
     An entry sees its own requests and only occasional reports of the load by
-    others. In a burst past capacity it would rank too many requests as on
-    time, so that none of them is. With the correction fewer are ranked on
-    time, and those meet their goal.
+    others. In a burst past capacity it would rank too many requests as
+    `Rank.EARLY`, so that none of them is in time. With the correction fewer
+    are ranked so, and those meet their goal.
 
     Args:
         newest_weight: weight of the newest delay in the running means.
@@ -45,10 +46,13 @@
     def observe(self, predicted_s, delay_s, now):
         """Record the delay of a request of rank `Rank.EARLY`.
 
+        Delays of lower ranks include the wait behind requests of higher ones
+        and would raise the factor.
+
         Args:
             predicted_s: predicted seconds, without correction.
             delay_s: observed seconds.
-            now: seconds on the steady clock.
+            now: seconds on the monotonic clock.
         """
         checks.check_fraction(self.newest_weight, 'newest_weight')
         weight = self.newest_weight
@@ -64,10 +68,11 @@
         """Return the `Rank` of a request.
 
         Args:
-            waited_s: seconds that the client has waited so far.
+            waited_s: seconds that the client has waited so far, in earlier
+                attempts too.
             predicted_s: predicted seconds to the first byte, uncorrected.
-            goal_s: seconds after which the first byte is late.
-            now: seconds on the steady clock.
+            goal_s: target for the time to the first byte, in seconds.
+            now: seconds on the monotonic clock.
         """
         if waited_s + predicted_s > goal_s:
             return _state.Rank.LATE
--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -19,18 +19,24 @@
 MAX_BACK_OFF_S = 4.0
 #: Seconds without a byte on any connection, while replies are due, after
 #: which an upstream counts as unresponsive. One pass of an engine that runs
-#: five times slower than usual takes 0.3 s.
+#: five times slower than usual takes 0.3 s. A plain service whose replies take
+#: longer counts as unresponsive too, until the next byte.
 UNRESPONSIVE_S = 0.7
 
 
 class Rank(enum.IntEnum):
-    """Order of requests in the queue of an engine; lower ranks go first.
+    """Order of requests in the queue of an engine; lower values go first.
 
-    `DOUBTFUL` requests are in time by the prediction but not after its
-    correction by recent delays. They keep their own rank, so that a wrong
-    correction gives no worse an order than the prediction alone.
+    `LATE` requests miss their goal already by the prediction; `DOUBTFUL` ones
+    are in time by the prediction but not after its correction by recent
+    delays. They have their own rank, so that a wrong correction gives no
+    worse an order than the prediction alone.
+
+    The rank orders requests at the engine. The sidecar, which grants the
+    permits before, distinguishes only late ones (`PermitRequest.late`).
     """
 
+    # The names are written to the log and must not change.
     EARLY = 0
     DOUBTFUL = 1
     LATE = 2
@@ -53,7 +59,7 @@
 
 @attrs.define(eq=False)
 class Job:
-    """One attempt of a request at an upstream.
+    """One attempt of a request at an upstream, as its load is estimated.
 
     Attributes:
         tokens_in: prompt tokens.
@@ -76,7 +82,8 @@
 
     Attributes:
         jobs: attempts in progress.
-        asking: pending permit requests.
+        pending_permit_requests: permit requests that are pending at its
+            sidecar.
         load: latest reported `Load`.
         load_reported_at: when it was reported.
         own_requests_at_load: requests of this entry at that time; the rest of
@@ -149,23 +156,23 @@
         self._failure_rate_at = now
 
     def record_failure(self, now):
-        """Record a failed or incomplete request."""
+        """Record a request that failed after it was sent, or broke off."""
         rate = self.failure_rate(now)
         self._failure_rate = rate + (1 - rate) * FAILURE_WEIGHT
         self._failure_rate_at = now
 
     def record_refused_connection(self, now):
-        """Record a failure and pause with exponential back-off."""
+        """Record a refused connection; pause with exponential back-off."""
         pause_s = INITIAL_BACK_OFF_S * 2**self.failures_in_row
         self.paused_until = now + min(pause_s, MAX_BACK_OFF_S)
         self.failures_in_row += 1
         self.record_failure(now)
 
     def pause(self, now, pause_s, versions=None):
-        """Pause the upstream for `pause_s` seconds without a failure.
+        """Pause the upstream for `pause_s` seconds, without a failure.
 
         Args:
-            now: seconds on the steady clock.
+            now: seconds on the monotonic clock.
             pause_s: length of the pause, in seconds.
             versions: versions that the upstream serves, if the pause is to
                 end as soon as they change; None otherwise.
@@ -177,7 +184,7 @@
         """Return whether the upstream is paused.
 
         Args:
-            now: seconds on the steady clock.
+            now: seconds on the monotonic clock.
             versions: versions that the upstream serves now.
         """
         if now >= self.paused_until:
--- a/catkinshunt/dispatch/tests/multi_entry.py
+++ b/catkinshunt/dispatch/tests/multi_entry.py
@@ -17,7 +17,7 @@
 
 @attrs.define(eq=False)
 class SentRequest:
-    """A request with its entry and its engine."""
+    """A request with the entry that sent it and its engine."""
 
     request: simulation.Request
     entry: object
--- a/catkinshunt/dispatch/tests/test_burst.py
+++ b/catkinshunt/dispatch/tests/test_burst.py
@@ -40,7 +40,7 @@
     """A burst past capacity arrives through several entries.
 
     Each entry sees only part of an engine's queue. Without the correction all
-    rank their requests as on time, and hardly any first token is in time.
+    rank their requests as early, and hardly any first token is in time.
     """
     corrected, _ = multi_entry.simulate(90.0, entries, seed=seed)
     uncorrected, _ = multi_entry.simulate(
@@ -67,7 +67,7 @@
 
 
 def test_correction_decays_without_observations():
-    """An entry that ranks all requests as late observes no delays.
+    """An entry that ranks no request as early observes no delays.
 
     If the correction stayed after the burst, the requests of this entry would
     be served after those of other entries.
--- a/catkinshunt/dispatch/tests/test_client_retry.py
+++ b/catkinshunt/dispatch/tests/test_client_retry.py
@@ -15,7 +15,7 @@
 def test_varying_timeouts_are_not_taken_for_client_retries():
     """Clients use timeouts between 4.8 and 6 s.
 
-    Taken for returning requests, half of all requests would be ranked late
+    Taken for client retries, half of all requests would be ranked late
     without a burst and wait behind the others in every queue.
     """
     rng = random.Random(3)
@@ -28,7 +28,7 @@
 
 
 def test_many_client_retries_are_detected():
-    """Two in five requests of a burst are returning ones."""
+    """Two in five requests of a burst are client retries."""
     rng = random.Random(4)
     detector = dispatch.ClientRetryDetector()
     for _ in range(20):
@@ -62,7 +62,7 @@
 def test_samples_outside_bursts_bound_first_timeouts():
     """Clients use timeouts between 5.1 and 6 s and retry a second later.
 
-    Past capacity a returning request cannot be in time. Taken for a new one,
+    Past capacity a client retry cannot be in time. Taken for a first attempt,
     it gets a permit with which another request would have been in time.
     """
     rng = random.Random(5)
@@ -83,7 +83,7 @@
 
 
 def test_timeouts_during_a_burst_are_not_sampled():
-    """Many of them belong to returning requests."""
+    """Many of them belong to client retries."""
     rng = random.Random(6)
     detector = dispatch.ClientRetryDetector()
     for _ in range(60):
