--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -2,7 +2,9 @@
 
 A permit allows one request to be sent. The sidecar grants about as many as
 the engine has slots, so that requests wait at their entries rather than in
-the queue of the engine.
+the queue of the engine. A request is in time if its first token arrives
+within the goal of its service, which the rule of the service sets; it is late
+if it cannot.
 """
 
 from catkinshunt.places._allocator import LATE_MAX_WAIT_S
--- a/catkinshunt/places/_allocator.py
+++ b/catkinshunt/places/_allocator.py
@@ -12,21 +12,23 @@
 #: that a slot that becomes free between two passes is filled at once; more
 #: would wait there for longer than that gains.
 SPARE_PERMITS = 1
-#: Shortest and longest retry time of a rejected request, in seconds. It is
-#: late by then in any case; with a shorter one it would return to engines that
-#: are still full. Where client timeouts differ by up to a second, a returning
-#: request could not be distinguished from a new one either.
+#: Shortest and longest retry time of a rejected request, in seconds. The
+#: request misses its goal by then in any case; with a shorter time it would
+#: be sent again to engines that are still full. Where client timeouts differ
+#: by up to a second, `dispatch.ClientRetryDetector` could not distinguish it
+#: from a first attempt either.
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 5.0
 #: Seconds for which late requests wait for permits that no other request
-#: needs. As many may wait as recently got one within that time.
+#: needs. Their queue holds at most as many as get a permit within that time
+#: at the recent rate.
 LATE_MAX_WAIT_S = 0.5
 #: Seconds in which the count of permits for late requests decays to 1/e, and
 #: the least rate of these that is assumed, per second.
 LATE_RATE_DECAY_S = 1.0
 MIN_LATE_RATE_PER_S = 0.5
-#: Seconds after a request that is not late found no free permit during which
-#: late ones get none, so that the next one in time finds a permit.
+#: Seconds for which free permits are reserved for requests in time after one
+#: of these found none free. Late requests get none meanwhile.
 RESERVE_S = 0.5
 #: Longest prefill backlog of an engine that gets another request, in seconds.
 #: Prompts are prefilled one after the other, so the first token of each waits
@@ -35,9 +37,10 @@
 #: Seconds after a grant in which its request may not have arrived yet.
 ARRIVAL_GRACE_S = 0.3
 #: Seconds after the expected end of loading at which requests are admitted
-#: anyway, in case the engine gave up loading or `end_reload` was never called.
+#: anyway, in case the engine gave up loading or `end_reload` was not called.
 REOPEN_TIMEOUT_S = 3.0
-#: Reasons of a rejection, as sent in messages.
+#: Reasons of a rejection, as sent in messages: no permit is free in time; the
+#: engine is about to load another version, or the one it serves has expired.
 NO_ROOM = 'no-room'
 RELOADING = 'reloading'
 
@@ -75,19 +78,30 @@
 
     def __init__(self, spare=SPARE_PERMITS):
         self.spare = spare
+        #: Slots of the engine, from the newest request.
         self._slots = None
+        #: Time of the grant by (peer, number), the oldest first.
         self._granted = {}
+        #: `_QueuedRequest` by (peer, number), the oldest first.
         self._queue = {}
         self._late_queue = {}
+        #: Requests at the engine beyond the granted permits.
         self._without_permit = 0
+        #: Permits without a request at the engine in the last `reconcile`.
         self._unused_count = 0
+        #: Decaying count of permits for late requests, and its time.
         self._late_count = 0.0
         self._late_counted_at = 0.0
+        #: Latest retry time given to a rejected request.
         self._last_retry_at = 0.0
+        #: When the prompts of all granted requests are prefilled.
         self._prefill_done_at = 0.0
+        #: Until then late requests get no permit.
         self._reserved_until = -math.inf
+        #: When the engine is to be empty for a load, and to serve again.
         self._closes_at = math.inf
         self._opens_at = math.inf
+        #: When the version that the engine serves expires.
         self._expires_at = math.inf
 
     @property
@@ -105,8 +119,10 @@
 
         Args:
             peer: identifier of the entry; any hashable value.
-            request: `PermitRequest`. A repeated one gets the same reply.
-            now: seconds on the steady clock.
+            request: `PermitRequest`. A repeated one that was granted or
+                queued gets the same reply; one that was rejected is evaluated
+                anew.
+            now: seconds on the monotonic clock.
         """
         checks.check_count(self.spare, 'spare')
         self._slots = request.slots
@@ -164,12 +180,12 @@
 
         An entry that dies releases no permits, one that cannot reach this
         process sends requests without permits, and datagrams are lost.
-        Permits without a request at the engine in two consecutive calls are
-        released.
+        As many permits as had no request at the engine in two consecutive
+        calls are released, the oldest first; only the number matters.
 
         Args:
             present: requests at the engine, running and waiting.
-            now: seconds on the steady clock.
+            now: seconds on the monotonic clock.
         """
         arrived = [
             key
@@ -184,7 +200,7 @@
         self._without_permit = max(0, present - len(self._granted))
         return self._grant_free(now)
 
-    # Loading another version.
+    # Reloads and expired versions.
 
     def schedule_reload(self, closes_at, opens_at):
         """Grant no permit that would be in use past `closes_at`.
@@ -194,8 +210,9 @@
         would keep it idle for seconds.
 
         Args:
-            closes_at: when the engine is to be empty, in seconds.
-            opens_at: when it is expected to serve again, in seconds.
+            closes_at: when the engine is to be empty, in seconds on the
+                monotonic clock.
+            opens_at: when it is expected to serve again, likewise.
         """
         self._closes_at = closes_at
         self._opens_at = opens_at
@@ -211,10 +228,10 @@
 
         The version that the engine serves expires then. Its sidecar is
         notified of a new version at once; an entry that reads a large
-        configuration over a saturated link learns of it much later.
+        configuration over a saturated link receives it much later.
 
         Args:
-            expires_at: seconds on the steady clock; infinite for never.
+            expires_at: seconds on the monotonic clock; infinite for never.
         """
         self._expires_at = expires_at
 
@@ -256,6 +273,8 @@
     def _enqueue(self, key, request, now):
         """Queue a request if it may wait, else reject it; return the reply."""
         if request.no_wait:
+            # The entry uses the reply of another sidecar, so this takes none
+            # of the spread retry times.
             rejected = _messages.PermitRejected(
                 request.number, NO_ROOM, MIN_RETRY_AFTER_S
             )
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -28,11 +28,14 @@
 
 
 class NoPermitError(errors.OverloadedError):
-    """Not run: no engine has a permit for it in time."""
+    """Not run: no engine granted a permit in time; raised by the gateway."""
 
 
 class ReloadingError(errors.OverloadedError):
-    """Not run: the engines are about to load another version."""
+    """Not run: all engines are about to load another version.
+
+    Raised by the gateway.
+    """
 
 
 @attrs.define(eq=False)
@@ -54,7 +57,10 @@
     _replies: asyncio.Queue = attrs.field(factory=asyncio.Queue)
 
     async def send_and_wait(self):
-        """Send the request; return the first reply, or None without one."""
+        """Send the request; return the first reply, or None if none arrives.
+
+        The first reply may be `PermitQueued`; see `await_decision`.
+        """
         self._client.register(self)
         for _ in range(MAX_SENDS):
             self._client.send(self._host, self.request)
@@ -111,8 +117,9 @@
     """Requests permits from the sidecars of engines.
 
     Args:
-        port: port of all sidecars.
-        clock: function that returns seconds on the steady clock.
+        port: port of all sidecars. The client binds the same port, on the
+            address of the entry.
+        clock: function that returns seconds on the monotonic clock.
         random: source of the first request number.
     """
 
@@ -150,7 +157,7 @@
         return back_off is None or self.clock() >= back_off.until
 
     def make_handle(self, host, make_request):
-        """Return a `PermitHandle` for a new request, which is not sent yet.
+        """Return the `PermitHandle` of a new request, which is not sent yet.
 
         Args:
             host: address of the engine and its sidecar.
@@ -169,7 +176,9 @@
         try:
             message = _messages.load(data)
         except _messages.DecodeError as exc:
-            _log.warning('Ignored a datagram from {}: {}.', addr, exc)
+            _log.warning(
+                'Ignored a malformed permit message from {}: {}.', addr, exc
+            )
             return
         handle = self._handles.get(message.number)
         if handle is not None:
@@ -187,7 +196,10 @@
         self._handles.pop(handle.request.number, None)
 
     def record_outcome(self, host, is_answered):
-        """Record whether the sidecar on `host` replied to a request."""
+        """Record whether the sidecar on `host` replied to a request.
+
+        Without a reply it is in back-off; see `is_responsive`.
+        """
         previous = self._back_offs.pop(host, None)
         if is_answered:
             if previous is not None:
@@ -195,7 +207,11 @@
             return
         if previous is None:
             pause_s = INITIAL_BACK_OFF_S
-            _log.warning('Sidecar on {} does not respond.', host)
+            _log.warning(
+                'Sidecar on {} does not respond; '
+                'requests may be sent to its engine without permits.',
+                host,
+            )
         else:
             pause_s = min(2 * previous.pause_s, MAX_BACK_OFF_S)
         self._back_offs[host] = _BackOff(self.clock() + pause_s, pause_s)
--- a/catkinshunt/places/_messages.py
+++ b/catkinshunt/places/_messages.py
@@ -2,6 +2,9 @@
 
 A datagram can be lost, duplicated or delayed: entries repeat requests, and
 sidecars reconcile the permits in use with the requests at their engine.
+
+The `kind` words are part of the protocol between releases; most differ from
+the class names.
 """
 
 import attrs
@@ -24,8 +27,11 @@
             still get its first token in time; 0 if it is late.
         occupancy_s: predicted seconds for which it holds the permit.
         prefill_s: predicted seconds for the prefill of its prompt.
-        slots: requests that the engine processes concurrently.
-        no_wait: it is granted or rejected at once and never queued.
+        slots: requests that the engine processes concurrently, as listed in
+            the catalog of the entry; the sidecar uses the newest value.
+        no_wait: it is granted or rejected at once and never queued. Set once
+            another sidecar has replied to the entry, so that a request is
+            queued for one engine only.
         late: it cannot be in time and gets only permits that no other
             request needs.
         resumed: its answer broke off at another engine after it had started;
@@ -59,7 +65,8 @@
 
     Attributes:
         number: identifier of the permit request.
-        in_use: permits in use, including this one.
+        in_use: permits in use, including this one; the entry takes it as the
+            load of the engine.
     """
 
     kind = 'granted'
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -14,7 +14,7 @@
 
     Args:
         allocator: `PermitAllocator`.
-        clock: function that returns seconds on the steady clock.
+        clock: function that returns seconds on the monotonic clock.
     """
 
     def __init__(self, allocator, clock):
@@ -44,7 +44,9 @@
         try:
             message = _messages.load(data)
         except _messages.DecodeError as exc:
-            _log.warning('Ignored a datagram from {}: {}.', addr, exc)
+            _log.warning(
+                'Ignored a malformed permit message from {}: {}.', addr, exc
+            )
             return
         if isinstance(message, _messages.PermitRequest):
             self._send(self.allocator.request(addr, message, now))
--- a/catkinshunt/places/base.py
+++ b/catkinshunt/places/base.py
@@ -1,10 +1,13 @@
-"""Base class of the admission control of an engine."""
+"""Base class of the permit admission of an engine."""
 
 import abc
 
 
 class BasePermitAdmission(abc.ABC):
-    """Admits requests to an engine."""
+    """Admission of requests to an engine, as seen by its version loader.
+
+    `PermitServer` implements it with permits.
+    """
 
     @abc.abstractmethod
     def reconcile(self, present):
@@ -25,7 +28,7 @@
 
     @abc.abstractmethod
     def end_reload(self):
-        """Admit requests again."""
+        """Admit requests again, after a reload or if it was called off."""
 
     @abc.abstractmethod
     def set_expiry(self, expires_in_s):
--- a/catkinshunt/places/tests/test_allocator.py
+++ b/catkinshunt/places/tests/test_allocator.py
@@ -93,7 +93,7 @@
 
 
 def test_resumed_stream_goes_first():
-    """Its client is reading and disconnects after a short pause."""
+    """Its client is reading the answer and disconnects after a short pause."""
     allocator = full_allocator()
     allocator.request('b', request(10, resumed=True), now=0.1)
     allocator.request('c', request(11), now=0.2)
@@ -101,7 +101,7 @@
 
 
 def test_retry_times_of_rejected_requests_are_spread():
-    """With one retry time for all, hundreds of clients return at once."""
+    """With one retry time for all, hundreds of clients retry at once."""
     allocator = places.PermitAllocator(spare=0)
     late = request(1, wait_s=0.0, late=True)
     for peer in 'abcde':
@@ -243,7 +243,7 @@
 
 
 def test_no_request_starts_on_an_expired_version():
-    """An entry learns late of a new version, behind a large configuration.
+    """An entry receives a new version late, after a large configuration.
 
     It still requests permits of engines with the expired version, and a
     client would get an answer from withdrawn weights.
