--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -8,7 +8,7 @@
 from catkinshunt import checks
 from catkinshunt import errors
 
-#: Weight of the newest service time in the running mean.
+#: Weight of the newest service time in the running means.
 _NEWEST_WEIGHT = 0.05
 
 
@@ -51,6 +51,9 @@
     def offer(self, ticket, now):
         """Start or queue a request; its future is done when it may run.
 
+        Each request that was started must be ended by `finish`, which frees
+        its slot.
+
         Raises:
             LeavingError: this process accepts no new requests.
             OverloadedError: the request was rejected.
@@ -58,7 +61,10 @@
         checks.check_positive(self.concurrency, 'concurrency')
         with self._lock:
             if self._is_leaving:
-                raise errors.LeavingError('instance is leaving', step='queue')
+                raise errors.LeavingError(
+                    'instance is shutting down and accepts no new requests',
+                    step='queue',
+                )
             ticket.offered_at = now
             if self._running < self.concurrency:
                 self._check_deadline(ticket, now)
@@ -86,7 +92,7 @@
             backlog_s = len(self.queue) / self._rate_per_s()
         if removed:
             raise errors.OverloadedError(
-                'too late to finish before the deadline',
+                'cannot finish before the deadline',
                 step='queue',
                 retry_after_s=max(self._service_s, backlog_s),
             )
@@ -94,7 +100,7 @@
         ticket.fut.result()
 
     def finish(self, ticket, now):
-        """Record that a request has ended, and start queued ones."""
+        """Free the slot of a request that has ended; start queued ones."""
         took_s = max(0.0, now - ticket.began_at)
         with self._lock:
             self._running -= 1
@@ -105,7 +111,7 @@
                 self._idle.notify_all()
 
     def leave(self):
-        """Reject new requests from now on; queued ones still run."""
+        """Reject new requests before a shutdown; queued ones still run."""
         with self._lock:
             self._is_leaving = True
 
@@ -125,7 +131,10 @@
 
     @property
     def _upper_service_s(self):
-        """Upper bound of most service times: mean plus two deviations."""
+        """Upper bound of most service times.
+
+        The mean plus two mean absolute deviations.
+        """
         return self._service_s + 2 * self._mean_deviation_s
 
     def _update_service_time(self, took_s):
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -10,7 +10,7 @@
 
 #: Weight of the newest service time in the running mean of an account.
 _NEWEST_WEIGHT = 0.2
-#: Accounts from which on those without waiting requests are evicted.
+#: Number of accounts from which on those without waiting requests are evicted.
 _MAX_ACCOUNTS = 1024
 #: Shortest retry time of a rejected request, in seconds.
 _MIN_RETRY_AFTER_S = 0.05
@@ -20,10 +20,12 @@
 class _Account:
     name: str
     weight: float = 1.0
-    #: Virtual time: service time divided by the weight. The least is next.
+    #: Virtual time: service seconds used, divided by the weight. The account
+    #: with the least is next.
     virtual_s: float = 0.0
+    #: Mean service time of its requests.
     mean_s: float = 0.0
-    #: Mean time between starts while the account has waiting requests.
+    #: Mean seconds between starts while the account has waiting requests.
     interval_s: float = 0.0
     started_at: float | None = None
     tickets: collections.deque = attrs.field(factory=collections.deque)
@@ -72,7 +74,9 @@
         """Enqueue a request.
 
         If the queue is full, it or the newest request of the heaviest account
-        is rejected.
+        is rejected. The retry time of a request that cannot finish in time is
+        its lateness: by then the backlog is shorter by as much, so that a
+        retry with the same timeout can finish.
 
         Raises:
             OverloadedError: it cannot finish in time, or the queue is full.
@@ -80,7 +84,7 @@
         checks.check_positive(ticket.weight, 'weight')
         account = self._account(ticket)
         # Later requests of other accounts may still go before it; the recent
-        # interval between starts of its account accounts for these.
+        # interval between starts of its account includes these.
         wait_s = max(
             self._count_preceding(account) / rate_per_s,
             (len(account.tickets) + 1) * account.interval_s,
@@ -130,6 +134,7 @@
         """
         account = self._account(ticket)
         if not self._length:
+            # It starts at once; the account gets no credit for its idle time.
             account.virtual_s = max(account.virtual_s, self._virtual_now_s)
         ticket.cost_s = account.mean_s or service_s
         account.virtual_s += ticket.cost_s / account.weight
@@ -177,7 +182,10 @@
             key=lambda each: len(each.tickets) / each.weight,
         )
         share = len(heaviest.tickets) / heaviest.weight
-        rejection = self._rejection('queue is full', self._length / rate_per_s)
+        rejection = self._rejection(
+            f'queue is full: {self.limit} requests',
+            self._length / rate_per_s,
+        )
         if (len(account.tickets) + 1) / account.weight >= share:
             raise rejection
         evicted = heaviest.tickets.pop()
--- a/catkinshunt/limits/_fifo.py
+++ b/catkinshunt/limits/_fifo.py
@@ -31,7 +31,7 @@
         self._tickets.append(ticket)
 
     def pop(self, now):
-        """Return the oldest request."""
+        """Dequeue the oldest request; return it, or None."""
         return self._tickets.popleft() if self._tickets else None
 
     def remove(self, ticket):
--- a/catkinshunt/limits/base.py
+++ b/catkinshunt/limits/base.py
@@ -15,9 +15,10 @@
     Attributes:
         request_id: identifier of the request.
         account: client account of the request.
-        deadline: when its answer must be complete, in seconds, monotonic.
+        deadline: when its answer must be complete, in seconds on the
+            monotonic clock.
         weight: weight of its account.
-        offered_at: when it was offered.
+        offered_at: when it was offered to `Admission`.
         began_at: when it was started.
         cost_s: service time that its account was charged at the start.
         fut: done when it may run; holds the error if it is rejected.
@@ -51,7 +52,7 @@
             ticket: the `Ticket`.
             rate_per_s: requests that end per second; infinite if unknown.
             service_s: estimated service time of one request, in seconds.
-            now: seconds, monotonic.
+            now: seconds on the monotonic clock.
 
         Raises:
             OverloadedError: the request was rejected.
@@ -59,7 +60,7 @@
 
     @abc.abstractmethod
     def pop(self, now):
-        """Return the next request to run, or None."""
+        """Dequeue the next request to run; return it, or None."""
 
     @abc.abstractmethod
     def remove(self, ticket):
@@ -69,4 +70,4 @@
         """Record that a request starts, whether it waited or not."""
 
     def finish(self, ticket, took_s):  # noqa: B027
-        """Record the service time of a request that ended."""
+        """Record that a request has ended, and its service time."""
--- a/catkinshunt/limits/tests/test_admission.py
+++ b/catkinshunt/limits/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission: concurrency, deadlines and leaving."""
+"""Tests of admission: concurrency, deadlines and shutdown."""
 
 import threading
 
