--- a/catkinshunt/retries/_budget.py
+++ b/catkinshunt/retries/_budget.py
@@ -51,7 +51,7 @@
             return enough
 
     def has_token(self):
-        """Return whether `try_take` would take a token now."""
+        """Return whether `try_take` without a reserve would take a token."""
         with self._lock:
             return self._available() >= 1
 
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -1,4 +1,4 @@
-"""Decision whether a failed attempt of a request is retried."""
+"""Decision whether a request is retried after a failed attempt."""
 
 import attrs
 
@@ -47,32 +47,39 @@
         self.reserve = reserve
 
     def add_request(self):
-        """Count one request towards the budget."""
+        """Add the tokens of one request to the budget."""
         if self.budget is not None:
             self.budget.add_request()
 
     def decide(self, exc, idempotent, tries, deadline, now):
         """Return the `RetryDecision` on a request whose last attempt failed.
 
+        If it allows the retry, it takes a token of the budget.
+
         Args:
             exc: the `errors.RequestError` of the last attempt; its `ran`
                 tells whether the request ran.
             idempotent: whether the request may safely run twice.
             tries: attempts so far.
-            deadline: deadline of the request, in seconds, monotonic.
-            now: seconds, monotonic.
+            deadline: deadline of the request, in seconds on the monotonic
+                clock.
+            now: seconds on the monotonic clock.
         """
         checks.check_positive(self.max_tries, 'max_tries')
+        # An invalid request fails at any upstream. Errors with other statuses
+        # are judged by whether the request ran.
         if exc.status == 400:
             return RetryDecision(False, 'invalid request')
         if exc.ran != 'no' and not idempotent:
             return RetryDecision(False, 'may have run')
         if tries >= self.max_tries:
-            return RetryDecision(False, f'{tries} tries made')
+            return RetryDecision(
+                False, f'maximum of {self.max_tries} attempts reached'
+            )
         if deadline - now < self.min_remaining_s:
             return RetryDecision(False, 'deadline too near')
         if self.budget is not None and not self._take_token(exc):
-            return RetryDecision(False, 'retry budget spent')
+            return RetryDecision(False, 'retry budget spent or reserved')
         return RetryDecision(
             True, 'not run' if exc.ran == 'no' else 'idempotent'
         )
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -1,4 +1,4 @@
-"""Division of a burst of retries among processes."""
+"""Division of the allowed retries among processes."""
 
 import collections
 
@@ -6,7 +6,7 @@
 from catkinshunt import checks
 
 #: Least number of processes assumed. A process that has just started sees no
-#: others yet and would use the whole burst.
+#: others yet and would take all of the allowed retries.
 MIN_PROCESSES = 4
 #: Seconds for which a larger count is kept. A process that lost its connection
 #: to the store is no longer listed but still uses its share.
@@ -14,14 +14,16 @@
 
 
 class RetryBurstShare(base.ParamsMixin):
-    """Share of one process in a burst of retries allowed for all processes.
+    """Share of one process in the retries allowed for all processes.
 
-    The number of processes changes at run time. A fixed share for the largest
-    deployment would leave small ones with too few retries when engines stop
-    responding.
+    The share is the capacity (`burst`) of the retry budgets of the process,
+    one for each service. The number of processes changes at run time. A fixed
+    share for the largest deployment would leave small ones with too few
+    retries when engines stop responding.
 
     Args:
-        burst: retries that all processes together may use at once.
+        burst: retries of one service that all processes together may use at
+            once.
         fewest: least number of processes assumed.
         hold_s: seconds for which a larger count is kept.
 
@@ -41,17 +43,25 @@
         self._counts = collections.deque()
 
     def observe(self, count, now):
-        """Record that `count` processes are alive at `now` seconds."""
+        """Record that `count` processes are alive.
+
+        Args:
+            count: number of processes.
+            now: seconds on the monotonic clock.
+        """
         while self._counts and self._counts[-1][1] <= count:
             self._counts.pop()
         self._counts.append((now, count))
 
     def burst_at(self, now):
-        """Return the burst of this process at `now` seconds, at least 1."""
+        """Return the retries of this process at once, at least 1.
+
+        Args:
+            now: seconds on the monotonic clock.
+        """
         checks.check_positive(self.burst, 'burst')
         checks.check_positive(self.min_processes, 'min_processes')
-        # Counts decrease from the first to the last, which does not expire
-        # before a newer one is recorded.
+        # The first count is the largest; the last one never expires.
         while (
             len(self._counts) > 1 and self._counts[1][0] <= now - self.hold_s
         ):
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -49,7 +49,7 @@
     policy = retries.RetryPolicy(retries.Budget(ratio=0.1, burst=1.0))
     assert policy.decide(REFUSED, True, 1, 9.0, 0.0).should_retry
     decision = policy.decide(REFUSED, True, 1, 9.0, 0.0)
-    assert decision.grounds == 'retry budget spent'
+    assert decision.grounds == 'retry budget spent or reserved'
 
 
 @settings(derandomize=True, database=None, max_examples=50)
--- a/catkinshunt/retries/tests/test_shares.py
+++ b/catkinshunt/retries/tests/test_shares.py
@@ -16,7 +16,7 @@
 def test_started_process_does_not_take_all_retries():
     """A process sees only itself until the others are listed.
 
-    After a restart of all processes each would use the whole burst.
+    After a restart each process would take all of the allowed retries.
     """
     share = make_share(min_processes=4)
     share.observe(0, now=0.0)
@@ -25,7 +25,7 @@
 
 
 def test_process_that_lost_the_store_still_counts():
-    """Its lease expires while it still serves and retries."""
+    """It is no longer listed but still serves and retries."""
     share = make_share()
     share.observe(5, now=0.0)
     share.observe(4, now=100.0)
@@ -47,8 +47,8 @@
 
 
 def test_smaller_burst_limits_a_budget_in_use():
-    """The tokens of an entry are cut when its share gets smaller."""
+    """A smaller share also limits the tokens that a budget already has."""
     budget = retries.Budget(ratio=0.1, burst=10.0)
-    assert budget.burst_at()
+    assert budget.try_take()
     budget.burst = 2.0
-    assert [budget.burst_at() for _ in range(3)] == [True, True, False]
+    assert [budget.try_take() for _ in range(3)] == [True, True, False]
