--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -71,7 +71,7 @@
 
     tokens_in: int = 0
     tokens_out: int = 0
-    answering: bool = False
+    reply_started: bool = False
     rank: Rank = Rank.EARLY
     predicted_s: float = 0.0
 
