--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -30,7 +30,7 @@
     def is_responsive(self, host):
         return True
 
-    def request(self, host, make_request):
+    def make_handle(self, host, make_request):
         permit_request = make_request(len(self.requests))
         self.requests.append(permit_request)
         answer = self.answers.pop(0) if self.answers else places.PermitGranted
--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -8,7 +8,7 @@
 from catkinshunt import checks
 from catkinshunt import errors
 
-#: Weight of the newest service time in the running mean.
+#: Weight of the newest service time in the running means.
 _NEWEST_WEIGHT = 0.05
 
 
@@ -40,8 +40,8 @@
         self._idle = threading.Condition(self._lock)
         self._running = 0
         self._service_s = 0.0
-        self._deviation_s = 0.0
-        self._leaving = False
+        self._mean_deviation_s = 0.0
+        self._is_leaving = False
 
     @property
     def load(self):
@@ -51,21 +51,27 @@
     def offer(self, ticket, now):
         """Start or queue a request; its future is done when it may run.
 
+        Each request that was started must be ended by `finish`, which frees
+        its slot.
+
         Raises:
             LeavingError: this process accepts no new requests.
             OverloadedError: the request was rejected.
         """
         checks.check_positive(self.concurrency, 'concurrency')
         with self._lock:
-            if self._leaving:
-                raise errors.LeavingError('instance is leaving', step='queue')
+            if self._is_leaving:
+                raise errors.LeavingError(
+                    'instance is shutting down and accepts no new requests',
+                    step='queue',
+                )
             ticket.offered_at = now
             if self._running < self.concurrency:
                 self._check_deadline(ticket, now)
                 self._start(ticket, now)
             else:
-                self.queue.offer(
-                    ticket, self._rate(), self._upper_service_s, now
+                self.queue.push(
+                    ticket, self._rate_per_s(), self._upper_service_s, now
                 )
         return ticket
 
@@ -83,10 +89,10 @@
             pass
         with self._lock:
             removed = self.queue.remove(ticket)
-            backlog_s = len(self.queue) / self._rate()
+            backlog_s = len(self.queue) / self._rate_per_s()
         if removed:
             raise errors.OverloadedError(
-                'too late to finish before the deadline',
+                'cannot finish before the deadline',
                 step='queue',
                 retry_after_s=max(self._service_s, backlog_s),
             )
@@ -94,7 +100,7 @@
         ticket.fut.result()
 
     def finish(self, ticket, now):
-        """Record that a request has ended, and start queued ones."""
+        """Free the slot of a request that has ended; start queued ones."""
         took_s = max(0.0, now - ticket.began_at)
         with self._lock:
             self._running -= 1
@@ -105,9 +111,9 @@
                 self._idle.notify_all()
 
     def leave(self):
-        """Reject new requests from now on; queued ones still run."""
+        """Reject new requests before a shutdown; queued ones still run."""
         with self._lock:
-            self._leaving = True
+            self._is_leaving = True
 
     def join(self, timeout_s):
         """Wait until no request runs or waits; return whether that is so."""
@@ -125,19 +131,22 @@
 
     @property
     def _upper_service_s(self):
-        """Upper bound of most service times: mean plus two deviations."""
-        return self._service_s + 2 * self._deviation_s
+        """Upper bound of most service times.
+
+        The mean plus two mean absolute deviations.
+        """
+        return self._service_s + 2 * self._mean_deviation_s
 
     def _update_service_time(self, took_s):
         if not self._service_s:
             self._service_s = took_s
         error_s = took_s - self._service_s
         self._service_s += _NEWEST_WEIGHT * error_s
-        self._deviation_s += _NEWEST_WEIGHT * (
-            abs(error_s) - self._deviation_s
+        self._mean_deviation_s += _NEWEST_WEIGHT * (
+            abs(error_s) - self._mean_deviation_s
         )
 
-    def _rate(self):
+    def _rate_per_s(self):
         if not self._service_s:
             return math.inf
         return self.concurrency / self._service_s
@@ -159,7 +168,7 @@
 
     def _start_queued(self, now):
         while self._running < self.concurrency:
-            ticket = self.queue.choose(now)
+            ticket = self.queue.pop(now)
             if ticket is None:
                 return
             try:
--- a/catkinshunt/limits/_fifo.py
+++ b/catkinshunt/limits/_fifo.py
@@ -20,7 +20,7 @@
     def __len__(self):
         return len(self._tickets)
 
-    def offer(self, ticket, rate_per_s, service_s, now):
+    def push(self, ticket, rate_per_s, service_s, now):
         """Enqueue a request unless the queue is full."""
         if len(self._tickets) >= self.limit:
             raise errors.OverloadedError(
@@ -30,8 +30,8 @@
             )
         self._tickets.append(ticket)
 
-    def choose(self, now):
-        """Return the oldest request."""
+    def pop(self, now):
+        """Dequeue the oldest request; return it, or None."""
         return self._tickets.popleft() if self._tickets else None
 
     def remove(self, ticket):
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -14,7 +14,7 @@
 
     Args:
         allocator: `PermitAllocator`.
-        clock: function that returns seconds on the steady clock.
+        clock: function that returns seconds on the monotonic clock.
     """
 
     def __init__(self, allocator, clock):
@@ -44,7 +44,9 @@
         try:
             message = _messages.load(data)
         except _messages.DecodeError as exc:
-            _log.warning('Ignored a datagram from {}: {}.', addr, exc)
+            _log.warning(
+                'Ignored a malformed permit message from {}: {}.', addr, exc
+            )
             return
         if isinstance(message, _messages.PermitRequest):
             self._send(self.allocator.request(addr, message, now))
@@ -55,14 +57,14 @@
         """See `base.BasePermitAdmission.reconcile`."""
         self._send(self.allocator.reconcile(present, self.clock()))
 
-    def close(self, closes_in_s, opens_in_s):
-        """See `base.BasePermitAdmission.close`."""
+    def schedule_reload(self, closes_in_s, opens_in_s):
+        """See `base.BasePermitAdmission.schedule_reload`."""
         now = self.clock()
-        self.allocator.close(now + closes_in_s, now + opens_in_s)
+        self.allocator.schedule_reload(now + closes_in_s, now + opens_in_s)
 
-    def open(self):
-        """See `base.BasePermitAdmission.open`."""
-        self._send(self.allocator.open(self.clock()))
+    def end_reload(self):
+        """See `base.BasePermitAdmission.end_reload`."""
+        self._send(self.allocator.end_reload(self.clock()))
 
     def set_expiry(self, expires_in_s):
         """See `base.BasePermitAdmission.set_expiry`."""
--- a/catkinshunt/places/base.py
+++ b/catkinshunt/places/base.py
@@ -1,10 +1,13 @@
-"""Base class of the admission control of an engine."""
+"""Base class of the permit admission of an engine."""
 
 import abc
 
 
 class BasePermitAdmission(abc.ABC):
-    """Admits requests to an engine."""
+    """Admission of requests to an engine, as seen by its version loader.
+
+    `PermitServer` implements it with permits.
+    """
 
     @abc.abstractmethod
     def reconcile(self, present):
@@ -15,7 +18,7 @@
         """
 
     @abc.abstractmethod
-    def close(self, closes_in_s, opens_in_s):
+    def schedule_reload(self, closes_in_s, opens_in_s):
         """Admit no request that would last longer than `closes_in_s`.
 
         Args:
@@ -24,8 +27,8 @@
         """
 
     @abc.abstractmethod
-    def open(self):
-        """Admit requests again."""
+    def end_reload(self):
+        """Admit requests again, after a reload or if it was called off."""
 
     @abc.abstractmethod
     def set_expiry(self, expires_in_s):
--- a/catkinshunt/places/tests/test_datagrams.py
+++ b/catkinshunt/places/tests/test_datagrams.py
@@ -27,7 +27,7 @@
         def make_request(number):
             return places.PermitRequest(number, wait_s, 0.5, 0.0, 1, **changes)
 
-        return self.client.request(SIDECAR, make_request)
+        return self.client.make_handle(SIDECAR, make_request)
 
     async def acquire(self):
         """Request a permit; return its handle after the first reply."""
--- a/standins/experiment/_entries.py
+++ b/standins/experiment/_entries.py
@@ -62,7 +62,7 @@
         """Take a request of a caller."""
         now = self.events.now
         left_s = request.deadline - now
-        request.waited_s = self.returns.waited_s(SERVICE, left_s, now)
+        request.waited_s = self.returns.estimate_wait_s(SERVICE, left_s, now)
         self.decide(request)
 
     def choose(self, request, only=None):
