--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -58,14 +58,14 @@
     Attributes:
         tokens_in: prompt tokens.
         tokens_out: expected tokens of the answer; 0 if unknown.
-        answering: whether the first byte has arrived.
+        reply_started: whether the first byte has arrived.
         rank: `Rank` in the queue of an engine.
         predicted_s: predicted seconds to the first byte.
     """
 
     tokens_in: int = 0
     tokens_out: int = 0
-    answering: bool = False
+    reply_started: bool = False
     rank: Rank = Rank.ON_TIME
     predicted_s: float = 0.0
 
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -18,15 +18,16 @@
 
     Attributes:
         clock: returns seconds on the monotonic clock.
-        wall: returns seconds on the boot-time clock, which also counts time
-            in suspend; the age of the catalog is measured on it.
+        boot_clock: returns seconds on the boot-time clock, which also counts
+            time in suspend; the age of the catalog is measured on it.
         retry_ratio: retries allowed per request of a service.
         retry_burst: retries allowed beyond that ratio.
         random: source of random numbers, such as `random.Random(7)`.
         permit_client: `places.PermitClient` that requests permits.
         guard: `quarantine.Guard` against requests that crash upstreams, or
             None.
-        return_detector: detects clients that come back after a rejection.
+        client_retry_detector: detects clients that come back after a
+            rejection.
         stopping_since: when this process began to stop, or None.
         version_grace_s: seconds after a version is named in which requests
             may still begin on the previous one.
@@ -36,7 +37,7 @@
     dialect: base.BaseDialect
     chooser: dispatch.Chooser
     clock: object
-    wall: object
+    boot_clock: object
     retry_ratio: float
     retry_burst: float
     random: object
@@ -46,7 +47,7 @@
     tracker: dispatch.UpstreamTracker = attrs.field(
         factory=dispatch.UpstreamTracker
     )
-    return_detector: dispatch.ReturningRequestDetector = attrs.field(
+    client_retry_detector: dispatch.ReturningRequestDetector = attrs.field(
         factory=dispatch.ReturningRequestDetector
     )
     stopping_since: float | None = None
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -125,7 +125,7 @@
             self.context.catalog,
             self.info,
             self.context.random.random(),
-            self.context.wall(),
+            self.context.boot_clock(),
         )
         self.selection = _selection.Selection(
             self.context, self.info, self.decision
@@ -139,8 +139,10 @@
         limit_s = self.decision.serve.timeout_s
         if self.info.deadline_s is not None:
             limit_s = min(limit_s, self.info.deadline_s)
-            self.progress.before_s = self.context.return_detector.waited_s(
-                self.decision.service, self.info.deadline_s, now
+            self.progress.before_s = (
+                self.context.client_retry_detector.waited_s(
+                    self.decision.service, self.info.deadline_s, now
+                )
             )
         self.deadline = self.req.received_at + limit_s
         if self.info.last_event_id:
@@ -353,7 +355,9 @@
             # The client disconnected or the deadline passed. Without a first
             # byte, the time so far is a lower bound of the delay.
             now = self.context.clock()
-            if not job.answering and not candidate.state.is_unresponsive(now):
+            if not job.reply_started and not candidate.state.is_unresponsive(
+                now
+            ):
                 self.record_delay(job, now - sent_at)
             raise
         finally:
@@ -465,7 +469,9 @@
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
-            self.context.return_detector.record_rejection(self.context.clock())
+            self.context.client_retry_detector.record_rejection(
+                self.context.clock()
+            )
         items = self.context.dialect.reply_headers(self.info)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
@@ -487,7 +493,7 @@
         self.context.metrics.record(
             service, outcome, now - self.req.received_at, self.progress
         )
-        age_s = self.context.catalog.age_s(self.context.wall())
+        age_s = self.context.catalog.age_s(self.context.boot_clock())
         _log.info(
             'Request {} ended as {}.',
             self.info.id if self.info else '?',
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -105,7 +105,7 @@
                     part.reason, step='read-reply', peer=self.peer
                 )
             self.state.receive(self.context.clock())
-            self.job.answering = True
+            self.job.reply_started = True
             return part
 
     def _check_version(self):
@@ -114,7 +114,7 @@
         A request can wait in the queue of a full engine for seconds, and
         would then be answered from weights that must no longer serve.
         """
-        if self.job.answering:
+        if self.job.reply_started:
             return
         if self.exchange.selection.is_outdated(self.upstream, POLL_S):
             raise OutdatedVersionError(
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -123,7 +123,7 @@
             context.permit_client = FakePermitClient(None, None)
             context.version_grace_s = 8.0
             context.catalog.add_named_version(
-                harness.MODEL, 2, context.wall() - 7.0
+                harness.MODEL, 2, context.boot_clock() - 7.0
             )
             context.tracker.state(new.listed()).rest(context.clock(), 0.2)
             return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
@@ -146,7 +146,7 @@
 
             class Waiting(FakePermitRequest):
                 async def final_reply(self):
-                    now = context.wall()
+                    now = context.boot_clock()
                     context.catalog.add_named_version(
                         harness.MODEL, 2, now - 9.0
                     )
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -243,7 +243,7 @@
         new = make_engine('u2', harness.streaming(2), version=2)
         async with harness.running_gateway(old, new) as gateway:
             gateway.context.version_grace_s = 4.0
-            now = gateway.context.wall()
+            now = gateway.context.boot_clock()
             gateway.context.catalog.add_named_version(
                 harness.MODEL, 2, now - 5
             )
@@ -278,7 +278,7 @@
             context = gateway.context
             context.version_grace_s = 1.0
             context.catalog.add_named_version(
-                harness.MODEL, 2, context.wall() - 0.5
+                harness.MODEL, 2, context.boot_clock() - 0.5
             )
             context.tracker.state(new.listed()).rest(context.clock(), 0.2)
             found = await chat(gateway)
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -146,7 +146,7 @@
         dialect=_dialect.PlatformDialect(),
         chooser=dispatch.Chooser(cfg.data_centre, cfg.regions, cfg.name),
         clock=_clocks.monotonic,
-        wall=_clocks.boottime,
+        boot_clock=_clocks.boottime,
         retry_ratio=bounds.retry_ratio * RETRY_RATIO_SHARE,
         retry_burst=make_burst_share(cfg).choose(_clocks.monotonic()),
         random=rng,
--- a/catkinshunt/quarantine/__init__.py
+++ b/catkinshunt/quarantine/__init__.py
@@ -8,21 +8,21 @@
 from catkinshunt.quarantine._messages import dump
 from catkinshunt.quarantine._messages import load
 from catkinshunt.quarantine._messages import Quarantined
+from catkinshunt.quarantine._quarantine import EVALUATION_DELAY_S
 from catkinshunt.quarantine._quarantine import Quarantine
 from catkinshunt.quarantine._quarantine import QUARANTINE_S
 from catkinshunt.quarantine._quarantine import RENEW_SHARE
-from catkinshunt.quarantine._quarantine import SETTLE_S
 
 __all__ = [
     'Completion',
     'CrashReport',
+    'EVALUATION_DELAY_S',
     'Gossip',
     'Guard',
     'QUARANTINE_S',
     'Quarantine',
     'Quarantined',
     'RENEW_SHARE',
-    'SETTLE_S',
     'dump',
     'fingerprint',
     'load',
--- a/standins/experiment/_entries.py
+++ b/standins/experiment/_entries.py
@@ -157,7 +157,7 @@
 
     def hear_first(self, request):
         """See `BaseEntry.hear_first`."""
-        request.job.answering = True
+        request.job.reply_started = True
         now = self.events.now
         engine = request.engine
         load = dispatch.Load(
@@ -322,4 +322,4 @@
 
     def hear_first(self, request):
         """See `BaseEntry.hear_first`."""
-        request.job.answering = True
+        request.job.reply_started = True
