--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -75,7 +75,7 @@
         if other.reply_started or other.rank < _state.Rank.LATE
     ]
     others = state.other_requests(now)
-    count = len(preceding) + state.asking + others
+    count = len(preceding) + state.pending_permit_requests + others
     if engine is None:
         return PLAIN_REQUEST_S * (1 + max(0.0, count + 1 - slots) / slots)
     prefill_tokens = sum(
--- a/catkinshunt/dispatch/tests/test_choice.py
+++ b/catkinshunt/dispatch/tests/test_choice.py
@@ -132,7 +132,7 @@
     state = dispatch.UpstreamState()
     pauses = []
     for _ in range(5):
-        state.back_off(now=0.0)
+        state.record_refused_connection(now=0.0)
         pauses.append(state.paused_until)
     assert pauses == [0.4, 0.8, 1.6, 3.2, 4.0]
 
@@ -150,7 +150,7 @@
     fixed length leaves it idle after it has loaded.
     """
     state = dispatch.UpstreamState()
-    state.rest(now=0.0, pause_s=2.5, versions={'drafts': 1})
+    state.pause(now=0.0, pause_s=2.5, versions={'drafts': 1})
     assert state.is_paused(now=1.0, versions={'drafts': 1})
     assert not state.is_paused(now=1.0, versions={'drafts': 2})
     assert not state.is_paused(now=3.0, versions={'drafts': 1})
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -47,8 +47,8 @@
     tracker: dispatch.UpstreamTracker = attrs.field(
         factory=dispatch.UpstreamTracker
     )
-    client_retry_detector: dispatch.ReturningRequestDetector = attrs.field(
-        factory=dispatch.ReturningRequestDetector
+    client_retry_detector: dispatch.ClientRetryDetector = attrs.field(
+        factory=dispatch.ClientRetryDetector
     )
     stopping_since: float | None = None
     version_grace_s: float = 8.0
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -23,8 +23,8 @@
 NO_UPSTREAM_RETRY_S = 0.8
 #: Priority at an engine by rank, from 0 (highest) to 9; 5 is the default.
 PRIORITY_BY_RANK = {
-    dispatch.Rank.ON_TIME: 4,
-    dispatch.Rank.AT_RISK: 6,
+    dispatch.Rank.EARLY: 4,
+    dispatch.Rank.DOUBTFUL: 6,
     dispatch.Rank.LATE: 7,
 }
 #: Share of the retry burst reserved for requests at upstreams that fail or
@@ -147,7 +147,7 @@
         self.deadline = self.req.received_at + limit_s
         if self.info.last_event_id:
             self.progress.last_event_id = int(self.info.last_event_id)
-        self.context.retry_budget(self.decision.service).offer()
+        self.context.retry_budget(self.decision.service).add_request()
         try:
             async with asyncio.timeout(self.deadline - self.context.clock()):
                 await self._run_attempts()
@@ -260,7 +260,7 @@
             if progress.sends
             else None,
             max_tries=serve.max_tries,
-            least_left_s=MIN_REMAINING_S,
+            min_remaining_s=MIN_REMAINING_S,
             reserve=self.context.retry_burst * FAILOVER_RESERVE_SHARE,
         )
         retry = policy.check(
@@ -375,7 +375,7 @@
         try:
             return await pool.take(fresh=fresh)
         except errors.RefusedError:
-            state.back_off(self.context.clock())
+            state.record_refused_connection(self.context.clock())
             raise
 
     def _request_bytes(self, upstream, job):
@@ -401,7 +401,7 @@
         if self.progress.head_sent:
             # The client is reading the stream and disconnects if it stalls;
             # requests of a lower rank wait for seconds in a burst.
-            return dispatch.Rank.ON_TIME
+            return dispatch.Rank.EARLY
         now = self.context.clock()
         return self.context.delay_corrector(self.decision.service).rank(
             now - self.req.received_at + self.progress.before_s,
@@ -422,7 +422,7 @@
 
     def record_delay(self, job, delay_s):
         """Record the time to the first byte of an attempt, in seconds."""
-        if job.rank == dispatch.Rank.ON_TIME:
+        if job.rank == dispatch.Rank.EARLY:
             delay_corrector = self.context.delay_corrector(
                 self.decision.service
             )
