--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -611,7 +611,7 @@
     Mutation(
         'alike-suspects-run-by-turns',
         'catkinshunt/quarantine/_quarantine.py',
-        'return 0.0 if rank == 0 else',
+        'return 0.0 if ahead == 0 else',
         'return 0.0 if True else',
     ),
     Mutation(
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -46,13 +46,13 @@
 
     last_crash_at: float
     crashes: set = attrs.field(factory=set)
-    attributed: int = 0
+    attributed_count: int = 0
     eligible_at: float | None = None
 
     @property
     def total(self):
         """Number of crashes during which the request was running."""
-        return len(self.crashes) + self.attributed
+        return len(self.crashes) + self.attributed_count
 
 
 class Quarantine:
@@ -124,7 +124,7 @@
             for request, suspect in self._suspects.items()
             if suspect.eligible_at is not None
             and now - suspect.eligible_at >= EVALUATION_DELAY_S
-            and self._is_culprit(request, suspect)
+            and self._is_cause(request, suspect)
         ]
         for request in found:
             total = self._suspects[request].total
@@ -189,8 +189,8 @@
         since = min(s.eligible_at for s in tied.values())
         elapsed_s = now - since
         turns = int(elapsed_s / TURN_S)
-        rank = (sorted(tied).index(request) - turns) % len(tied)
-        return 0.0 if rank == 0 else (turns + rank) * TURN_S - elapsed_s
+        ahead = (sorted(tied).index(request) - turns) % len(tied)
+        return 0.0 if ahead == 0 else (turns + ahead) * TURN_S - elapsed_s
 
     def all_quarantined(self, now):
         """Return pairs of a quarantined request and its time left."""
@@ -223,9 +223,9 @@
             suspect = self._suspects.get(request)
             if suspect is not None and crash in suspect.crashes:
                 suspect.crashes.discard(crash)
-                suspect.attributed += 1
+                suspect.attributed_count += 1
 
-    def _is_culprit(self, request, suspect):
+    def _is_cause(self, request, suspect):
         if suspect.total >= MAX_CRASHES:
             return True
         if len(suspect.crashes) < MIN_CRASHES:
