--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -60,8 +60,8 @@
         wait_until: end of the wait for an eligible upstream, or None.
         notes: short texts on each attempt, for the log.
         first_s: seconds to the first byte of the reply, or None.
-        waited_s: seconds spent waiting for an upstream or a permit.
-        before_s: seconds that the client had waited before this request.
+        entry_wait_s: seconds spent waiting for an upstream or a permit.
+        prior_wait_s: seconds that the client had waited before this request.
     """
 
     head_sent: bool = False
@@ -73,8 +73,8 @@
     wait_until: float | None = None
     notes: list = attrs.field(factory=list)
     first_s: float | None = None
-    waited_s: float = 0.0
-    before_s: float = 0.0
+    entry_wait_s: float = 0.0
+    prior_wait_s: float = 0.0
 
 
 class Exchange:
@@ -139,7 +139,7 @@
         limit_s = self.decision.serve.timeout_s
         if self.info.deadline_s is not None:
             limit_s = min(limit_s, self.info.deadline_s)
-            self.progress.before_s = (
+            self.progress.prior_wait_s = (
                 self.context.client_retry_detector.waited_s(
                     self.decision.service, self.info.deadline_s, now
                 )
@@ -174,7 +174,7 @@
             # The admission that follows raises the error.
             return
         finally:
-            self.progress.waited_s += self.context.clock() - now
+            self.progress.entry_wait_s += self.context.clock() - now
 
     def _timeout_error(self):
         if not self.progress.sends:
@@ -232,7 +232,7 @@
             # The client is reading the stream; engines give it precedence.
             return candidate
         finally:
-            self.progress.waited_s += self.context.clock() - began
+            self.progress.entry_wait_s += self.context.clock() - began
 
     def _check_version(self, candidate):
         """Reject an engine whose version expired while a permit was awaited.
@@ -292,7 +292,7 @@
         if progress.wait_until is None:
             progress.wait_until = self.context.clock() + UPSTREAM_WAIT_S
         while True:
-            candidate = self.selection.find_next(progress)
+            candidate = self.selection.take_next(progress)
             if candidate is not None:
                 return candidate
             left_s = progress.wait_until - self.context.clock()
@@ -306,7 +306,7 @@
                 )
             began = self.context.clock()
             await self.selection.wait_for_change(left_s)
-            progress.waited_s += self.context.clock() - began
+            progress.entry_wait_s += self.context.clock() - began
             # Upstreams that finished loading are eligible again.
             progress.tried -= progress.reloading
             progress.reloading.clear()
@@ -404,7 +404,7 @@
             return dispatch.Rank.EARLY
         now = self.context.clock()
         return self.context.delay_corrector(self.decision.service).rank(
-            now - self.req.received_at + self.progress.before_s,
+            now - self.req.received_at + self.progress.prior_wait_s,
             candidate.delay_s,
             self.decision.serve.goal_s,
             now,
@@ -418,7 +418,7 @@
         if self.progress.head_sent:
             return None
         elapsed_s = self.context.clock() - self.req.received_at
-        return elapsed_s + self.progress.before_s
+        return elapsed_s + self.progress.prior_wait_s
 
     def record_delay(self, job, delay_s):
         """Record the time to the first byte of an attempt, in seconds."""
@@ -506,8 +506,8 @@
             account=decision.account if decision else None,
             revision=self._revision(),
             age_s=_rounded(age_s),
-            before_s=_rounded(self.progress.before_s),
-            waited_s=_rounded(self.progress.waited_s),
+            before_s=_rounded(self.progress.prior_wait_s),
+            waited_s=_rounded(self.progress.entry_wait_s),
             tries=self.progress.notes,
             sends=self.progress.sends,
             events_to=self.progress.last_event_id,
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -42,7 +42,7 @@
 
 
 @attrs.define(eq=False)
-class _PendingRequest:
+class _PendingPermitRequest:
     """A permit request at the sidecar of one candidate.
 
     Attributes:
@@ -69,16 +69,16 @@
         context: `Context` of the gateway.
         selection: the `Selection` of the request.
         progress: the `Progress` of the request.
-        waited_s: seconds that the client has waited; None for a stream that
-            is resumed elsewhere.
+        client_wait_s: seconds that the client has waited; None for a stream
+            that is resumed elsewhere.
         goal_s: target for the time to the first token, in seconds.
     """
 
-    def __init__(self, context, selection, progress, waited_s, goal_s):
+    def __init__(self, context, selection, progress, client_wait_s, goal_s):
         self.context = context
         self.selection = selection
         self.progress = progress
-        self.waited_s = waited_s
+        self.client_wait_s = client_wait_s
         self.goal_s = goal_s
         self._began = context.clock()
         self._pending = []
@@ -114,7 +114,7 @@
                     break
             elif not _is_reloading(reply):
                 answered += 1
-            candidate = self.selection.find_next(
+            candidate = self.selection.take_next(
                 self.progress, self._is_responsive
             )
         if queued is not None and await self._wait_for_grant(
@@ -157,7 +157,7 @@
             if unresponsive:
                 candidate = unresponsive.pop(0)
             else:
-                candidate = self.selection.find_next(
+                candidate = self.selection.take_next(
                     self.progress, self._is_unresponsive
                 )
             if candidate is None:
@@ -217,7 +217,7 @@
         return candidate
 
     async def _request_permit(self, candidate, no_wait, short_timeout):
-        """Return a `_PendingRequest` with its first reply, or None.
+        """Return a `_PendingPermitRequest` with its first reply, or None.
 
         Args:
             candidate: the one to request a permit for.
@@ -228,7 +228,7 @@
             _host(candidate),
             lambda number: self._make_request(number, candidate, no_wait),
         )
-        pending = _PendingRequest(candidate, handle)
+        pending = _PendingPermitRequest(candidate, handle)
         self._pending.append(pending)
         candidate.state.pending_permit_requests += 1
         try:
@@ -251,12 +251,12 @@
         """Return the `places.PermitRequest` for a candidate."""
         engine = self.selection.engine_profile()
         job = self.selection.make_job()
-        resumed = self.waited_s is None
+        resumed = self.client_wait_s is None
         if resumed:
             wait_s = FAILOVER_WAIT_S
         else:
             elapsed_s = self.context.clock() - self._began
-            wait_s = self.goal_s - self.waited_s - elapsed_s
+            wait_s = self.goal_s - self.client_wait_s - elapsed_s
             wait_s -= dispatch.first_token_s(engine, job)
         return places.PermitRequest(
             number=number,
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -49,7 +49,7 @@
             avoid=tried,
         )
 
-    def find_next(self, progress, predicate=None):
+    def take_next(self, progress, predicate=None):
         """Return the best untried candidate, and mark it as tried.
 
         Args:
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -467,7 +467,7 @@
     assert permit_request.slots == 4
 
 
-def test_returning_request_is_late():
+def test_client_retry_is_late():
     """It was rejected before, and can no longer be in time."""
     client = FakePermitClient()
 
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -105,7 +105,7 @@
     return main
 
 
-def test_all_streams_of_an_engine_that_stands_still_move():
+def test_requests_at_a_frozen_engine_are_retried_elsewhere():
     """An engine freezes with twelve requests, and another one is free.
 
     The entry has five retries beyond the ratio. Once these are spent, the
@@ -310,7 +310,7 @@
     assert run(main)[0] == 200
 
 
-def test_returning_request_has_a_lower_priority():
+def test_client_retry_has_a_lower_priority():
     """A request that returns after a rejection is already late.
 
     Served first, it would delay others that can still be in time.
@@ -329,7 +329,7 @@
     assert fresh < again
 
 
-def test_stop_completes_running_streams():
+def test_request_after_the_stop_signal_is_still_served():
     """A process gets the stop signal while clients are connected.
 
     Requests are still served for a while, since the load balancer has not
