--- a/catkinshunt/quarantine/_fingerprint.py
+++ b/catkinshunt/quarantine/_fingerprint.py
@@ -1,4 +1,4 @@
-"""Fingerprints that are equal for each attempt of a request."""
+"""Fingerprints that are equal for all client attempts of a request."""
 
 import hashlib
 
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -101,7 +101,8 @@
         if not await self.is_down(upstream.address):
             return
         _log.info(
-            'Upstream {} crashed with {} requests.',
+            'Upstream {} refuses connections after interrupting {} requests;'
+            ' recorded as a crash.',
             upstream.id,
             len(requests),
             requests=requests[:MAX_LOGGED_REQUESTS],
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -9,9 +9,10 @@
 #: Crashes after which a request may be quarantined.
 MIN_CRASHES = 3
 #: Crashes after which it is quarantined even if others could be the cause.
+#: Crashes attributed to a quarantined request count too.
 MAX_CRASHES = 5
 #: Seconds for which one of several suspects with the same crashes may run,
-#: while the others wait. A sound request should complete within that time.
+#: while the others wait. One that is not the cause should complete in time.
 TURN_S = 2.0
 #: Seconds from when a request reaches `MIN_CRASHES` to its evaluation. Reports
 #: of other entries on the same crash, and on completions that clear the
@@ -38,8 +39,8 @@
     """Crashes during which a request was running.
 
     Attributes:
-        crashes: ids of crashes that no quarantined request explains.
-        attributed: number of crashes that a quarantined request explains.
+        crashes: ids of the crashes not attributed to a quarantined request.
+        attributed_count: number of those attributed to one.
         last_crash_at: time of its last reported crash.
         eligible_at: when it reached `MIN_CRASHES`, or None.
     """
@@ -59,10 +60,12 @@
     """Correlates crashes with requests, and quarantines the cause.
 
     A crash ends all requests of its upstream, so each of them is a suspect.
-    A request that completes anywhere is cleared. Of the remaining suspects,
-    the one with the most crashes is the cause, and its crashes are no longer
-    counted for the others. Suspects with the same crashes run one at a time,
-    so that the next crash or completion tells them apart.
+    A request that completes anywhere is cleared. A suspect with at least
+    `MIN_CRASHES` crashes is a cause if no other suspect has all of them;
+    several can be causes. Crashes with a quarantined request are attributed
+    to it and count for other suspects only towards `MAX_CRASHES`, at which a
+    suspect is quarantined in any case. Suspects with the same crashes run one
+    at a time, so that the next crash or completion tells them apart.
 
     Requests and crashes are identified by strings that are equal in all
     processes. `now` is in seconds on one clock.
@@ -129,8 +132,10 @@
         for request in found:
             total = self._suspects[request].total
             _log.warning(
-                'Quarantined request {} after {} upstream crashes.',
+                'Quarantined request {} for {:.0f} s after {} upstream'
+                ' crashes.',
                 request,
+                QUARANTINE_S,
                 total,
                 fingerprint=request,
                 crashes=total,
@@ -175,7 +180,11 @@
         return 0.0 if until is None else max(0.0, until - now)
 
     def turn_wait_s(self, request, now):
-        """Return the seconds until the turn of a suspect to run, or 0."""
+        """Return the seconds until the turn of a suspect to run, or 0.
+
+        Suspects with the same crashes run in turn, in the order of their
+        fingerprints, so that all entries let the same one run.
+        """
         suspect = self._suspects.get(request)
         if suspect is None or len(suspect.crashes) < MIN_CRASHES:
             return 0.0
@@ -183,6 +192,7 @@
         tied = {
             r: s for r, s in others.items() if s.crashes == suspect.crashes
         }
+        # A suspect with these crashes and more is the likelier cause.
         if not tied or len(tied) < len(others):
             return 0.0
         tied[request] = suspect
@@ -218,7 +228,7 @@
             found.eligible_at = now
 
     def _attribute_crash(self, crash):
-        """Stop counting a crash for its suspects; its cause is known."""
+        """Attribute a crash to a quarantined request that it interrupted."""
         for request in self._crashes[crash]:
             suspect = self._suspects.get(request)
             if suspect is not None and crash in suspect.crashes:
--- a/catkinshunt/quarantine/tests/test_quarantine.py
+++ b/catkinshunt/quarantine/tests/test_quarantine.py
@@ -40,8 +40,8 @@
 def test_suspects_with_the_same_crashes_run_in_turn():
     """With few upstreams, retries run beside the cause at each crash.
 
-    Without turns, either sound requests would be quarantined with it, or
-    none would be.
+    Without turns, either the others would be quarantined with it, or none
+    would be.
     """
     subject = quarantine.Quarantine()
     crash(subject, 'pa', 'pa', 'pa')
