--- a/catkinshunt/gateway/_admission.py
+++ b/catkinshunt/gateway/_admission.py
@@ -13,8 +13,6 @@
 STARTING_RETRY_S = 0.8
 #: `Retry-After` in seconds while the entry stops; the retry reaches another.
 STOPPING_RETRY_S = 0.1
-#: Deadline of a request that gives none, in seconds.
-LONGEST_DEADLINE_S = 300.0
 
 
 class UnknownRouteError(errors.InvalidRequestError):
@@ -44,10 +42,13 @@
 
     Attributes:
         rule: name of the matched rule.
-        serve: `catalog.Serve` action of the rule.
+        serve: `catalog.Serve` action of the rule. It is `repeatable` if the
+            request is idempotent or a resumable stream, so that it may be
+            sent to several upstreams.
         service: name of the service chosen among its shares.
         account: name of the account, or ''.
-        priority: priority; 0 is the highest.
+        priority: priority class of the account or else of the rule; 0 is the
+            highest. The priority in an engine's queue is another one.
         revision: revision of the declaration used.
         age_s: seconds since the declaration was confirmed to be current.
     """
@@ -121,7 +122,8 @@
     """Raise `StaleError` if a newer declaration may exist.
 
     Clients do not retry after a denial, so a path or key that a newer
-    declaration may have must not be denied.
+    declaration may have must not be denied. The bound on its age is
+    `absence_trust_s` of the catalog.
     """
     if not catalog.can_trust_absence(now):
         raise StaleError(
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -26,11 +26,13 @@
         permit_client: `places.PermitClient` that requests permits.
         guard: `quarantine.Guard` against requests that crash upstreams, or
             None.
-        client_retry_detector: detects clients that come back after a
-            rejection.
+        client_retry_detector: estimates how long a client has waited before
+            a request. A deadline shorter than the usual one of the service
+            marks a client retry; the difference is about the time waited.
         stopping_since: when this process began to stop, or None.
-        version_grace_s: seconds after a version is named in which requests
-            may still begin on the previous one.
+        version_grace_s: seconds from when a version is announced until it is
+            due. From then on older versions are outdated, and no request may
+            begin on them.
     """
 
     catalog: catalogs.Catalog
@@ -103,5 +105,9 @@
         return found
 
     def delay_corrector(self, service):
-        """Return the `dispatch.DelayCorrector` of delays of a service."""
+        """Return the `dispatch.DelayCorrector` of a service.
+
+        It corrects predicted delays by measured ones, and ranks requests by
+        their predicted and corrected delays.
+        """
         return self._delay_correctors[service]
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -21,7 +21,8 @@
 UPSTREAM_WAIT_S = 1.0
 #: `Retry-After` in seconds if there was none by then.
 NO_UPSTREAM_RETRY_S = 0.8
-#: Priority at an engine by rank, from 0 (highest) to 9; 5 is the default.
+#: Priority in the queue of an engine by rank, from 0 (highest) to 9. Early
+#: requests precede the usual priority, 5, and the others follow it.
 PRIORITY_BY_RANK = {
     dispatch.Rank.EARLY: 4,
     dispatch.Rank.DOUBTFUL: 6,
@@ -40,7 +41,11 @@
 
 
 class DeadlineExceededError(errors.OutcomeUnknownError):
-    """The deadline of the request has passed; it may have run."""
+    """The deadline of the request has passed; it may have run.
+
+    The code is unrelated to `Rank.LATE`, which refers to the target for the
+    first byte.
+    """
 
     status = 504
     code = 'late'
@@ -53,15 +58,18 @@
     Attributes:
         head_sent: the head of the reply was sent to the client.
         last_event_id: id of the last event relayed, or None.
-        sends: attempts whose request was sent to an upstream.
+        sends: upstream attempts in which the request was sent.
         may_have_run: one of them may have run.
-        tried: keys of the upstreams that were tried.
-        reloading: those of them that are about to load another version.
+        tried: keys of the upstreams chosen so far, whether or not the request
+            was sent there.
+        reloading: those of them that were about to load another version.
         wait_until: end of the wait for an eligible upstream, or None.
-        notes: short texts on each attempt, for the log.
+        notes: short texts on each step, for the log field `tries`.
         first_s: seconds to the first byte of the reply, or None.
-        entry_wait_s: seconds spent waiting for an upstream or a permit.
-        prior_wait_s: seconds that the client had waited before this request.
+        entry_wait_s: seconds spent waiting here, for the configuration, an
+            upstream or a permit.
+        prior_wait_s: seconds that the client had waited in earlier client
+            attempts.
     """
 
     head_sent: bool = False
@@ -99,6 +107,8 @@
 
     async def run(self):
         """Answer the request; return whether to keep the connection."""
+        # Recorded if the task is cancelled, as for a closed connection, and
+        # after an unexpected exception.
         outcome, reason = 'left', 'the client closed the connection'
         try:
             await self._answer()
@@ -235,16 +245,16 @@
             self.progress.entry_wait_s += self.context.clock() - began
 
     def _check_version(self, candidate):
-        """Reject an engine whose version expired while a permit was awaited.
+        """Reject an engine whose version became outdated during the wait.
 
         Raises:
-            places.ReloadingError: its version is too old to begin on.
+            places.ReloadingError: its version is outdated.
         """
         if not self.selection.is_outdated(candidate.upstream, 0.0):
             return
         self.progress.reloading.add(candidate.upstream.key)
         raise places.ReloadingError(
-            f'{candidate.upstream.id}: version became too old',
+            f'{candidate.upstream.id}: version became outdated',
             step='take-place',
         )
 
@@ -252,9 +262,13 @@
         """Raise the final error unless the request may be retried."""
         progress = self.progress
         serve = self.decision.serve
+        # A permit search includes the other engines, so it is not repeated.
         if isinstance(exc, places.NoPermitError):
             raise self._final_error(exc)
+        # Otherwise 'yes' or 'unknown'.
         progress.may_have_run |= exc.ran != 'no'
+        # Until the request was first sent, a retry adds no load to upstreams
+        # and costs no token.
         policy = retries.RetryPolicy(
             self.context.retry_budget(self.decision.service)
             if progress.sends
@@ -270,7 +284,10 @@
             self.deadline,
             self.context.clock(),
         )
-        progress.notes.append(f'{retry.grounds}, retry {retry.should_retry}')
+        progress.notes.append(
+            f'{"retried" if retry.should_retry else "not retried"}:'
+            f' {retry.grounds}'
+        )
         if retry.should_retry:
             return
         raise self._final_error(exc)
@@ -307,7 +324,8 @@
             began = self.context.clock()
             await self.selection.wait_for_change(left_s)
             progress.entry_wait_s += self.context.clock() - began
-            # Upstreams that finished loading are eligible again.
+            # Consider them again; one that did not load another version yet
+            # is still paused, and is only chosen if all others are too.
             progress.tried -= progress.reloading
             progress.reloading.clear()
 
@@ -343,7 +361,7 @@
     async def _send_attempt(self, candidate, job):
         pool = self.context.pool(candidate.upstream)
         conn = await self._connect(pool, candidate.state)
-        self.progress.notes.append(f'sent as {job.rank.name.lower()}')
+        self.progress.notes.append(f'sent with rank {job.rank.name.lower()}')
         self.progress.sends += 1
         sent_at = self.context.clock()
         is_reusable = False
@@ -413,7 +431,8 @@
     def _client_wait_s(self):
         """Return the seconds since the client first sent the request.
 
-        None if the client is already reading the reply.
+        Includes earlier client attempts. None if the client is already
+        reading the reply.
         """
         if self.progress.head_sent:
             return None
@@ -422,6 +441,8 @@
 
     def record_delay(self, job, delay_s):
         """Record the time to the first byte of an attempt, in seconds."""
+        # Requests of lower ranks wait in the engine's queue by design, so
+        # their delays do not show whether predictions are right.
         if job.rank == dispatch.Rank.EARLY:
             delay_corrector = self.context.delay_corrector(
                 self.decision.service
@@ -508,6 +529,7 @@
             age_s=_rounded(age_s),
             before_s=_rounded(self.progress.prior_wait_s),
             waited_s=_rounded(self.progress.entry_wait_s),
+            # The notes on each step; `sends` is the count of attempts.
             tries=self.progress.notes,
             sends=self.progress.sends,
             events_to=self.progress.last_event_id,
--- a/catkinshunt/gateway/_gateway.py
+++ b/catkinshunt/gateway/_gateway.py
@@ -7,7 +7,8 @@
 from catkinshunt import logs
 
 #: Seconds after the stop signal for which idle connections stay open. By then
-#: the load balancer sends no new connections.
+#: the load balancer sends no new connections. Requests are still accepted a
+#: little longer, for `STOP_ACCEPT_S`.
 IDLE_CLOSE_DELAY_S = 2.6
 #: Interval in seconds of the checks for open connections while stopping.
 STOP_POLL_S = 0.1
@@ -68,7 +69,10 @@
                 if not self._listener.tasks:
                     break
         self._listener.close()
-        _log.info('Stopped with {} requests in progress.', self.in_progress)
+        _log.info(
+            'Stopped listening with {} requests still in progress.',
+            self.in_progress,
+        )
 
     def _close_idle(self):
         for conn in list(self._listener.tasks.values()):
@@ -103,4 +107,6 @@
         items = [('Connection', 'close'), ('Content-Type', 'text/plain')]
         body = f'{exc}\n'.encode()
         conn.write(http1.dump_reply(exc.status, items, body))
+        # Closing with unread bytes resets the connection; the client must
+        # read the reply before.
         await asyncio.sleep(http1.LINGER_S)
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -1,4 +1,8 @@
-"""Finds an engine with a permit for one attempt of a request."""
+"""Finds an engine with a permit for one attempt of a request.
+
+Error steps and rejection reasons use older words: `take-place` is the step
+of getting a permit, `no-room` means that none is free.
+"""
 
 import asyncio
 
@@ -8,9 +12,10 @@
 from catkinshunt import errors
 from catkinshunt import places
 
-#: Most sidecars that answer a permit request. The first one may queue it, the
-#: others grant or reject at once, since an entry cannot see the load that
-#: other entries put on an engine. Each one costs a round trip.
+#: Most sidecars that answer a permit request. Several are asked because an
+#: entry cannot see the load that other entries put on an engine. Only the
+#: first one may queue the request; the others grant or reject it at once. Each
+#: one costs a round trip.
 MAX_SIDECARS = 3
 #: Reply timeout in seconds after a sidecar did not answer. It bounds the delay
 #: if no sidecar answers; on most links a running one has answered by then.
@@ -25,19 +30,20 @@
 PROBE_TIMEOUT_S = places.REPLY_TIMEOUT_S * places.MAX_SENDS
 #: Most such engines that are probed.
 MAX_PROBES = 2
-#: Share of an engine's slots that one entry uses without permits while the
-#: sidecar is unresponsive; other entries do the same.
+#: While a sidecar is unresponsive, a request is sent to its engine without a
+#: permit only if all requests of this entry there, with or without permits,
+#: use less than this share of its slots. Other entries do the same.
 NO_PERMIT_SLOT_SHARE = 0.25
-#: Seconds before a version is due from which an engine with the previous one
-#: and an unresponsive sidecar gets no request: no sidecar rejects requests
-#: that come too late, and a saturated link that delays its replies delays
-#: them too.
+#: Without its sidecar, an engine is treated as outdated this many seconds
+#: before a newer version is due. A saturated link that delays the replies of
+#: the sidecar delays requests too, and no sidecar rejects those that arrive
+#: after that time.
 NO_PERMIT_VERSION_LEAD_S = 1.5
 #: Seconds for which an interrupted stream waits for a permit elsewhere; after
 #: a longer pause the client disconnects.
 FAILOVER_WAIT_S = 0.2
-#: Back-off in seconds of an engine that is about to load another version. It
-#: ends early when the engine lists other versions.
+#: Pause in seconds of an engine that is about to load another version. It ends
+#: early when the engine lists other versions.
 RELOAD_PAUSE_S = 2.5
 
 
@@ -46,7 +52,7 @@
     """A permit request at the sidecar of one candidate.
 
     Attributes:
-        is_counted: it counts as waiting in the state of the upstream.
+        is_counted: it is counted as pending in the state of the upstream.
     """
 
     candidate: dispatch.Candidate
@@ -54,7 +60,7 @@
     is_counted: bool = True
 
     def uncount(self):
-        """Stop counting it as waiting."""
+        """Stop counting it as pending."""
         if self.is_counted:
             self.candidate.state.pending_permit_requests -= 1
             self.is_counted = False
@@ -86,6 +92,10 @@
     async def find(self, candidate):
         """Return the `dispatch.Candidate` to send the request to.
 
+        The first sidecar that grants a permit decides. Otherwise a permit
+        that is granted soon from the queue is preferred to an engine with an
+        unresponsive sidecar, and such an engine to a longer wait.
+
         Args:
             candidate: the first one to request a permit for.
 
@@ -124,6 +134,7 @@
         found = await self._find_without_permit(unresponsive)
         if found is not None:
             return self._keep_only(found)
+        # The sidecar decides within the wait that was requested.
         if queued is not None and await self._wait_for_grant(queued):
             return self._keep_only(queued.candidate, queued)
         raise self._rejection()
@@ -265,6 +276,7 @@
             prefill_s=round(dispatch.prefill_s(engine, job), 4),
             slots=candidate.upstream.slots,
             no_wait=no_wait,
+            # Misses the target for the first token, not the deadline.
             late=wait_s <= 0,
             resumed=resumed,
         )
@@ -301,7 +313,7 @@
                 'all engines are about to reload', step='take-place'
             )
         return places.NoPermitError(
-            f'no engine has a free permit ({len(full)} full)',
+            f'no permit was granted ({len(full)} engines full)',
             step='take-place',
             peer=', '.join(
                 _host(pending.candidate) for pending in self._pending
--- a/catkinshunt/gateway/_quarantine_check.py
+++ b/catkinshunt/gateway/_quarantine_check.py
@@ -1,4 +1,4 @@
-"""Rejects a request that is quarantined for crashing its upstreams."""
+"""Rejects a request that is suspected of crashing its upstreams."""
 
 import functools
 import math
@@ -8,7 +8,7 @@
 
 
 class QuarantinedError(errors.RefusedError):
-    """Not run: upstreams crashed repeatedly while running the request."""
+    """Not run: quarantined, or a suspect that waits for its turn to run."""
 
     code = 'quarantined'
 
@@ -31,7 +31,7 @@
 
     @functools.cached_property
     def fingerprint(self):
-        """Identifier that is equal for each attempt of the request."""
+        """Identifier that is equal for all client attempts of the request."""
         req = self.req
         return quarantine.fingerprint(
             self.host, req.method, req.target, self.account, req.body
@@ -44,7 +44,8 @@
         left_s = self.guard.check(self.fingerprint)
         if left_s > 0:
             raise QuarantinedError(
-                f'upstreams crashed while running request {self.fingerprint}',
+                f'upstreams crashed while running request {self.fingerprint};'
+                f' not run for {math.ceil(left_s)} s',
                 step='check-quarantine',
                 retry_after_s=math.ceil(left_s),
             )
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -11,22 +11,23 @@
 #: Longest reply that is buffered until complete, so that the request can be
 #: retried if the reply is cut off. A longer one is relayed as it arrives.
 MAX_BUFFERED_BYTES = 1024 * 1024
-#: Back-off in seconds of an upstream that rejected a request.
+#: Pause in seconds of an upstream that rejected a request.
 FULL_PAUSE_S = 0.1
 #: The same if it did not have the expected id or version.
 MISDIRECTED_PAUSE_S = 0.5
 #: `Retry-After` in seconds if no upstream accepted the request: about the
 #: time in which an engine completes an answer.
 BUSY_RETRY_S = 0.25
-#: Back-off in seconds of an upstream that rejects requests although it has
-#: free slots: it completes its answers before it loads another version. The
-#: back-off ends early when the upstream lists other versions.
+#: Pause in seconds of an upstream that rejects requests although it has free
+#: slots. It is about to load another version: it completes its answers first,
+#: and accepts no other request. The pause ends early when the upstream lists
+#: other versions.
 LOADING_PAUSE_S = 2.5
 EVENT_STREAM = 'text/event-stream'
 
 
 class OutdatedVersionError(errors.OutcomeUnknownError):
-    """The version became too old before the upstream began to answer."""
+    """The version became outdated before the upstream began its reply."""
 
     code = 'outdated'
 
@@ -105,11 +106,12 @@
                     part.reason, step='read-reply', peer=self.peer
                 )
             self.state.receive(self.context.clock())
+            # Also set by a late reply to another request.
             self.job.reply_started = True
             return part
 
     def _check_version(self):
-        """Raise if the attempt would begin on a version that is too old.
+        """Raise if the attempt would begin on an outdated version.
 
         A request can wait in the queue of a full engine for seconds, and
         would then be answered from weights that must no longer serve.
@@ -118,7 +120,7 @@
             return
         if self.exchange.selection.is_outdated(self.upstream, POLL_S):
             raise OutdatedVersionError(
-                'version became too old before the answer began',
+                'version became outdated before the reply began',
                 step='read-reply',
                 peer=self.peer,
             )
@@ -157,6 +159,7 @@
                 step='read-reply',
                 peer=self.peer,
             )
+        # Without another upstream to try, the client gets the error itself.
         if head.status >= 500 and self.exchange.can_fail_over():
             raise errors.OutcomeUnknownError(
                 f'upstream failed with {head.status}',
@@ -165,7 +168,7 @@
             )
 
     def _back_off(self, reply_info):
-        """Send no requests to an upstream for a while after a rejection."""
+        """Pause an upstream after a rejection."""
         now = self.context.clock()
         load = reply_info.load
         if load is not None and load.running < load.slots:
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -33,7 +33,7 @@
         """Return the best untried `dispatch.Candidate`, or None.
 
         Args:
-            tried: keys of the upstreams that were tried.
+            tried: keys of the upstreams chosen before.
             predicate: function that returns whether an upstream is eligible,
                 or None for all.
         """
@@ -50,7 +50,7 @@
         )
 
     def take_next(self, progress, predicate=None):
-        """Return the best untried candidate, and mark it as tried.
+        """Return the best untried candidate, or None; mark it as tried.
 
         Args:
             progress: the `Progress` of the request.
@@ -63,12 +63,12 @@
         return candidate
 
     def _describe(self, candidate):
-        """Return a log note with the grounds of the choice."""
+        """Return a log note with the reasons for the choice."""
         state = candidate.state
         return (
             f'chose {candidate.upstream.id}:'
             f' predicted {candidate.delay_s:.3f} s,'
-            f' {len(state.jobs)} own requests,'
+            f' {len(state.jobs)} requests of this entry,'
             f' failure rate {state.failure_rate(self.context.clock()):.2f}'
         )
 
@@ -98,7 +98,7 @@
             return
 
     def is_outdated(self, upstream, lead_s):
-        """Return whether the version is too old to begin on in `lead_s` s."""
+        """Return whether its version is outdated `lead_s` seconds from now."""
         min_version = self._min_version(lead_s)
         if min_version is None or self.engine_profile() is None:
             return False
@@ -107,7 +107,7 @@
         return version is not None and version < min_version
 
     def _eligible_upstreams(self):
-        """Return the upstreams that serve a permitted version."""
+        """Return the upstreams whose version is not outdated."""
         found = self.context.catalog.upstreams(
             self.decision.service, self.context.boot_clock()
         )
@@ -121,7 +121,9 @@
         return [u for u in serving if u.versions[model] >= min_version]
 
     def _min_version(self, lead_s=0.0):
-        """Return the oldest version a request may begin on; None for any.
+        """Return the newest version that is due; None if there is none.
+
+        Older ones are outdated.
 
         Args:
             lead_s: seconds from now to which the answer refers.
--- a/catkinshunt/gateway/base.py
+++ b/catkinshunt/gateway/base.py
@@ -9,14 +9,18 @@
 class RequestInfo:
     """Decoded headers of a client's request.
 
+    The client sends a request in one or more client attempts; for each, the
+    gateway makes one or more upstream attempts.
+
     Attributes:
-        id: identifies this attempt of the client.
+        id: identifies the client attempt.
         deadline_s: seconds that the client waits, or None if not given.
         api_key: key of an account, or ''.
         model: requested model, or ''.
         tokens_in: prompt tokens, 0 for a plain request.
         tokens_out: expected output tokens, 0 if not given.
-        last_event_id: id of the last event that the client received, or ''.
+        last_event_id: id of the last event that the client received, in
+            decimal digits, or ''.
     """
 
     id: str
@@ -91,4 +95,8 @@
 
     @abc.abstractmethod
     def reply_headers(self, info):
-        """Return the header items of the gateway's own replies."""
+        """Return the header items of the gateway's own replies.
+
+        Args:
+            info: the `RequestInfo`, or None if a header was malformed.
+        """
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -30,7 +30,7 @@
     def is_responsive(self, host):
         return True
 
-    def request(self, host, make_request):
+    def make_handle(self, host, make_request):
         permit_request = make_request(len(self.requests))
         self.requests.append(permit_request)
         answer = self.answers.pop(0) if self.answers else places.PermitGranted
@@ -111,8 +111,8 @@
     """A version is about to be due while a link between regions is saturated.
 
     The sidecar of an engine with the old version does not answer in time. A
-    request sent there without a permit arrived 0.95 s later, and began on
-    weights that must no longer serve.
+    request sent there without a permit can arrive after the old version has
+    become outdated, and begin on weights that must no longer serve.
     """
     old = make_engine('a', harness.streaming(3), version=1)
     new = make_engine('b', harness.streaming(3), version=2)
@@ -468,7 +468,7 @@
 
 
 def test_client_retry_is_late():
-    """It was rejected before, and can no longer be in time."""
+    """The client was rejected before; its retry can no longer be in time."""
     client = FakePermitClient()
 
     async def main():
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -135,7 +135,7 @@
 
 
 def test_other_requests_at_crashed_upstreams_are_still_served():
-    """Their connections are lost with each crash, but they are sound."""
+    """Their connections are lost with each crash, but they cause none."""
 
     async def main(shared):
         stop = asyncio.Event()
@@ -143,7 +143,7 @@
 
         async def work(name):
             while not stop.is_set():
-                body = f'a sound prompt of {name}'.encode()
+                body = f'a harmless prompt of {name}'.encode()
                 statuses.append((await shared.request(name, body=body))[0])
 
         workers = [asyncio.ensure_future(work(n)) for n in range(12)]
@@ -152,7 +152,7 @@
         await asyncio.gather(*workers)
         last = []
         for name in range(12):
-            body = f'a sound prompt of {name}'.encode()
+            body = f'a harmless prompt of {name}'.encode()
             last.append((await shared.request(name, body=body))[0])
         return statuses, last
 
@@ -164,10 +164,12 @@
 def test_other_requests_of_the_same_client_are_served():
     async def main(shared):
         await request_repeatedly(shared)
-        return await shared.request(0, body=b'sound'), await shared.request(0)
+        return await shared.request(0, body=b'harmless'), await shared.request(
+            0
+        )
 
-    sound, bad = run(main)
-    assert sound[0] == 200
+    other, bad = run(main)
+    assert other[0] == 200
     assert bad[0] == 503
 
 
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -108,9 +108,10 @@
 def test_requests_at_a_frozen_engine_are_retried_elsewhere():
     """An engine freezes with twelve requests, and another one is free.
 
-    The entry has five retries beyond the ratio. Once these are spent, the
-    other clients wait until they time out, and the engine runs their
-    requests when it resumes, after the clients have left.
+    A known failure (KNOWN-RED.txt): the entry has only five retries beyond
+    the ratio. Once these are spent, the other clients wait until they time
+    out, and the engine runs their requests when it resumes, after the clients
+    have left.
     """
     assert run(request_while_one_is_frozen(12, 5.0)) == [200] * 12
 
@@ -311,9 +312,9 @@
 
 
 def test_client_retry_has_a_lower_priority():
-    """A request that returns after a rejection is already late.
+    """A client that retries after a rejection is already late.
 
-    Served first, it would delay others that can still be in time.
+    Served first, its request would delay others that can be in time.
     """
 
     async def main():
@@ -336,21 +337,17 @@
     noticed yet; each connection is closed after its reply.
     """
 
-    async def slow(head, writer, upstream):
-        await harness.streaming(2, breaks_after=9)(head, writer, upstream)
-
     async def main():
-        upstream = make_engine('u1', slow)
+        upstream = make_engine('u1', harness.streaming(2))
         async with harness.running_gateway(upstream) as gateway:
             stopping = asyncio.ensure_future(gateway.server.stop(5.0))
             await asyncio.sleep(0)
             ready = gateway.server.is_ready()
             found = await chat(gateway)
-            late = gateway.context.clock()
             await stopping
-            return ready, found, gateway.context.clock() - late
+            return ready, found
 
-    ready, (status, head, body), _ = run(main)
+    ready, (status, head, body) = run(main)
     assert not ready
     assert (status, body) == (200, events(2))
     assert harness.header(head, 'Connection') == 'close'
