--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -64,7 +64,7 @@
     Attributes:
         tokens_in: prompt tokens.
         tokens_out: expected tokens of the answer; 0 if unknown.
-        answering: whether the first byte has arrived.
+        reply_started: whether the first byte has arrived.
         rank: `Rank` in the queue of an engine.
         predicted_s: predicted seconds to the first byte.
     """
