--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -28,7 +28,7 @@
 def sidecar_registry():
     registry = metrics.Registry()
     version_store = spread.VersionStore()
-    version_store.chunk_store('drafts', 2)
+    version_store.get_or_create('drafts', 2)
     _sidecar.register_metrics(registry, version_store)
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -278,7 +278,7 @@
             del self._progress[key]
 
     def _chunk_store_of(self, target):
-        return self.version_store.chunk_store(target.model, target.version)
+        return self.version_store.get_or_create(target.model, target.version)
 
     def _finishes_older_first(self, newer):
         older = self._transfer_target
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -158,7 +158,7 @@
         self.max_versions = max_versions
         self._chunk_stores = {}
 
-    def chunk_store(self, model, version):
+    def get_or_create(self, model, version):
         """Return the `ChunkStore` of a version, created if there is none."""
         key = (model, version)
         if key not in self._chunk_stores:
@@ -193,7 +193,7 @@
                 found[(model,)] = max(version, found.get((model,), 0))
         return found
 
-    def missing(self):
+    def missing_counts(self):
         """Return the number of missing chunks by (model, version)."""
         return {
             key: len(chunk_store.missing)
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -212,7 +212,7 @@
 
     async def main(sidecar):
         sidecar.cluster_view.announce_version(2, due_s=0.8)
-        chunk_store = sidecar.version_store.chunk_store(fakes.MODEL, 2)
+        chunk_store = sidecar.version_store.get_or_create(fakes.MODEL, 2)
         await sidecar.until(lambda: chunk_store.is_complete)
         ordered_early = list(sidecar.engine.orders)
         await sidecar.until(lambda: sidecar.engine.version == 2)
@@ -310,7 +310,7 @@
         sidecar.origin.manifest = manifest
         async with sidecar.running():
             sidecar.cluster_view.announce_version(2, due_s=0.5)
-            older = sidecar.version_store.chunk_store(fakes.MODEL, 2)
+            older = sidecar.version_store.get_or_create(fakes.MODEL, 2)
             await sidecar.until(lambda: older.manifest is not None)
             sidecar.cluster_view.announce_version(3, due_s=30.0)
             await asyncio.sleep(0.1)
--- a/catkinshunt/spread/tests/test_chunk_server.py
+++ b/catkinshunt/spread/tests/test_chunk_server.py
@@ -24,7 +24,7 @@
 def test_last_two_versions_are_kept():
     version_store = spread.VersionStore()
     for version in (1, 2, 3):
-        version_store.chunk_store(fakes.MODEL, version)
+        version_store.get_or_create(fakes.MODEL, version)
     assert version_store.find(fakes.MODEL, 1) is None
     assert version_store.find(fakes.MODEL, 2) is not None
 
@@ -33,7 +33,7 @@
     async def main():
         clock = asyncio.get_running_loop().time
         version_store = spread.VersionStore()
-        chunk_store = version_store.chunk_store(fakes.MODEL, 2)
+        chunk_store = version_store.get_or_create(fakes.MODEL, 2)
         chunk_store.set_manifest(fakes.manifest(2))
         chunk_store.put(3, fakes.chunk(2, 3))
         requests = []
@@ -88,7 +88,7 @@
 
 
 def begin_transfer(version_store):
-    chunk_store = version_store.chunk_store(fakes.MODEL, 2)
+    chunk_store = version_store.get_or_create(fakes.MODEL, 2)
     chunk_store.set_manifest(fakes.manifest(2))
     chunk_store.begin_transfer()
     return chunk_store
@@ -128,7 +128,7 @@
     async def main():
         clock = asyncio.get_running_loop().time
         version_store = spread.VersionStore()
-        chunk_store = version_store.chunk_store(fakes.MODEL, 2)
+        chunk_store = version_store.get_or_create(fakes.MODEL, 2)
         server = spread.ChunkServer(
             version_store,
             clock,
