--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -41,7 +41,7 @@
 FALLBACKS = mutations.Mutation(
     'fallbacks-are-asked-once',
     'catkinshunt/spread/_fetcher.py',
-    'self._reassign_unavailable(source, queue)',
+    'self._reassign_from_busy(source, queue)',
     'pass',
 )
 #: The upstream with the fewest of the entry's own requests is chosen.
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -208,20 +208,20 @@
     Mutation(
         'owners-pass-on-less',
         'catkinshunt/spread/_plan.py',
-        'uploads = {m.name: owned[m.name] * per_owned for m in residents}',
-        'uploads = {m.name: 0 for m in residents}',
+        'owned[m.name] * per_owned_chunk',
+        '0',
     ),
     Mutation(
         'who-begins-late-says-so',
         'catkinshunt/spread/_chunk_server.py',
-        "[(UNAVAILABLE_HEADER, '1')]",
+        "[(UNABLE_HEADER, '1')]",
         '[]',
     ),
     Mutation(
         'narrow-links-give-nothing',
         'catkinshunt/spread/_source_speeds.py',
-        'return median >= MIN_MEDIAN_SHARE and share < NARROW_RATIO * median',
-        'return False',
+        'and present_share < SLOW_LINK_RATIO * median',
+        'and False',
     ),
     Mutation(
         'idle-sources-relieve',
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -147,7 +147,7 @@
             return
         if not self._chunk_store_of(target).is_complete:
             self._start_transfer(target)
-        await self._advance(report, target)
+        await self._step_loader(report, target)
 
     def _update_expiry(self, report):
         """Set the time after which no request may start on this version."""
@@ -160,20 +160,24 @@
             expires_in_s -= LINK_QUEUE_S
         self.admission.set_expiry(expires_in_s)
 
-    async def _advance(self, report, target):
+    async def _step_loader(self, report, target):
         """Advance the engine to the newest version available."""
-        ready = self._newest_complete(report, target)
+        candidate = self._newest_complete(report, target)
         newest = self._chunk_store_of(target)
-        if ready is None and self._transfer_target is not None:
-            ready = self._chunk_store_of(self._transfer_target)
+        if candidate is None and self._transfer_target is not None:
+            candidate = self._chunk_store_of(self._transfer_target)
         served = report.versions.get(target.model, 0)
-        if ready is None or ready.manifest is None or ready.version <= served:
+        if (
+            candidate is None
+            or candidate.manifest is None
+            or candidate.version <= served
+        ):
             return
         newer_s = math.inf
-        if ready is not newest:
+        if candidate is not newest:
             newer_s = self._complete_in_s(newest)
         await self._loader.step(
-            report, ready, self._complete_in_s(ready), newer_s
+            report, candidate, self._complete_in_s(candidate), newer_s
         )
 
     def _complete_in_s(self, chunk_store):
@@ -219,9 +223,9 @@
         if self._is_transferring():
             if self._transfer_target.version == target.version:
                 return
-            if self._finishes_older_first(target) or not self._is_available(
+            if self._finishes_older_first(
                 target
-            ):
+            ) or not self._has_manifest_or_probe(target):
                 return
             _log.info(
                 'Dropped version {} for version {}.',
@@ -238,7 +242,7 @@
         self._prune_progress()
         self._transfer = asyncio.ensure_future(self._run_transfer(target))
 
-    def _is_available(self, newer):
+    def _has_manifest_or_probe(self, newer):
         """Return whether the manifest of the newer version is here.
 
         Otherwise probes for it. If the older transfer were dropped while the
--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -34,7 +34,7 @@
 #: Header of a reply without a chunk: wait chains of its sender.
 WAIT_CHAINS_HEADER = 'Chunk-Chains'
 #: Header of a reply without a chunk: it will not be available soon.
-UNAVAILABLE_HEADER = 'Chunk-Unable'
+UNABLE_HEADER = 'Chunk-Unable'
 #: Longest wait of a request until the transfer of its version starts. The
 #: request itself reveals a new version; a member that finishes an older
 #: transfer first replies "unavailable" instead of keeping requests waiting.
@@ -150,18 +150,18 @@
 
     async def _serve(self, conn, req):
         path = req.path
-        found = _parse_path(path)
-        if found is None:
+        request = _parse_path(path)
+        if request is None:
             _log.warning('Rejected request for unknown path {}.', path[:100])
             conn.write(http1.dump_reply(404, []))
             return
-        model, version, indices = found
+        model, version, indices = request
         self.on_request(model, version)
         if req.headers.get(IDLE_ONLY_HEADER):
             chunk_store = self.version_store.find(model, version)
             may_serve = self._send_lock.is_free
         else:
-            self._note_requester(req.headers.get(REQUESTER_HEADER), found)
+            self._note_requester(req.headers.get(REQUESTER_HEADER), request)
             chunk_store = await self._wait_for_chunk(model, version, indices)
             may_serve = True
         if (
@@ -170,9 +170,7 @@
             or not chunk_store.find_any(indices)
         ):
             conn.write(
-                http1.dump_reply(
-                    503, _unavailable_headers(chunk_store, indices)
-                )
+                http1.dump_reply(503, _no_chunk_headers(chunk_store, indices))
             )
             return
         # One chunk at a time: its receiver can forward it early, while ten
@@ -187,7 +185,7 @@
             if data is None:
                 conn.write(
                     http1.dump_reply(
-                        503, _unavailable_headers(chunk_store, indices)
+                        503, _no_chunk_headers(chunk_store, indices)
                     )
                 )
             else:
@@ -222,10 +220,10 @@
             await chunk_store.wait_for_any(indices, wait_s)
         return chunk_store
 
-    async def _send(self, conn, index, data, share):
+    async def _send(self, conn, index, data, present_share):
         items = [
             (INDEX_HEADER, str(index)),
-            (SHARE_HEADER, str(round(1000 * share))),
+            (SHARE_HEADER, str(round(1000 * present_share))),
             ('Content-Length', str(len(data))),
         ]
         conn.write(http1.dump_head(http1.status_line(200), items))
@@ -237,7 +235,7 @@
         self.byte_counter.add('given', amount=len(data))
 
 
-def _unavailable_headers(chunk_store, indices):
+def _no_chunk_headers(chunk_store, indices):
     """Return the headers of a 503 reply."""
     if chunk_store is not None and (
         chunk_store.is_expecting(indices) or chunk_store.is_complete
@@ -248,7 +246,7 @@
             if chains
             else []
         )
-    return [(UNAVAILABLE_HEADER, '1')]
+    return [(UNABLE_HEADER, '1')]
 
 
 def _can_serve_soon(chunk_store, indices):
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -17,7 +17,7 @@
     Attributes:
         manifest: `weights.Manifest` of the version.
         chunks: bytes by index.
-        is_filling: a transfer is in progress.
+        is_transferring: a transfer is in progress.
         is_upload_disabled: chunks are not served, since this instance's link
             is too narrow.
         wait_graph: which members wait for each other.
@@ -27,7 +27,7 @@
     version: int
     manifest: object = None
     chunks: dict = attrs.field(factory=dict)
-    is_filling: bool = False
+    is_transferring: bool = False
     is_upload_disabled: bool = False
     wait_graph: _wait_graph.WaitGraph = attrs.field(
         factory=_wait_graph.WaitGraph
@@ -38,7 +38,7 @@
     _notifier: notifier.Notifier = attrs.field(factory=notifier.Notifier)
 
     @property
-    def missing(self):
+    def missing_indices(self):
         """Sorted indices of the missing chunks; None without a manifest."""
         if self.manifest is None:
             return None
@@ -48,14 +48,14 @@
     @property
     def is_complete(self):
         """Whether all chunks are present and verified."""
-        return self.manifest is not None and not self.missing
+        return self.manifest is not None and not self.missing_indices
 
     @property
     def missing_share(self):
         """Fraction of the chunks that is missing, from 0 to 1."""
         if self.manifest is None:
             return 1.0
-        return len(self.missing) / len(self.manifest.chunks)
+        return len(self.missing_indices) / len(self.manifest.chunks)
 
     def put(self, index, data):
         """Verify a chunk and add it.
@@ -78,15 +78,15 @@
         """
         if MANIFEST_INDEX in indices:
             return True
-        return self.is_filling and not self.is_upload_disabled
+        return self.is_transferring and not self.is_upload_disabled
 
     def begin_transfer(self):
         """Mark the start of a transfer."""
-        self.is_filling = True
+        self.is_transferring = True
 
     def end_transfer(self):
         """Mark the end of a transfer and wake waiting requests."""
-        self.is_filling = False
+        self.is_transferring = False
         self._notifier.notify_all()
 
     def disable_upload(self):
@@ -187,16 +187,16 @@
 
     def newest_complete(self):
         """Return the newest complete version by tuple of metric labels."""
-        found = {}
+        newest = {}
         for (model, version), chunk_store in self._chunk_stores.items():
             if chunk_store.is_complete:
-                found[(model,)] = max(version, found.get((model,), 0))
-        return found
+                newest[(model,)] = max(version, newest.get((model,), 0))
+        return newest
 
     def missing_counts(self):
         """Return the number of missing chunks by (model, version)."""
         return {
-            key: len(chunk_store.missing)
+            key: len(chunk_store.missing_indices)
             for key, chunk_store in self._chunk_stores.items()
             if chunk_store.manifest is not None
         }
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -41,7 +41,7 @@
     """Result of one request to a source."""
 
     RECEIVED = 'received'
-    UNAVAILABLE = 'unavailable'
+    BUSY = 'busy'
     FAILED = 'failed'
 
 
@@ -97,7 +97,7 @@
         report_task = asyncio.ensure_future(self._report())
         try:
             async with asyncio.TaskGroup() as self._group:
-                for index in self.chunk_store.missing:
+                for index in self.chunk_store.missing_indices:
                     self._assign(index)
         finally:
             report_task.cancel()
@@ -115,7 +115,7 @@
             }
             _log.info(
                 'Waits for {} chunks of version {}.',
-                len(self.chunk_store.missing),
+                len(self.chunk_store.missing_indices),
                 self.chunk_store.version,
                 waits_for=waits_for,
                 given=dict(self._speeds.received),
@@ -192,8 +192,8 @@
     async def _process_queue(self, source, queue):
         failures = 0
         while queue:
-            self._check_manifest()
-            self._check_own_link()
+            self._drop_damaged_manifest()
+            self._disable_upload_if_link_slow()
             if self._break_wait_cycles(source, queue):
                 continue
             if source == _plan.ORIGIN and self._return_to_members(queue):
@@ -210,8 +210,8 @@
                 await self._fail_over(source, queue)
             elif failures >= MAX_UNSUCCESSFUL and outcome is _Outcome.FAILED:
                 await self._fail_over(source, queue)
-            elif outcome is _Outcome.UNAVAILABLE:
-                self._reassign_unavailable(source, queue)
+            elif outcome is _Outcome.BUSY:
+                self._reassign_from_busy(source, queue)
 
     def _queue_lengths(self):
         """Return the number of queued chunks by source."""
@@ -282,7 +282,7 @@
             self._tried[index].add(source)
             self._assign(index)
 
-    def _reassign_unavailable(self, source, queue):
+    def _reassign_from_busy(self, source, queue):
         """Reassign the chunks that a fallback source does not have.
 
         Fallbacks in the same data centre often wait for this member. Chunks
@@ -331,12 +331,12 @@
             )
         return bool(in_cycle)
 
-    def _check_own_link(self):
+    def _disable_upload_if_link_slow(self):
         """Stop serving this version if the own link is too narrow."""
         chunk_store = self.chunk_store
         if chunk_store.is_upload_disabled:
             return
-        share = 1 - chunk_store.missing_share
+        present_share = 1 - chunk_store.missing_share
         reported = [
             self.peers.reported_share(
                 source, chunk_store.model, chunk_store.version
@@ -344,12 +344,12 @@
             for source in self._queues
             if source != _plan.ORIGIN
         ]
-        shares = [share for share in reported if share is not None]
-        if self._speeds.is_own_link_narrow(share, shares):
+        reported_shares = [s for s in reported if s is not None]
+        if self._speeds.is_local_link_slow(present_share, reported_shares):
             _log.info(
                 'Stops serving version {}; the own link is too narrow.',
                 chunk_store.version,
-                has=round(share, 3),
+                has=round(present_share, 3),
             )
             chunk_store.disable_upload()
 
@@ -390,7 +390,7 @@
             self._failed_attempts.update(indices)
             for index, chain in exc.chains.items():
                 self.chunk_store.wait_graph.extend_chain(index, source, chain)
-            return _Outcome.UNAVAILABLE
+            return _Outcome.BUSY
         except errors.CorruptChunkError as exc:
             self._corrupt_in_row += 1
             self._failed_attempts.update(indices)
@@ -428,7 +428,7 @@
             self.chunk_store, self.plan, self.peers, self.origin, self._health
         )
 
-    def _check_manifest(self):
+    def _drop_damaged_manifest(self):
         """Drop the manifest after too many corrupt chunks in a row.
 
         If the manifest was damaged in transit, the chunks of all sources are
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -29,7 +29,7 @@
 #: Longest idle time between two versions for which an engine skips the first.
 #: A load interrupts service, whereas an idle engine still finishes its
 #: requests.
-MAX_IDLE_S = 2.9
+MAX_SKIP_GAP_S = 2.9
 #: Time before a load from which on the engine is polled frequently.
 FREQUENT_POLL_LEAD_S = 0.5
 
@@ -77,7 +77,10 @@
         [0.0, 1.0, inf]
     """
     waves = WAVES
-    if timing.newer_complete_in_s - max(0.0, timing.due_in_s) <= MAX_IDLE_S:
+    if (
+        timing.newer_complete_in_s - max(0.0, timing.due_in_s)
+        <= MAX_SKIP_GAP_S
+    ):
         waves -= 1
     if timing.wave >= waves:
         return math.inf
@@ -162,7 +165,7 @@
                     report, chunk_store, complete_in_s, newer_complete_in_s
                 )
             )
-        self._drain(key, left_s)
+        self._update_admission(key, left_s)
         if left_s > 0 or not chunk_store.is_complete or self._was_ordered(key):
             return
         # The engine loads the chunks that are staged when it accepts the
@@ -191,7 +194,7 @@
             newer_complete_in_s,
         )
 
-    def _drain(self, key, left_s):
+    def _update_admission(self, key, left_s):
         """Close the admission so that the engine is empty at its load."""
         if math.isinf(left_s):
             if self._draining_for is not None:
--- a/catkinshunt/spread/_manifests.py
+++ b/catkinshunt/spread/_manifests.py
@@ -41,12 +41,12 @@
     model, version = chunk_store.model, chunk_store.version
     try:
         if source == _plan.ORIGIN:
-            found = await origin.manifest(model, version)
+            manifest = await origin.manifest(model, version)
         else:
             raw = await peers.manifest(source, model, version)
-            found = weights.Manifest.loads(raw)
+            manifest = weights.Manifest.loads(raw)
         chunk_store.set_manifest(
-            _chunk_store.check_manifest(found, model, version)
+            _chunk_store.check_manifest(manifest, model, version)
         )
     except errors.SourceUnableError as exc:
         health.record_failure(source, exc)
--- a/catkinshunt/spread/_peer_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -87,7 +87,7 @@
             raise errors.TransferError(
                 exc.message, step='fetch chunk', peer=peer
             ) from exc
-        if head.headers.get(_chunk_server.UNAVAILABLE_HEADER):
+        if head.headers.get(_chunk_server.UNABLE_HEADER):
             raise errors.SourceUnableError(
                 'chunk will not be available soon',
                 step='fetch chunk',
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -25,7 +25,7 @@
 #: Number of owners relative to the connection limit of the origin. After a
 #: power failure the origin still counts old connections, and other members
 #: use it too if their sources fail.
-OWNER_SHARE = 0.4
+OWNERS_PER_CONNECTION = 0.4
 #: Assumed connection limit of the origin if it is unknown.
 UNKNOWN_CONNECTIONS = 20
 #: Members tried after the best source and before the origin. Most members of
@@ -60,7 +60,7 @@
         regions: region by data centre.
         model: name of the model.
         version: its version.
-        chunks: number of chunks; 0 until the manifest is known.
+        chunk_count: number of chunks; 0 until the manifest is known.
         connections: connection limit of the origin.
 
     Examples:
@@ -72,7 +72,7 @@
     """
 
     def __init__(
-        self, local_member, members, regions, model, version, chunks=0,
+        self, local_member, members, regions, model, version, chunk_count=0,
         connections=UNKNOWN_CONNECTIONS,
     ):  # fmt: skip
         self.local_member = local_member
@@ -84,9 +84,9 @@
         self.regions = regions
         self.model = model
         self.version = version
-        self.chunks = chunks
+        self.chunk_count = chunk_count
         self._ranked = {}
-        max_owners = max(1, int(OWNER_SHARE * connections))
+        max_owners = max(1, int(OWNERS_PER_CONNECTION * connections))
         self._owners = self._rank('owners')[:max_owners]
         self._first_receivers = None
         self._sources = {}
@@ -103,9 +103,9 @@
             self._excluded = names
             self._sources.clear()
 
-    def set_chunk_count(self, chunks):
-        """Assign `chunks` chunks to the members again."""
-        self.chunks = chunks
+    def set_chunk_count(self, chunk_count):
+        """Set the number of chunks and assign all chunks again."""
+        self.chunk_count = chunk_count
         self._first_receivers = None
         self._sources.clear()
 
@@ -115,23 +115,23 @@
         The result is cached: it is needed for each attempt, and its
         computation takes milliseconds with many members.
         """
-        found = self._sources.get(index)
-        if found is None:
-            found = self._sources[index] = self._order_sources(index)
-        return found
+        names = self._sources.get(index)
+        if names is None:
+            names = self._sources[index] = self._order_sources(index)
+        return names
 
     def _order_sources(self, index):
         receivers = self._first_receivers_of(index)
         owner = receivers[0]
         earlier = self._earlier_members(receivers, index)
-        owners = self._remote_sources(owner, index, earlier)
+        remote_sources = self._remote_sources(owner, index, earlier)
         order = [
             *self._local_holders(index),
             *([] if earlier else self._remote_holders(index)),
             *earlier[:1],
-            *owners[:1],
+            *remote_sources[:1],
             *earlier[1:],
-            *owners[1:],
+            *remote_sources[1:],
         ]
         names = [
             member.name for member in order if member is not self.local_member
@@ -206,13 +206,13 @@
         return order.index(self.local_member.name) % waves
 
     def _rank(self, key):
-        found = self._ranked.get(key)
-        if found is None:
+        ranked = self._ranked.get(key)
+        if ranked is None:
             names = {member.name: member for member in self.members}
             text = f'{self.model}/{self.version}/{key}'
-            found = [names[name] for name in rendezvous.rank(text, names)]
-            self._ranked[key] = found
-        return found
+            ranked = [names[name] for name in rendezvous.rank(text, names)]
+            self._ranked[key] = ranked
+        return ranked
 
     def _serves_version(self, member):
         return member.versions.get(self.model) == self.version
@@ -244,30 +244,34 @@
     def _first_receivers_of(self, index):
         if self._first_receivers is None:
             self._first_receivers = self._assign_receivers()
-        found = self._first_receivers.get(index)
-        return found or self._rank(index)[:1]
+        receivers = self._first_receivers.get(index)
+        return receivers or self._rank(index)[:1]
 
     def _assign_receivers(self):
         """Return the first receivers of each chunk, the owner first."""
-        found = {}
-        bound = math.ceil(self.chunks / len(self._owners))
+        receivers_by_chunk = {}
+        bound = math.ceil(self.chunk_count / len(self._owners))
         owned = collections.Counter()
-        for index in range(self.chunks):
+        for index in range(self.chunk_count):
             owner = next(
                 member
                 for member in self._rank(index)
                 if member in self._owners and owned[member.name] < bound
             )
             owned[owner.name] += 1
-            found[index] = [owner]
+            receivers_by_chunk[index] = [owner]
         member_counts = collections.Counter(
             m.data_centre for m in self.members
         )
         for data_centre in sorted(member_counts):
-            self._add_receivers(found, data_centre, member_counts, owned)
-        return found
+            self._add_receivers(
+                receivers_by_chunk, data_centre, member_counts, owned
+            )
+        return receivers_by_chunk
 
-    def _add_receivers(self, found, data_centre, member_counts, owned):
+    def _add_receivers(
+        self, receivers_by_chunk, data_centre, member_counts, owned
+    ):
         """Add a member of `data_centre` to each chunk that is owned elsewhere.
 
         Owners upload each chunk to all local members and to one member of each
@@ -275,7 +279,8 @@
         members, all would wait for them.
 
         Args:
-            found: receivers by chunk, with the owner first; extended in place.
+            receivers_by_chunk: receivers by chunk index, the owner first;
+                extended in place.
             data_centre: name of the data centre.
             member_counts: number of members by data centre.
             owned: number of owned chunks by member name.
@@ -283,15 +288,15 @@
         residents = [m for m in self.members if m.data_centre == data_centre]
         incoming = [
             index
-            for index, (owner, *_) in found.items()
+            for index, (owner, *_) in receivers_by_chunk.items()
             if owner.data_centre != data_centre
         ]
-        per_relayed = max(1, len(residents) - 1)
-        per_owned = len(residents) - 1 + len(member_counts) - 1
-        uploads = {m.name: owned[m.name] * per_owned for m in residents}
-        mean = (sum(uploads.values()) + len(incoming) * per_relayed) / len(
-            residents
-        )
+        per_relayed_chunk = max(1, len(residents) - 1)
+        per_owned_chunk = len(residents) - 1 + len(member_counts) - 1
+        uploads = {m.name: owned[m.name] * per_owned_chunk for m in residents}
+        mean = (
+            sum(uploads.values()) + len(incoming) * per_relayed_chunk
+        ) / len(residents)
         for index in incoming:
             local = [
                 m for m in self._rank(index) if m.data_centre == data_centre
@@ -301,12 +306,12 @@
                 (
                     m
                     for m in local
-                    if uploads[m.name] + per_relayed / 2 <= mean
+                    if uploads[m.name] + per_relayed_chunk / 2 <= mean
                 ),
                 min(local, key=lambda m: uploads[m.name]),
             )
-            uploads[receiver.name] += per_relayed
-            found[index].append(receiver)
+            uploads[receiver.name] += per_relayed_chunk
+            receivers_by_chunk[index].append(receiver)
 
 
 def finish_older_first(
--- a/catkinshunt/spread/_progress.py
+++ b/catkinshunt/spread/_progress.py
@@ -13,8 +13,8 @@
 
     Examples:
         >>> progress = Progress()
-        >>> for now, left in ((0.0, 0.5), (0.5, 0.4), (1.0, 0.3)):
-        ...     progress.add_sample(left, now)
+        >>> for now, missing_share in ((0.0, 0.5), (0.5, 0.4), (1.0, 0.3)):
+        ...     progress.add_sample(missing_share, now)
         >>> round(progress.remaining_s(now=1.0), 2)
         1.5
     """
@@ -35,12 +35,16 @@
         """
         if len(self._samples) < 2:
             return 0.0
-        start, before = self._samples[0]
-        _, left = self._samples[-1]
+        start, missing_share_before = self._samples[0]
+        _, missing_share = self._samples[-1]
         if now - start < WINDOW_S / 2:
             return 0.0
-        if left <= 0:
+        if missing_share <= 0:
             return 0.0
-        if before <= left:
+        if missing_share_before <= missing_share:
             return float('inf')
-        return left * (now - start) / (before - left)
+        return (
+            missing_share
+            * (now - start)
+            / (missing_share_before - missing_share)
+        )
--- a/catkinshunt/spread/_source_speeds.py
+++ b/catkinshunt/spread/_source_speeds.py
@@ -15,7 +15,7 @@
 #: The own link is narrow if the present share is below this fraction both of
 #: the median of the peers and of the share expected at link speed. A link at a
 #: quarter of its speed reaches 0.25 of both.
-NARROW_RATIO = 0.45
+SLOW_LINK_RATIO = 0.45
 #: Conditions of that check: least number of peers with a reported share, least
 #: median of these shares, and time since the start of the transfer.
 MIN_REPORTS = 3
@@ -89,7 +89,7 @@
             return self._last_s.get(source, elapsed_s)
         return elapsed_s * (1 + queue_length / max(1, self.received[source]))
 
-    def is_own_link_narrow(self, share, shares):
+    def is_local_link_slow(self, present_share, reported_shares):
         """Return whether this member receives far less than its peers.
 
         Members that wait for chunks relayed by it are delayed by seconds.
@@ -102,12 +102,15 @@
         if not LINK_CHECK_AFTER_S <= elapsed_s <= self.copy_s:
             return False
         # A member that started late may have less than its peers.
-        if share >= NARROW_RATIO * elapsed_s / self.copy_s:
+        if present_share >= SLOW_LINK_RATIO * elapsed_s / self.copy_s:
             return False
-        if len(shares) < MIN_REPORTS:
+        if len(reported_shares) < MIN_REPORTS:
             return False
-        median = sorted(shares)[len(shares) // 2]
-        return median >= MIN_MEDIAN_SHARE and share < NARROW_RATIO * median
+        median = sorted(reported_shares)[len(reported_shares) // 2]
+        return (
+            median >= MIN_MEDIAN_SHARE
+            and present_share < SLOW_LINK_RATIO * median
+        )
 
     def _elapsed_s(self):
         return self.clock() - self._began
--- a/catkinshunt/spread/tests/swarm.py
+++ b/catkinshunt/spread/tests/swarm.py
@@ -78,7 +78,7 @@
     """
 
     member_counts: dict
-    chunks: int = 96
+    chunk_count: int = 96
     chunk_bytes: int = 24_576
     link_mbps: float = 3.65
     origin_mbps: float = 4.38
@@ -88,7 +88,7 @@
     @property
     def copy_bytes(self):
         """Size of one version."""
-        return self.chunks * self.chunk_bytes
+        return self.chunk_count * self.chunk_bytes
 
     @property
     def copy_s(self):
@@ -224,13 +224,13 @@
 
     async def chunk(self, peer, model, version, indices, relay=False):
         """See `spread.PeerClient.chunk`."""
-        return await self._ask(peer, version, indices, 0 if relay else 1)
+        return await self._request(peer, version, indices, 0 if relay else 1)
 
     async def chunk_if_idle(self, peer, model, version, indices):
         """See `spread.PeerClient.chunk_if_idle`."""
-        return await self._ask(peer, version, indices, None)
+        return await self._request(peer, version, indices, None)
 
-    async def _ask(self, peer, version, indices, priority):
+    async def _request(self, peer, version, indices, priority):
         instance = self.swarm.instances[peer]
         await asyncio.sleep(LATENCY_S)
         if not instance.alive:
@@ -355,7 +355,7 @@
         if version not in self._manifests:
             digests = [
                 hashlib.sha256(self.chunk(version, index)).hexdigest()
-                for index in range(self.scale.chunks)
+                for index in range(self.scale.chunk_count)
             ]
             self._manifests[version] = weights.Manifest(
                 model=fakes.MODEL,
--- a/catkinshunt/spread/tests/test_chunk_server.py
+++ b/catkinshunt/spread/tests/test_chunk_server.py
@@ -107,7 +107,7 @@
     assert took_s < 1.0
 
 
-def test_member_with_narrow_link_serves_no_chunks():
+def test_member_with_slow_link_serves_no_chunks():
     def prepare(version_store):
         chunk_store = begin_transfer(version_store)
         chunk_store.put(1, fakes.chunk(2, 1))
--- a/catkinshunt/spread/tests/test_loader.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -18,7 +18,7 @@
         return self.due_at
 
 
-class Engine:
+class LoaderSetup:
     """A loader of a fake engine, with a clock set by the test."""
 
     def __init__(self, version=1, wave=0, due_in_s=5.0):
@@ -68,9 +68,9 @@
     """
 
     async def main():
-        found = Engine()
-        await found.step(complete_in_s=0.8)
-        return found.closes_in_s(), found.engine.orders
+        setup = LoaderSetup()
+        await setup.step(complete_in_s=0.8)
+        return setup.closes_in_s(), setup.engine.orders
 
     closes_in_s, orders = asyncio.run(main())
     assert closes_in_s == 0.8 + _loader.DRAIN_S
@@ -79,11 +79,11 @@
 
 def test_loaded_engine_accepts_requests_again():
     async def main():
-        found = Engine()
-        found.fill()
-        await found.step()
-        await found.step()
-        return found.engine.orders, found.admission.calls[-1]
+        setup = LoaderSetup()
+        setup.fill()
+        await setup.step()
+        await setup.step()
+        return setup.engine.orders, setup.admission.calls[-1]
 
     orders, call = asyncio.run(main())
     assert orders == [2]
@@ -98,12 +98,12 @@
     """
 
     async def main(newer_complete_in_s):
-        found = Engine(wave=_loader.WAVES - 1, due_in_s=0.5)
-        found.fill()
-        await found.step(newer_complete_in_s=newer_complete_in_s)
-        found.time += 0.6
-        await found.step(newer_complete_in_s=newer_complete_in_s - 0.6)
-        return found.engine.orders, found.closes_in_s()
+        setup = LoaderSetup(wave=_loader.WAVES - 1, due_in_s=0.5)
+        setup.fill()
+        await setup.step(newer_complete_in_s=newer_complete_in_s)
+        setup.time += 0.6
+        await setup.step(newer_complete_in_s=newer_complete_in_s - 0.6)
+        return setup.engine.orders, setup.closes_in_s()
 
     assert asyncio.run(main(3.0)) == ([], None)
     orders, _ = asyncio.run(main(6.0))
@@ -118,22 +118,22 @@
     """
 
     async def main():
-        found = Engine(wave=_loader.WAVES - 1, due_in_s=0.5)
-        found.fill()
-        await found.step(newer_complete_in_s=2.0)
-        found.time += 3.0
-        await found.step(newer_complete_in_s=4.0)
-        return found.engine.orders
+        setup = LoaderSetup(wave=_loader.WAVES - 1, due_in_s=0.5)
+        setup.fill()
+        await setup.step(newer_complete_in_s=2.0)
+        setup.time += 3.0
+        await setup.step(newer_complete_in_s=4.0)
+        return setup.engine.orders
 
     assert asyncio.run(main()) == [2]
 
 
 def test_engine_without_version_is_loaded_at_once():
     async def main():
-        found = Engine(version=0, wave=_loader.WAVES - 1)
-        found.fill()
-        await found.step(newer_complete_in_s=1.0)
-        return found.engine.orders
+        setup = LoaderSetup(version=0, wave=_loader.WAVES - 1)
+        setup.fill()
+        await setup.step(newer_complete_in_s=1.0)
+        return setup.engine.orders
 
     assert asyncio.run(main()) == [2]
 
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -194,12 +194,12 @@
     """
 
     def owners(listed):
-        found = {}
+        owner_by_index = {}
         for name, plan in plans(listed).items():
             for index in range(96):
                 if plan.sources(index)[0] == spread.ORIGIN:
-                    found[index] = name
-        return found
+                    owner_by_index[index] = name
+        return owner_by_index
 
     listed = members({'a': 4, 'b': 3, 'c': 3})
     before, after = owners(listed), owners(listed[:-1])
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -34,16 +34,16 @@
     async def main():
         clock = asyncio.get_running_loop().time
         began = clock()
-        found = transfers.Transfer(
+        transfer = transfers.Transfer(
             peers,
             transfers.listed('a1', 'a2', a1=2, a2=2),
             copy_s=lambda size: 0.4,
         )
-        await found.run()
-        return found, clock() - began
+        await transfer.run()
+        return transfer, clock() - began
 
-    found, took_s = asyncio.run(main())
-    assert found.chunk_store.is_complete
+    transfer, took_s = asyncio.run(main())
+    assert transfer.chunk_store.is_complete
     assert took_s < 1.0
 
 
@@ -58,13 +58,13 @@
             await asyncio.sleep(0.1)
             return await super().chunk(peer, model, version, indices, relay)
 
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=SlowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS),
         listed=transfers.listed('a1', 'a2', a1=2, a2=2),
         copy_s=lambda size: 0.05,
     )
-    assert found.chunk_store.is_complete
-    assert not found.origin.sent_chunks
+    assert transfer.chunk_store.is_complete
+    assert not transfer.origin.sent_chunks
 
 
 def test_members_without_the_chunk_do_not_delay_it(monkeypatch):
@@ -88,7 +88,7 @@
         peers = WaitingPeers(
             a1={2: []}, **{name: {2: []} for name in local_names}
         )
-        found = transfers.Transfer(
+        transfer = transfers.Transfer(
             peers,
             transfers.listed('a1', *local_names),
             origin_copy_s=lambda size: 4.0,
@@ -98,14 +98,14 @@
             'sources',
             lambda self, index: ['a1', *local_names, 'origin'],
         )
-        await found.fetcher.fetch_manifest()
-        found.origin.down = True
-        running = asyncio.ensure_future(found.fetcher.run())
+        await transfer.fetcher.fetch_manifest()
+        transfer.origin.down = True
+        running = asyncio.ensure_future(transfer.fetcher.run())
         await asyncio.sleep(0.9)
         peers.stores['a1'][2] = range(fakes.CHUNKS)
         async with asyncio.timeout(8 * wait_s):
             await running
-        return found
+        return transfer
 
     assert asyncio.run(main()).chunk_store.is_complete
 
@@ -118,14 +118,16 @@
     """
 
     async def main():
-        found = transfers.Transfer(listed=transfers.listed('a1'))
-        found.peers.dead.add('a1')
-        await found.fetcher.fetch_manifest()
-        found.origin.down = True
-        running = asyncio.ensure_future(found.fetcher.run())
+        transfer = transfers.Transfer(listed=transfers.listed('a1'))
+        transfer.peers.dead.add('a1')
+        await transfer.fetcher.fetch_manifest()
+        transfer.origin.down = True
+        running = asyncio.ensure_future(transfer.fetcher.run())
         await asyncio.sleep(1.0)
-        request_count = len(found.peers.requested) + found.origin.requests
-        found.origin.down = False
+        request_count = (
+            len(transfer.peers.requested) + transfer.origin.requests
+        )
+        transfer.origin.down = False
         async with asyncio.timeout(5):
             await running
         return request_count
@@ -148,13 +150,13 @@
             return await super().chunk(peer, model, version, indices, relay)
 
     peers = LatePeers(a1=transfers.ALL_CHUNKS)
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=peers,
         listed=transfers.listed('a1', a1=2),
         origin_copy_s=lambda size: 3.0,
     )
-    assert found.chunk_store.is_complete
-    assert not found.origin.sent_chunks
+    assert transfer.chunk_store.is_complete
+    assert not transfer.origin.sent_chunks
 
 
 def test_source_has_one_worker():
@@ -179,15 +181,15 @@
 
     concurrency = []
 
-    def prepare(found):
-        found.fetcher.plan.sources = lambda index: ['a1']
+    def prepare(transfer):
+        transfer.fetcher.plan.sources = lambda index: ['a1']
 
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         prepare,
         peers=EmptyPeers(a1=transfers.ALL_CHUNKS),
         listed=transfers.listed('a1'),
     )
-    assert found.chunk_store.is_complete
+    assert transfer.chunk_store.is_complete
     assert max(concurrency) == 1
 
 
@@ -206,12 +208,12 @@
             return await super().chunk(peer, model, version, indices, relay)
 
     peers = UnablePeers(a2=transfers.ALL_CHUNKS)
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
-    assert found.chunk_store.is_complete
+    assert transfer.chunk_store.is_complete
     assert [peer for peer, _ in peers.requested].count('a1') == 1
-    assert not found.origin.sent_chunks
+    assert not transfer.origin.sent_chunks
 
 
 def test_idle_source_steals_work_from_a_busy_one():
@@ -227,21 +229,21 @@
                 await asyncio.sleep(0.2)
             return await super().chunk(peer, model, version, indices, relay)
 
-    def prepare(found):
-        found.fetcher.plan.sources = lambda index: [
+    def prepare(transfer):
+        transfer.fetcher.plan.sources = lambda index: [
             'a2' if index == 0 else 'a1',
             'origin',
         ]
 
     peers = BusyPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         prepare, peers=peers, listed=transfers.listed('a1', 'a2')
     )
-    assert found.chunk_store.is_complete
+    assert transfer.chunk_store.is_complete
     assert [peer for peer, _ in peers.requested].count('a1') <= 2
 
 
-def test_narrow_own_link_disables_uploads(monkeypatch):
+def test_slow_local_link_disables_uploads(monkeypatch):
     """This member receives far less than all others.
 
     Others wait for the chunks that it should relay, so it stops serving and
@@ -258,17 +260,17 @@
     peers = SlowPeers(**dict.fromkeys(names, transfers.ALL_CHUNKS))
     peers.reported_shares = dict.fromkeys(names, 0.9)
 
-    def prepare(found):
-        found.fetcher.plan.sources = lambda index: [
+    def prepare(transfer):
+        transfer.fetcher.plan.sources = lambda index: [
             names[index % 3],
             'origin',
         ]
 
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         prepare,
         peers=peers,
         listed=transfers.listed(*names),
         copy_s=lambda size: 0.15,
     )
-    assert found.chunk_store.is_complete
-    assert found.chunk_store.is_upload_disabled
+    assert transfer.chunk_store.is_complete
+    assert transfer.chunk_store.is_upload_disabled
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -85,19 +85,19 @@
     return swarm.run_in_virtual_time(scenario)
 
 
-def check_completion(found, max_copy_times=MAX_COPY_TIMES):
+def check_completion(service, max_copy_times=MAX_COPY_TIMES):
     """Check the time of the last member and the bytes of the origin."""
-    completion_times_s = found.completion_times_s()
-    assert len(completion_times_s) == len(found.members)
-    assert completion_times_s[-1] <= max_copy_times * found.scale.copy_s
-    assert found.origin_copies <= MAX_ORIGIN_COPIES
+    completion_times_s = service.completion_times_s()
+    assert len(completion_times_s) == len(service.members)
+    assert completion_times_s[-1] <= max_copy_times * service.scale.copy_s
+    assert service.origin_copies <= MAX_ORIGIN_COPIES
 
 
 def test_origin_sends_one_copy_without_failures():
-    found = run_with_dead_members(THREE_DATA_CENTRES, dead=(), down_s=0.0)
-    check_completion(found, MAX_FAULTLESS_COPY_TIMES)
+    service = run_with_dead_members(THREE_DATA_CENTRES, dead=(), down_s=0.0)
+    check_completion(service, MAX_FAULTLESS_COPY_TIMES)
     # Owners fetch the manifest in addition to the chunks.
-    assert found.origin_copies < 1.1
+    assert service.origin_copies < 1.1
 
 
 def test_dead_members_do_not_cause_many_origin_fetches():
@@ -108,8 +108,10 @@
     version of 96), all members waited for it, and requests for the model
     failed once the version was due.
     """
-    found = run_with_dead_members(THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22))
-    check_completion(found)
+    service = run_with_dead_members(
+        THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22)
+    )
+    check_completion(service)
 
 
 def test_members_that_start_late_do_not_delay_others():
@@ -133,7 +135,7 @@
     assert completion_times_s[-1] <= MAX_COPY_TIMES * GROWN.copy_s
 
 
-def test_members_with_narrow_links_do_not_delay_others():
+def test_members_with_slow_links_do_not_delay_others():
     """The links of three members are narrowed to a quarter.
 
     They still send a chunk now and then; all others completed the version
@@ -185,27 +187,31 @@
     """During the outage, missing chunks must stay with their owners."""
 
     async def scenario():
-        found = swarm.Swarm(FIVE_DATA_CENTRES)
-        found.announce_version(2)
+        service = swarm.Swarm(FIVE_DATA_CENTRES)
+        service.announce_version(2)
         await asyncio.sleep(2.5)
-        found.origin_down = True
+        service.origin_down = True
         await asyncio.sleep(6.0)
-        found.origin_down = False
-        missing = FIVE_DATA_CENTRES.chunks - len(found.origin_sent_counts)
+        service.origin_down = False
+        missing = FIVE_DATA_CENTRES.chunk_count - len(
+            service.origin_sent_counts
+        )
         returned_at = asyncio.get_running_loop().time()
-        while len(found.origin_sent_counts) < FIVE_DATA_CENTRES.chunks:
+        while len(service.origin_sent_counts) < FIVE_DATA_CENTRES.chunk_count:
             await asyncio.sleep(0.01)
         took_s = asyncio.get_running_loop().time() - returned_at
-        await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
+        await service.wait(8 * FIVE_DATA_CENTRES.copy_s)
         needed_s = (
-            missing * FIVE_DATA_CENTRES.chunk_bytes / found.origin.bytes_per_s
+            missing
+            * FIVE_DATA_CENTRES.chunk_bytes
+            / service.origin.bytes_per_s
         )
-        return found, took_s / needed_s
+        return service, took_s / needed_s
 
-    found, times = swarm.run_in_virtual_time(scenario)
-    assert max(found.origin_sent_counts.values()) == 1
+    service, times = swarm.run_in_virtual_time(scenario)
+    assert max(service.origin_sent_counts.values()) == 1
     assert times <= MAX_RECOVERY_RATIO
-    assert len(found.completion_times_s()) == len(found.members)
+    assert len(service.completion_times_s()) == len(service.members)
 
 
 @pytest.mark.parametrize('unlisted_count', [1, 4])
@@ -214,14 +220,14 @@
     """Each member lacks other new members and chooses other sources."""
 
     async def scenario():
-        found = swarm.Swarm(FIVE_DATA_CENTRES)
+        service = swarm.Swarm(FIVE_DATA_CENTRES)
         rng = random.Random(seed)
-        names = [member.name for member in found.members]
-        found.unlisted = {
+        names = [member.name for member in service.members]
+        service.unlisted = {
             name: rng.sample(names, unlisted_count) for name in names
         }
-        found.announce_version(2)
-        await found.wait(8 * FIVE_DATA_CENTRES.copy_s)
-        return found
+        service.announce_version(2)
+        await service.wait(8 * FIVE_DATA_CENTRES.copy_s)
+        return service
 
     check_completion(swarm.run_in_virtual_time(scenario))
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -12,10 +12,10 @@
 
 
 def test_single_member_fetches_all_from_the_origin():
-    found = transfers.transfer()
-    assert found.chunk_store.is_complete
-    assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
-    assert found.staged == found.chunk_store.chunks
+    transfer = transfers.run_transfer()
+    assert transfer.chunk_store.is_complete
+    assert sorted(transfer.origin.sent_chunks) == list(range(fakes.CHUNKS))
+    assert transfer.staged == transfer.chunk_store.chunks
 
 
 def test_origin_connections_are_released():
@@ -24,16 +24,16 @@
     Connections kept open by members that no longer need them block other
     members for the rest of a transfer.
     """
-    assert transfers.transfer().origin.released >= 2
+    assert transfers.run_transfer().origin.released >= 2
 
 
 def test_holders_are_preferred_to_the_origin():
     peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=peers, listed=transfers.listed('a1', 'a2', a1=2, a2=2)
     )
-    assert found.chunk_store.is_complete
-    assert not found.origin.sent_chunks
+    assert transfer.chunk_store.is_complete
+    assert not transfer.origin.sent_chunks
 
 
 def test_corrupt_chunk_is_fetched_again():
@@ -42,19 +42,21 @@
     An engine that loads it would serve damaged weights. Its digest differs, so
     it is dropped and fetched again.
     """
-    found = transfers.transfer(lambda t: t.origin.corrupt.update({1, 4}))
-    assert found.chunk_store.is_complete
-    assert found.staged[1] == fakes.chunk(2, 1)
+    transfer = transfers.run_transfer(
+        lambda t: t.origin.corrupt.update({1, 4})
+    )
+    assert transfer.chunk_store.is_complete
+    assert transfer.staged[1] == fakes.chunk(2, 1)
 
 
 def test_member_that_sends_corrupt_chunks_is_replaced():
     peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.corrupt.add('a1')
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
-    assert found.chunk_store.is_complete
-    assert found.staged[0] == fakes.chunk(2, 0)
+    assert transfer.chunk_store.is_complete
+    assert transfer.staged[0] == fakes.chunk(2, 0)
 
 
 def test_dead_member_is_replaced():
@@ -64,11 +66,11 @@
     """
     peers = fakes.FakePeers(a1=transfers.ALL_CHUNKS)
     peers.dead.add('a1')
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=peers, listed=transfers.listed('a1', a1=2)
     )
-    assert found.chunk_store.is_complete
-    assert sorted(found.origin.sent_chunks) == list(range(fakes.CHUNKS))
+    assert transfer.chunk_store.is_complete
+    assert sorted(transfer.origin.sent_chunks) == list(range(fakes.CHUNKS))
 
 
 def test_member_that_never_receives_its_chunks_is_replaced():
@@ -77,10 +79,10 @@
     It always replies that no chunk is available yet. After a few attempts its
     queue is fetched elsewhere.
     """
-    found = transfers.transfer(
+    transfer = transfers.run_transfer(
         peers=fakes.FakePeers(), listed=transfers.listed('a1')
     )
-    assert found.chunk_store.is_complete
+    assert transfer.chunk_store.is_complete
 
 
 def test_members_wait_for_owners_while_the_origin_is_down(monkeypatch):
@@ -99,26 +101,26 @@
 
     async def main():
         stored = {2: [0, 1, 2]}
-        found = transfers.Transfer(
+        transfer = transfers.Transfer(
             PatientPeers(a1=stored), transfers.listed('a1')
         )
         monkeypatch.setattr(
             spread.SourcePlan, 'sources', lambda self, index: ['a1', 'origin']
         )
-        await found.fetcher.fetch_manifest()
-        found.origin.down = True
-        running = asyncio.ensure_future(found.fetcher.run())
+        await transfer.fetcher.fetch_manifest()
+        transfer.origin.down = True
+        running = asyncio.ensure_future(transfer.fetcher.run())
         await asyncio.sleep(0.3)
-        found.origin.down = False
+        transfer.origin.down = False
         await asyncio.sleep(0.3)
         stored[2] = range(fakes.CHUNKS)
         async with asyncio.timeout(5):
             await running
-        return found
+        return transfer
 
-    found = asyncio.run(main())
-    assert found.chunk_store.is_complete
-    assert not found.origin.sent_chunks
+    transfer = asyncio.run(main())
+    assert transfer.chunk_store.is_complete
+    assert not transfer.origin.sent_chunks
 
 
 def test_owner_detects_origin_recovery_at_once(monkeypatch):
@@ -130,11 +132,11 @@
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
-        found = transfers.Transfer(fakes.FakePeers(), [])
-        found.origin.down = True
-        request = asyncio.ensure_future(found.fetcher.fetch_manifest())
+        transfer = transfers.Transfer(fakes.FakePeers(), [])
+        transfer.origin.down = True
+        request = asyncio.ensure_future(transfer.fetcher.fetch_manifest())
         await asyncio.sleep(0.05)
-        found.origin.down = False
+        transfer.origin.down = False
         async with asyncio.timeout(_source_health.EXCLUSION_S / 3):
             await request
 
@@ -151,10 +153,10 @@
     sink = loguru.logger.add(lambda line: lines.append(line.record['extra']))
 
     async def main():
-        found = transfers.Transfer(listed=transfers.listed('a1', a1=2))
-        found.peers.stores['a1'] = {2: range(1, fakes.CHUNKS)}
-        found.fetcher.plan.sources = lambda index: ['a1']
-        running = asyncio.ensure_future(found.run())
+        transfer = transfers.Transfer(listed=transfers.listed('a1', a1=2))
+        transfer.peers.stores['a1'] = {2: range(1, fakes.CHUNKS)}
+        transfer.fetcher.plan.sources = lambda index: ['a1']
+        running = asyncio.ensure_future(transfer.run())
         while not any('waits_for' in line for line in lines):
             await asyncio.sleep(0.005)
         running.cancel()
@@ -175,14 +177,14 @@
     """
 
     async def main():
-        found = transfers.Transfer()
-        found.origin.bad_manifests = 1
+        transfer = transfers.Transfer()
+        transfer.origin.bad_manifests = 1
         with pytest.raises(ExceptionGroup) as caught:
-            await found.run()
+            await transfer.run()
         assert caught.group_contains(errors.ManifestError)
-        assert found.chunk_store.manifest is None
+        assert transfer.chunk_store.manifest is None
         again = transfers.Transfer()
-        again.origin = found.origin
+        again.origin = transfer.origin
         await again.run()
         return again
 
@@ -194,13 +196,13 @@
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
 
     async def main():
-        found = transfers.Transfer()
-        found.origin.down = True
-        running = asyncio.ensure_future(found.run())
+        transfer = transfers.Transfer()
+        transfer.origin.down = True
+        running = asyncio.ensure_future(transfer.run())
         for _ in range(50):
             await asyncio.sleep(0)
-        found.origin.down = False
+        transfer.origin.down = False
         await running
-        return found
+        return transfer
 
     assert asyncio.run(main()).chunk_store.is_complete
--- a/catkinshunt/spread/tests/test_wait_graph.py
+++ b/catkinshunt/spread/tests/test_wait_graph.py
@@ -13,14 +13,14 @@
 def test_all_members_find_the_same_cycle():
     """Otherwise several members would fetch the chunk from the origin."""
     names = ('a', 'b', 'c')
-    found = []
+    cycles = []
     for position, me in enumerate(names):
         source, last = names[(position + 1) % 3], names[(position + 2) % 3]
         wait_graph = _wait_graph.WaitGraph()
         wait_graph.set_source(3, source)
         wait_graph.extend_chain(3, source, (last, me))
-        found.append(wait_graph.find_cycle(3, me, now=0.0))
-    assert found == [set(names)] * 3
+        cycles.append(wait_graph.find_cycle(3, me, now=0.0))
+    assert cycles == [set(names)] * 3
 
 
 def test_old_requests_expire():
--- a/catkinshunt/spread/tests/transfers.py
+++ b/catkinshunt/spread/tests/transfers.py
@@ -41,14 +41,14 @@
             await self.fetcher.run()
 
 
-def transfer(prepare=lambda found: None, **options):
+def run_transfer(prepare=lambda transfer: None, **options):
     """Run a transfer modified by `prepare`, and return it."""
 
     async def main():
-        found = Transfer(**options)
-        prepare(found)
-        await found.run()
-        return found
+        transfer = Transfer(**options)
+        prepare(transfer)
+        await transfer.run()
+        return transfer
 
     return asyncio.run(main())
 
