--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -40,7 +40,8 @@
     """A version that the engine should serve.
 
     Attributes:
-        due_at: time at which requests need it, on the catalog's clock.
+        due_at: due time, on the clock of the `BaseClusterView`. From then on,
+            requests are sent only to engines at this version or a newer one.
     """
 
     model: str
@@ -58,9 +59,10 @@
         origin: `base.BaseOrigin`.
         peers: `PeerClient`.
         version_store: `VersionStore`.
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
         link_mbps: speed of the instance's link.
-        byte_counter: counts bytes by source.
+        byte_counter: counts bytes by way: received from a 'peer' or the
+            'origin'.
         admission: `places.BaseAdmission` of the engine.
     """
 
@@ -90,7 +92,7 @@
             engine, cluster_view, admission, clock, self._staging_lock
         )
         self._outage = logs.Outage(
-            _log, 'Engine unreachable: {}.', 'Engine reachable again.'
+            _log, 'Reconciling the engine failed: {}.', 'Engine reports again.'
         )
 
     async def run(self):
@@ -161,10 +163,11 @@
         self.admission.set_expiry(expires_in_s)
 
     async def _step_loader(self, report, target):
-        """Advance the engine to the newest version available."""
+        """Choose the version to load next and run one step of the loader."""
         candidate = self._newest_complete(report, target)
         newest = self._chunk_store_of(target)
         if candidate is None and self._transfer_target is not None:
+            # The loader drains the engine before the transfer is complete.
             candidate = self._chunk_store_of(self._transfer_target)
         served = report.versions.get(target.model, 0)
         if (
@@ -186,8 +189,8 @@
             return math.inf
         if chunk_store.is_complete:
             return 0.0
-        # Engines drain ahead of this time. A source with a narrow link can
-        # delay the last chunks by seconds, in which a drained engine is idle.
+        # Engines drain ahead of this time. A source with a slow link can delay
+        # the last chunks by seconds, in which a drained engine is idle.
         progress = self._progress.setdefault(
             (chunk_store.model, chunk_store.version), _progress.Progress()
         )
@@ -228,8 +231,9 @@
             ) or not self._has_manifest_or_probe(target):
                 return
             _log.info(
-                'Dropped version {} for version {}.',
+                'Cancelled the transfer of version {} of {} for version {}.',
                 self._transfer_target.version,
+                self._transfer_target.model,
                 target.version,
                 left_share=self._chunk_store_of(
                     self._transfer_target
@@ -243,11 +247,12 @@
         self._transfer = asyncio.ensure_future(self._run_transfer(target))
 
     def _has_manifest_or_probe(self, newer):
-        """Return whether the manifest of the newer version is here.
+        """Return whether the manifest of the newer version is present.
 
-        Otherwise probes for it. If the older transfer were dropped while the
-        origin is unreachable, neither version would be complete when due, and
-        the gap without a serving engine would last 8 s instead of 3 s.
+        Otherwise starts to fetch it. If the older transfer were cancelled
+        while the origin is unreachable, neither version would be complete when
+        due, and the gap without a serving engine would last 8 s instead of
+        3 s.
         """
         if self._chunk_store_of(newer).manifest is not None:
             return True
@@ -267,7 +272,10 @@
             self._wakeup.set()
         except (errors.CatkinshuntError, TimeoutError) as exc:
             _log.warning(
-                'Version {} is not available yet: {!r}.', newer.version, exc
+                'Fetching the manifest of version {} of {} failed: {!r}.',
+                newer.version,
+                newer.model,
+                exc,
             )
 
     def _prune_progress(self):
@@ -308,15 +316,27 @@
             await self._fetch_version(target, chunk_store)
             return
         except errors.CatkinshuntError as exc:
-            _log.warning('Transfer failed: {}.', exc, version=target.version)
+            _log.warning(
+                'Transfer of {} failed: {}; retried after {} s.',
+                target.model,
+                exc,
+                RETRY_S,
+                version=target.version,
+            )
         except ExceptionGroup as group:
             _log.warning(
-                'Transfer failed: {!r}.',
+                'Transfer of {} failed: {!r}; retried after {} s.',
+                target.model,
                 group.exceptions[0],
+                RETRY_S,
                 version=target.version,
             )
         except Exception:
-            _log.exception('Transfer failed.')
+            _log.exception(
+                'Unexpected error in the transfer of version {} of {}.',
+                target.version,
+                target.model,
+            )
         finally:
             chunk_store.end_transfer()
         self._retry_at = self.clock() + RETRY_S
@@ -384,12 +404,17 @@
             restored = await _staging.restore_staged(chunk_store, self.engine)
             self.version_store.add(chunk_store)
             _log.info(
-                'Serves version {} of {} to peers.',
+                'Started serving version {} of {} to peers.',
                 version,
                 model,
                 chunks=restored,
             )
         except errors.CatkinshuntError as exc:
-            _log.warning('Cannot serve version {} to peers: {}.', version, exc)
+            _log.warning(
+                'Serving version {} of {} to peers failed: {}.',
+                version,
+                model,
+                exc,
+            )
         finally:
             self._offering.discard((model, version))
--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -19,15 +19,16 @@
 #: senders share a receiver's link, and near its full speed requests and events
 #: are queued behind several chunks.
 LINK_SHARE = 0.9
-#: Bytes on the link, with headers, by bytes of a slice.
+#: Bytes on the link, with headers, per byte of payload.
 PROTOCOL_OVERHEAD = 1.04
 #: Reply header: index of the chunk.
 INDEX_HEADER = 'Chunk-Index'
-#: Request header: the requester forwards the chunk to other members.
+#: Request header: the requester relays the chunk to members of its data
+#: centre.
 RELAY_HEADER = 'Chunk-Relay'
 #: Request header: reply at once, and with a chunk only if idle.
 IDLE_ONLY_HEADER = 'Chunk-Spare'
-#: Reply header: share of the version that is present, in thousandths.
+#: Reply header: present share of the version, in thousandths.
 SHARE_HEADER = 'Chunk-Share'
 #: Request header: name of the requesting member.
 REQUESTER_HEADER = 'Chunk-Asker'
@@ -37,7 +38,7 @@
 UNABLE_HEADER = 'Chunk-Unable'
 #: Longest wait of a request until the transfer of its version starts. The
 #: request itself reveals a new version; a member that finishes an older
-#: transfer first replies "unavailable" instead of keeping requests waiting.
+#: transfer first replies that it is unable, so that no requests wait for it.
 START_WAIT_S = 0.3
 #: Limit of chunk indices in one request.
 MAX_INDICES = 64
@@ -111,9 +112,9 @@
 
     Args:
         version_store: `VersionStore`.
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
         link_mbps: speed of the instance's link.
-        byte_counter: counts the bytes sent.
+        byte_counter: counts bytes by way; here 'given', sent to peers.
         on_request: called with the model and version of each request.
     """
 
@@ -173,14 +174,15 @@
                 http1.dump_reply(503, _no_chunk_headers(chunk_store, indices))
             )
             return
-        # One chunk at a time: its receiver can forward it early, while ten
-        # concurrent ones would all finish late. Members that forward the chunk
+        # One chunk at a time: its receiver can relay it early, while ten
+        # concurrent ones would all finish late. Members that relay the chunk
         # have priority, so that all links are in use soon.
         await self._send_lock.acquire(
             0 if req.headers.get(RELAY_HEADER) else 1
         )
         try:
-            # The version may have been evicted while the task waited.
+            # Uploads may have been disabled, or the manifest dropped, while
+            # the task waited.
             data = chunk_store.find_any(indices)
             if data is None:
                 conn.write(
@@ -236,7 +238,11 @@
 
 
 def _no_chunk_headers(chunk_store, indices):
-    """Return the headers of a 503 reply."""
+    """Return the headers of a reply without a chunk.
+
+    Wait chains, if any, if the requester should retry here; otherwise
+    `UNABLE_HEADER`, after which it uses another source.
+    """
     if chunk_store is not None and (
         chunk_store.is_expecting(indices) or chunk_store.is_complete
     ):
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -19,7 +19,7 @@
         chunks: bytes by index.
         is_transferring: a transfer is in progress.
         is_upload_disabled: chunks are not served, since this instance's link
-            is too narrow.
+            is too slow.
         wait_graph: which members wait for each other.
     """
 
@@ -71,10 +71,10 @@
         self._notifier.notify_all()
 
     def is_expecting(self, indices):
-        """Return whether one of these chunks is about to be available.
+        """Return whether one of these chunks should arrive soon.
 
-        The manifest is always expected: a transfer of a newer version starts
-        only once its manifest is present.
+        The manifest is always expected: that of a newer version is fetched
+        before its transfer begins.
         """
         if MANIFEST_INDEX in indices:
             return True
@@ -151,7 +151,7 @@
     """The `ChunkStore` objects of a sidecar; evicts old versions.
 
     Args:
-        max_versions: versions kept by model.
+        max_versions: number of versions kept per model.
     """
 
     def __init__(self, max_versions=2):
@@ -159,7 +159,10 @@
         self._chunk_stores = {}
 
     def get_or_create(self, model, version):
-        """Return the `ChunkStore` of a version, created if there is none."""
+        """Return the `ChunkStore` of a version.
+
+        If there is none, creates it and may evict an older version.
+        """
         key = (model, version)
         if key not in self._chunk_stores:
             self._chunk_stores[key] = ChunkStore(model, version)
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -15,9 +15,10 @@
 #: Consecutive requests without a chunk, the last of them failed, after which
 #: the queue of a source fails over to the next sources.
 MAX_UNSUCCESSFUL = 2
-#: Failed attempts for a chunk, by member that precedes the origin, before it
-#: is fetched from the origin: a minimum, and more by second that the origin
-#: needs for one copy. Owners that share a slow origin have no chunks for a
+#: A chunk is fetched from the origin after members * (MIN_FAILED_ATTEMPTS +
+#: FAILED_ATTEMPTS_PER_S * origin_copy_s) failed attempts, where `members` is
+#: the number of usable members and `origin_copy_s` the time in which the
+#: origin sends one copy. Owners that share a slow origin have no chunks for a
 #: while; after two attempts only, all members would use the origin at once.
 MIN_FAILED_ATTEMPTS = 2
 FAILED_ATTEMPTS_PER_S = 1.0
@@ -38,7 +39,10 @@
 
 
 class _Outcome(enum.Enum):
-    """Result of one request to a source."""
+    """Result of one request to a source.
+
+    A source that is unable to send the version counts as failed.
+    """
 
     RECEIVED = 'received'
     BUSY = 'busy'
@@ -48,16 +52,20 @@
 class Fetcher:
     """Fills one `ChunkStore` from the sources of a `SourcePlan`.
 
+    A copy is all chunks of one version, sent once.
+
     Args:
         chunk_store: `ChunkStore` to fill.
         plan: `SourcePlan`.
         peers: `PeerClient`.
         origin: `base.BaseOrigin`.
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
         stage_chunk: coroutine function of (index, data).
-        byte_counter: counts bytes by source.
-        copy_s: function of a size in bytes; returns the seconds in which a
-            copy crosses the own link.
+        byte_counter: counts bytes by way: received from a 'peer' or the
+            'origin'.
+        copy_s: function of the size of a copy in bytes; returns the seconds in
+            which it crosses this instance's link. Infinite seconds disable the
+            detection of slow sources and of a slow link.
         origin_copy_s: the same for the link of the origin.
     """
 
@@ -110,6 +118,9 @@
         """
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
+            # Fields by source: waits_for, its queued chunks; given, chunks
+            # received from it; blamed, those with a queue that are excluded
+            # after a failure.
             waits_for = {
                 s: left for s, left in self._queue_lengths().items() if left
             }
@@ -226,7 +237,7 @@
         if source == _plan.ORIGIN or self.plan.is_remote(source):
             return False
         if self.chunk_store.is_upload_disabled:
-            # The own link is the bottleneck.
+            # This instance's link is the bottleneck.
             return False
         return not self._health.is_excluded(source) and bool(
             self._longest_queue(source)
@@ -243,7 +254,7 @@
     async def _steal_chunk(self, source):
         """Request chunks from the end of the longest queue.
 
-        A failover owner, or a member with a narrow link, is slower than the
+        A failover owner, or a member with a slow link, is slower than the
         rest, while other members may already have some of its chunks.
         """
         indices = self._longest_queue(source)[:0:-1]
@@ -323,16 +334,17 @@
             self._assign(index)
         if in_cycle:
             _log.info(
-                'Fetches {} chunks of version {} from the origin to break a '
-                'wait cycle with {}.',
+                'Assigned {} chunks of version {} of {} to the origin to '
+                'break a wait cycle with {}.',
                 len(in_cycle),
                 self.chunk_store.version,
+                self.chunk_store.model,
                 source,
             )
         return bool(in_cycle)
 
     def _disable_upload_if_link_slow(self):
-        """Stop serving this version if the own link is too narrow."""
+        """Stop serving this version if this instance's link is slow."""
         chunk_store = self.chunk_store
         if chunk_store.is_upload_disabled:
             return
@@ -347,8 +359,10 @@
         reported_shares = [s for s in reported if s is not None]
         if self._speeds.is_local_link_slow(present_share, reported_shares):
             _log.info(
-                'Stops serving version {}; the own link is too narrow.',
+                'Disabled uploads of version {} of {}; the link of this '
+                'instance is too slow.',
                 chunk_store.version,
+                chunk_store.model,
                 has=round(present_share, 3),
             )
             chunk_store.disable_upload()
@@ -419,6 +433,8 @@
         if source == _plan.ORIGIN:
             data = await self.origin.chunk(model, version, indices[0])
             return indices[0], data
+        # A member that fetches from another data centre relays the chunk
+        # within its own.
         relay = self.plan.is_remote(source)
         return await self.peers.chunk(source, model, version, indices, relay)
 
@@ -429,15 +445,19 @@
         )
 
     def _drop_damaged_manifest(self):
-        """Drop the manifest after too many corrupt chunks in a row.
+        """Drop the manifest and all chunks if the manifest seems damaged.
 
-        If the manifest was damaged in transit, the chunks of all sources are
-        rejected forever.
+        If it was damaged in transit, the chunks of all sources are rejected
+        forever.
+
+        Raises:
+            errors.ManifestError: there were too many corrupt chunks in a row.
         """
         if self._corrupt_in_row < MAX_CORRUPT_IN_ROW:
             return
         self.chunk_store.clear()
         raise errors.ManifestError(
-            f'manifest differs from {self._corrupt_in_row} consecutive chunks',
+            f'{self._corrupt_in_row} consecutive chunks do not match the '
+            'manifest; dropped it and all chunks',
             step='fetch chunk',
         )
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -26,9 +26,9 @@
 DRAIN_S = 0.4
 #: Estimated load time of a drained engine.
 LOAD_S = 0.3
-#: Longest idle time between two versions for which an engine skips the first.
-#: A load interrupts service, whereas an idle engine still finishes its
-#: requests.
+#: Longest time from the due time of a version until a newer one is complete
+#: for which the last wave skips the version and is idle meanwhile. A load
+#: interrupts service, whereas an idle engine still finishes its requests.
 MAX_SKIP_GAP_S = 2.9
 #: Time before a load from which on the engine is polled frequently.
 FREQUENT_POLL_LEAD_S = 0.5
@@ -43,8 +43,8 @@
     Attributes:
         complete_in_s: seconds until the version is complete; negative after
             that.
-        due_in_s: seconds until engines at the served version receive no more
-            requests.
+        due_in_s: seconds until the due time of the version after the served
+            one (see `TargetVersion.due_at`).
         wave: number of the engine's wave, from 0.
         newer_complete_in_s: seconds until a newer version is complete;
             infinite if there is none.
@@ -99,7 +99,7 @@
         engine: `base.BaseEngine`.
         cluster_view: `base.BaseClusterView`.
         admission: `places.BaseAdmission` of the engine.
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
         staging_lock: held by tasks that write to the engine's staging area.
     """
 
@@ -195,7 +195,12 @@
         )
 
     def _update_admission(self, key, left_s):
-        """Close the admission so that the engine is empty at its load."""
+        """Close the admission ahead of a load, or reopen it without one.
+
+        Args:
+            key: model and version to load.
+            left_s: seconds until the load; infinite if the version is skipped.
+        """
         if math.isinf(left_s):
             if self._draining_for is not None:
                 self._draining_for = None
@@ -216,7 +221,14 @@
             try:
                 await self.engine.load(model, version)
             except base.LoadOutcomeUnknownError as exc:
-                _log.warning('No reply to a load order: {}.', exc)
+                _log.warning(
+                    'No reply to the order to load version {} of {}: {}; sent '
+                    'again after {} s.',
+                    version,
+                    model,
+                    exc,
+                    ORDER_RETRY_S,
+                )
                 await asyncio.sleep(ORDER_RETRY_S)
                 continue
             _log.info('Ordered the load of version {} of {}.', version, model)
--- a/catkinshunt/spread/_peer_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -19,7 +19,7 @@
 
     Args:
         port: port of all sidecars.
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
         timeout_s: timeout of a request in seconds.
         name: name of the requesting member.
     """
@@ -33,7 +33,7 @@
         self._reported_shares = {}
 
     def reported_share(self, peer, model, version):
-        """Return the share of a version in the peer's last reply, or None."""
+        """Return the present share in the peer's last reply, or None."""
         return self._reported_shares.get((peer, model, version))
 
     async def chunk(self, peer, model, version, indices, relay=False):
@@ -44,7 +44,7 @@
             model: name of the model.
             version: its version.
             indices: acceptable chunks.
-            relay: whether this member forwards the chunk to others.
+            relay: whether this member relays the chunk to others.
 
         Raises:
             errors.SourceUnableError: no chunk will be available soon.
@@ -95,7 +95,7 @@
             )
         if head.status != 200:
             raise errors.SourceBusyError(
-                'chunk not available yet',
+                f'reply without a chunk, status {head.status}',
                 step='fetch chunk',
                 peer=peer,
                 chains=_read_chains(head, peer),
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -2,8 +2,10 @@
 
 Every sidecar lists the members of its service from the store. Each chunk has
 an owner, which fetches it from the origin. In every other data centre one
-member fetches it from the owner, and the rest fetch it from that member. A
-chunk thus leaves the origin once and enters each data centre once.
+member, the first receiver, fetches it from the owner and relays it to the
+rest. A chunk thus leaves the origin once and enters each data centre once.
+Members whose engines already serve the version are its holders and are
+preferred as sources.
 
 An unreachable member is excluded: the next member of its data centre, in an
 order common to all members, is the failover owner, and the others fetch the
@@ -22,9 +24,9 @@
 
 #: Name of the origin as a source.
 ORIGIN = 'origin'
-#: Number of owners relative to the connection limit of the origin. After a
-#: power failure the origin still counts old connections, and other members
-#: use it too if their sources fail.
+#: Number of owners per connection that the origin accepts. The rest is a
+#: reserve: after a power failure the origin still counts old connections, and
+#: other members use it too if their sources fail.
 OWNERS_PER_CONNECTION = 0.4
 #: Assumed connection limit of the origin if it is unknown.
 UNKNOWN_CONNECTIONS = 20
@@ -121,6 +123,13 @@
         return names
 
     def _order_sources(self, index):
+        """Return the names of the sources of a chunk, best first.
+
+        The order is: local holders, the local member that receives the chunk
+        first, the sender in another data centre, further local members that
+        receive it before this one. If this member receives it first in its
+        data centre, remote holders precede the senders. The origin is last.
+        """
         receivers = self._first_receivers_of(index)
         owner = receivers[0]
         earlier = self._earlier_members(receivers, index)
@@ -139,7 +148,11 @@
         return [*list(dict.fromkeys(names))[: 1 + MAX_FALLBACKS], ORIGIN]
 
     def _earlier_members(self, receivers, index):
-        """Return the local members that receive a chunk before this one."""
+        """Return the local members that receive a chunk before this one.
+
+        The first is the local one of `receivers`, or the first in rank if
+        there is none; the others follow in rank, each as a fallback.
+        """
         ranked = [*receivers, *self._rank(index)]
         order = self._receive_order(
             next(filter(self._is_local, ranked)), index
@@ -221,6 +234,7 @@
         return member.data_centre == self.local_member.data_centre
 
     def _local_holders(self, index):
+        """Return the other local members whose engine serves the version."""
         return [
             member
             for member in self._reachable(self._rank(index))
@@ -230,6 +244,7 @@
         ]
 
     def _remote_holders(self, index):
+        """Return the remote holders, those of the same region first."""
         remote = [
             member
             for member in self._reachable(self._rank(index))
@@ -291,6 +306,7 @@
             for index, (owner, *_) in receivers_by_chunk.items()
             if owner.data_centre != data_centre
         ]
+        # Uploads by the member that relays a chunk, and by one that owns it.
         per_relayed_chunk = max(1, len(residents) - 1)
         per_owned_chunk = len(residents) - 1 + len(member_counts) - 1
         uploads = {m.name: owned[m.name] * per_owned_chunk for m in residents}
@@ -320,15 +336,15 @@
     """Return whether a transfer continues though a newer version exists.
 
     From the due time of a version until a version at least as new is loaded,
-    no request can start. Compares the length of this gap for both choices and
-    drops the older version if the gap does not grow.
+    no request can start. Compares the length of this gap for both choices; the
+    older version is dropped if the gap does not grow.
 
     Args:
         missing_share: missing share of the older version, from 0 to 1.
         copy_s: seconds to transfer a complete copy.
         load_s: seconds to load a version.
-        older_due_s: seconds until requests need the older version.
-        newer_due_s: seconds until requests need the newer one.
+        older_due_s: seconds until the due time of the older version.
+        newer_due_s: seconds until the due time of the newer one.
 
     Examples:
         >>> finish_older_first(0.3, 5.5, 0.5, 4.0, 8.0)
--- a/catkinshunt/spread/_progress.py
+++ b/catkinshunt/spread/_progress.py
@@ -23,7 +23,7 @@
         self._samples = collections.deque()
 
     def add_sample(self, missing_share, now):
-        """Add the missing share, from 0 to 1."""
+        """Add the missing share of the version, from 0 to 1."""
         self._samples.append((now, missing_share))
         while self._samples[0][0] < now - WINDOW_S and len(self._samples) > 2:
             self._samples.popleft()
--- a/catkinshunt/spread/_source_health.py
+++ b/catkinshunt/spread/_source_health.py
@@ -19,7 +19,7 @@
 
     Args:
         chunk_store: the `ChunkStore` to fill; named in log lines.
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
     """
 
     def __init__(self, chunk_store, clock):
@@ -60,11 +60,14 @@
             self.log_failure(source, exc)
 
     def record_answer(self, source):
-        """Reset the failures of a source that answered without a chunk."""
+        """Reset the exclusion time of a source that answered to its minimum.
+
+        A running exclusion is kept.
+        """
         self._failures.pop(source, None)
 
     def record_success(self, source):
-        """Reset the failures of a source that sent a chunk."""
+        """Reset the exclusion time of a source that sent a chunk."""
         self.record_answer(source)
         if source in self._failing:
             self._failing.discard(source)
@@ -72,7 +75,7 @@
 
     def log_failure(self, source, exc):
         _log.warning(
-            'Source {} failed: {}.',
+            'Fetching from source {} failed: {}.',
             source,
             exc,
             model=self.chunk_store.model,
--- a/catkinshunt/spread/_source_speeds.py
+++ b/catkinshunt/spread/_source_speeds.py
@@ -1,20 +1,20 @@
-"""Detects slow sources and a narrow own link."""
+"""Detects slow sources and a slow link of this instance."""
 
 import collections
 import math
 
 from catkinshunt.spread import _plan
 
-#: Elapsed share of the copy time from which on slow sources are detected.
+#: Part of the copy time after which slow sources are detected.
 MIN_ELAPSED_SHARE = 0.9
 #: A source is slow if its estimated end exceeds the first multiple of the copy
 #: time while the median of the others is below the second. Normal delays at
 #: the start must not count: chunks would be fetched from the origin again.
 SLOW_END_RATIO = 2.0
 MEDIAN_END_RATIO = 1.4
-#: The own link is narrow if the present share is below this fraction both of
-#: the median of the peers and of the share expected at link speed. A link at a
-#: quarter of its speed reaches 0.25 of both.
+#: This instance's link is slow if the present share of the version is below
+#: this fraction both of the median of the peers and of the share expected at
+#: link speed. A link at a quarter of its speed reaches 0.25 of both.
 SLOW_LINK_RATIO = 0.45
 #: Conditions of that check: least number of peers with a reported share, least
 #: median of these shares, and time since the start of the transfer.
@@ -27,11 +27,12 @@
     """Measures the speed of each source in one transfer.
 
     Args:
-        clock: returns seconds on the steady clock.
+        clock: returns seconds on the monotonic clock.
 
     Attributes:
         received: number of received chunks by source.
-        copy_s: seconds in which a copy crosses the own link.
+        copy_s: seconds in which a copy crosses this instance's link; infinite
+            until `start`.
     """
 
     def __init__(self, clock):
@@ -53,9 +54,9 @@
     def is_slow(self, source, queue_lengths):
         """Return whether a source is far slower than most others.
 
-        A member with a narrow link still sends a chunk now and then, but
-        delays all members that wait for its queue. If all sources are equally
-        slow, the own link is the cause, and other sources would not help.
+        A member with a slow link still sends a chunk now and then, but delays
+        all members that wait for its queue. If all sources are equally slow,
+        this instance's link is the cause, and other sources would not help.
 
         Args:
             source: name of the source.
@@ -95,8 +96,8 @@
         Members that wait for chunks relayed by it are delayed by seconds.
 
         Args:
-            share: present share of the version.
-            shares: shares reported by other members.
+            present_share: present share of the version, from 0 to 1.
+            reported_shares: present shares that other members reported.
         """
         elapsed_s = self._elapsed_s()
         if not LINK_CHECK_AFTER_S <= elapsed_s <= self.copy_s:
--- a/catkinshunt/spread/base.py
+++ b/catkinshunt/spread/base.py
@@ -15,7 +15,8 @@
     """State that an engine reports.
 
     Attributes:
-        versions: loaded version by model; only models with all layers.
+        versions: version by model, of the models that are loaded with all
+            layers.
         is_loading: a load order is in progress.
         request_count: requests in the engine, running and waiting.
     """
@@ -84,6 +85,8 @@
 class BaseClusterView(abc.ABC):
     """Target versions and members as one sidecar sees them.
 
+    All times are on the clock of `now`.
+
     Attributes:
         regions: region by data centre.
     """
@@ -92,7 +95,10 @@
 
     @abc.abstractmethod
     def now(self):
-        """Return seconds on the clock of due and expiry times."""
+        """Return seconds on the clock of due and expiry times.
+
+        It may differ from the monotonic clock that measures durations.
+        """
 
     @abc.abstractmethod
     async def target_version(self, report):
@@ -104,10 +110,10 @@
 
     @abc.abstractmethod
     def superseded_at(self, model, version):
-        """Return when engines at `version` stop receiving requests.
+        """Return the due time of the version after `version`.
 
-        This is the due time of the next version; versions after it do not
-        postpone it.
+        From then on, engines at `version` receive no requests. Versions after
+        the next one do not postpone it.
         """
 
     @abc.abstractmethod
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -33,7 +33,7 @@
 
 
 class Counter:
-    """Counts bytes by source."""
+    """Counts bytes by way: 'peer', 'origin' or 'given'."""
 
     def __init__(self):
         self.counts = {}
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -323,9 +323,9 @@
 def test_failed_transfer_is_retried_after_a_pause():
     """An outage of the store prevents the listing of members.
 
-    Shortly before a load the sidecar polls 20 times a second. Each poll
-    started the transfer again: hundreds of calls to an overloaded store, and
-    as many log lines.
+    Shortly before a load the sidecar polls 20 times a second. If each poll
+    starts the transfer again, the members send hundreds of calls to an
+    overloaded store and write as many log lines.
     """
     calls = []
 
--- a/catkinshunt/spread/tests/test_loader.py
+++ b/catkinshunt/spread/tests/test_loader.py
@@ -19,7 +19,7 @@
 
 
 class LoaderSetup:
-    """A loader of a fake engine, with a clock set by the test."""
+    """A `Loader` with a fake engine and a clock set by the test."""
 
     def __init__(self, version=1, wave=0, due_in_s=5.0):
         self.time = 50.0
@@ -139,9 +139,9 @@
 
 
 def test_stalled_transfer_has_a_long_remaining_time():
-    """The last chunks come from a source with a narrow link.
+    """The last chunks come from a source with a slow link.
 
-    By the missing share alone the version would seem complete soon, and
+    From the missing share alone the version would seem complete soon, and
     drained engines would reject requests that they could serve.
     """
     progress = _progress.Progress()
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -53,7 +53,7 @@
 def test_uploads_are_balanced():
     """All members wait for the one with the most uploads.
 
-    With random owners, some uploaded 1.5 times the mean, and a copy took 7.5 s
+    With random owners, some upload 1.5 times the mean, and a copy takes 7.5 s
     instead of the 5.2 s that the links need.
     """
     made = plans(members({'a': 4, 'b': 3, 'c': 3}))
@@ -68,8 +68,8 @@
 def test_uploads_of_owners_are_balanced_in_a_large_service():
     """In a large service only some members are owners.
 
-    When owners relayed as many chunks as the others, they uploaded 1.5 times
-    the mean, and a copy took 8.4 s instead of 7.0 s.
+    If owners relay as many chunks as the others, they upload 1.5 times the
+    mean, and a copy takes 8.4 s instead of 7.0 s.
     """
     made = plans(members({'a': 11, 'b': 10, 'c': 10}))
     uploads = collections.Counter(
@@ -105,7 +105,7 @@
 
 
 def test_excluded_member_fetches_only_from_peers():
-    """A member with a narrow link serves no chunks.
+    """A member with a slow link serves no chunks.
 
     It must not fetch from the origin as an owner does.
     """
@@ -141,8 +141,8 @@
 def test_duplicate_list_entries_count_once():
     """A restarted engine has a new id while its old list entry remains.
 
-    When its instance counted as two members, the assignment was inconsistent,
-    and no transfer could start until the old entry was removed.
+    If its instance counts as two members, the assignment is inconsistent, and
+    no transfer can start until the old entry is removed.
     """
     listed = members({'a': 3, 'b': 2})
     twice = [*listed, listed[0], listed[1]]
@@ -162,7 +162,7 @@
 def test_number_of_fallback_members_is_limited():
     """Members of a data centre lack a chunk for the same reason.
 
-    Trying ten of them in turn took seconds, while the owner had received the
+    Trying ten of them in turn takes seconds, while the owner has received the
     chunk.
     """
     for plan in plans(members({'a': 12})).values():
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -11,20 +11,20 @@
 
 
 def test_chunks_queued_at_a_slow_source_fail_over(monkeypatch):
-    """The link of one member is narrowed to a quarter.
+    """The link of one member runs at a quarter of its speed.
 
     It still sends a chunk now and then, so no request fails, but all members
-    wait for its queue (a copy took 15 s instead of 6 s). Most of the queue
-    fails over once the other queues are empty.
+    wait for its queue (a copy takes 15 s instead of 6 s). Most of the queue
+    must fail over once the other queues are empty.
     """
 
-    class NarrowPeers(fakes.FakePeers):
+    class SlowPeers(fakes.FakePeers):
         async def chunk(self, peer, model, version, indices, relay=False):
             if peer == 'a1':
                 await asyncio.sleep(0.3)
             return await super().chunk(peer, model, version, indices, relay)
 
-    peers = NarrowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
+    peers = SlowPeers(a1=transfers.ALL_CHUNKS, a2=transfers.ALL_CHUNKS)
     monkeypatch.setattr(
         spread.SourcePlan,
         'sources',
@@ -48,7 +48,7 @@
 
 
 def test_equally_slow_sources_keep_their_queues():
-    """The fetching member has a narrow link, so all sources seem slow.
+    """The fetching member has a slow link, so all sources seem slow.
 
     Fetching from the origin would not be faster, and its bytes are costly.
     """
@@ -71,8 +71,8 @@
     """The origin is down for longer than the owner of a chunk is retried.
 
     The local members wait for this one to relay the chunk. Tried as often as
-    the owner, they delayed it by seconds, and entire data centres lacked one
-    chunk of 96 when the version was due.
+    the owner, they delay it by seconds, and entire data centres lack one chunk
+    of 96 when the version is due.
     """
     monkeypatch.setattr(_fetcher, 'RETRY_S', 0.01)
     wait_s = 0.1
@@ -113,7 +113,7 @@
 def test_unreachable_sources_are_retried_with_a_pause():
     """The owner of a chunk was removed, and the origin is down.
 
-    Retried without a pause, they caused 60 connections and log lines a second
+    Retried without a pause, they cause 60 connections and log lines a second
     on each member during the outage.
     """
 
@@ -196,7 +196,7 @@
 def test_source_without_the_version_is_dropped_at_once():
     """A member does not fetch the version that others expect from it.
 
-    Retried like a member that is about to have it, it delayed its queue by
+    Retried like a member that is about to have it, it delays its queue by
     seconds.
     """
 
--- a/catkinshunt/spread/tests/test_swarm.py
+++ b/catkinshunt/spread/tests/test_swarm.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-#: 31 members in three data centres, as in an incident.
+#: 31 members in three data centres.
 THREE_DATA_CENTRES = swarm.Scale({'larisa': 11, 'piraeus': 10, 'sindos': 10})
 #: The same with 12 added engines, eight of which start late.
 GROWN = swarm.Scale({'larisa': 13, 'piraeus': 17, 'sindos': 13})
@@ -17,8 +17,8 @@
     {'larisa': 16, 'piraeus': 15, 'sindos': 15, 'patra': 15, 'iraklio': 15},
     region_mbps=12.0,
 )
-#: Limit of the time in which a recovered origin sends the missing chunks, by
-#: the time that its link needs for them.
+#: Limit of the time in which a recovered origin sends the missing chunks,
+#: relative to the time that its link needs for them.
 MAX_RECOVERY_RATIO = 1.2
 #: Seconds until a killed sidecar is restarted.
 DOWN_S = 0.8
@@ -33,7 +33,7 @@
 
 
 class Fault:
-    """Members that are dead, start late or have a narrow link."""
+    """Members that are dead, start late or have a slow link."""
 
     def __init__(self, scale, numbers):
         self.swarm = swarm.Swarm(scale)
@@ -59,7 +59,7 @@
             instance.start(2)
 
     def narrow(self, share):
-        """Reduce the links of the faulty members to a share."""
+        """Reduce the link speed of the faulty members to a share."""
         for instance in self.instances:
             instance.uplink.bytes_per_s *= share
             instance.downlink.bytes_per_s *= share
@@ -103,10 +103,9 @@
 def test_dead_members_do_not_cause_many_origin_fetches():
     """Five of 31 sidecars are killed when a version is announced.
 
-    Each of the others lost the source of a fifth of its chunks and fetched
-    them from the origin. Its link was busy for 15 s (it sent 330 chunks of a
-    version of 96), all members waited for it, and requests for the model
-    failed once the version was due.
+    Each of the others loses the source of a fifth of its chunks. Without
+    failover owners, all fetch these from the origin: it sends 330 chunks of a
+    version of 96 in 15 s, and requests fail once the version is due.
     """
     service = run_with_dead_members(
         THREE_DATA_CENTRES, dead=(3, 4, 10, 13, 22)
@@ -118,7 +117,7 @@
     """Eight added members finish the transfer of an older version first.
 
     They are the sources of a fifth of the chunks. They answer, so no request
-    fails, and a version was complete only after 15 s.
+    fails; if all wait for them, the version is complete only after 15 s.
     """
 
     async def scenario():
@@ -136,10 +135,10 @@
 
 
 def test_members_with_slow_links_do_not_delay_others():
-    """The links of three members are narrowed to a quarter.
+    """The links of three members run at a quarter of their speed.
 
-    They still send a chunk now and then; all others completed the version
-    after 14 to 18 s, later than its due time.
+    They still send a chunk now and then. If all others wait for them, these
+    complete the version after 14 to 18 s, later than its due time.
     """
 
     async def scenario():
