--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -13,7 +13,7 @@
 #: Size of one write. Events of streams on the same link are delayed by the
 #: time that one write takes.
 SLICE_BYTES = 4096
-#: Polling interval while a request waits for its version to be started.
+#: Polling interval while a request waits until its transfer starts.
 POLL_S = 0.05
 #: Share of the link for chunks; the rest is for live responses. Several
 #: senders share a receiver's link, and near its full speed requests and events
