--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -18,7 +18,7 @@
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
-    context.retry_budget('desk').offer()
+    context.retry_budget('desk').add_request()
     server = gateway.Gateway(context)
     _entry.register_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -63,7 +63,7 @@
         link_mbps: speed of the instance's link.
         byte_counter: counts bytes by way: received from a 'peer' or the
             'origin'.
-        admission: `places.BaseAdmission` of the engine.
+        admission: `places.BasePermitAdmission` of the engine.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self._loader = _loader.Loader(
             engine, cluster_view, admission, clock, self._staging_lock
         )
-        self._outage = logs.Outage(
+        self._outage = logs.OutageLogger(
             _log, 'Reconciling the engine failed: {}.', 'Engine reports again.'
         )
 
