--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -131,7 +131,7 @@
         header_timeout_s = self._header_timeout_s(req, remaining_s)
         # The sidecar may close an idle connection at any time. A request lost
         # on it may have run, and could not be retried unless idempotent.
-        conn, _ = self.pool.take(
+        conn, _ = self.pool.acquire(
             address, header_timeout_s, fresh=not req.idempotent
         )
         peer = str(address)
@@ -177,8 +177,8 @@
         """
         resp = open_resp.resp
         try:
-            yield from httpio.iter_pieces(resp, open_resp.sock)
-        except httpio.BROKEN as exc:
+            yield from httpio.iter_body(resp, open_resp.sock)
+        except httpio.READ_ERRORS as exc:
             open_resp.close()
             raise _incomplete(open_resp, repr(exc)) from exc
         if resp.length:
@@ -188,7 +188,7 @@
         # body with a length, and would reject the next request.
         resp.close()
         open_resp.conn_returned = True
-        self.pool.give_back(open_resp.address, open_resp.conn)
+        self.pool.release(open_resp.address, open_resp.conn)
 
     def read_all(self, open_resp):
         """Return the complete body.
--- a/catkinshunt/sidecar/_forward.py
+++ b/catkinshunt/sidecar/_forward.py
@@ -80,7 +80,7 @@
         Raises:
             errors.RefusedError: connection failed; the request did not run.
         """
-        conn, reused = self._pool.take(self._upstream, timeout_s, fresh)
+        conn, reused = self._pool.acquire(self._upstream, timeout_s, fresh)
         if reused:
             return conn, True
         try:
@@ -94,9 +94,9 @@
             ) from exc
         return conn, False
 
-    def give_back(self, conn):
+    def release(self, conn):
         """Return a connection to the pool after a complete exchange."""
-        self._pool.give_back(self._upstream, conn)
+        self._pool.release(self._upstream, conn)
 
     def cancel(self, engine_request_id):
         """Cancel a request at the engine."""
@@ -243,14 +243,14 @@
         """
         complete = False
         try:
-            yield from httpio.iter_pieces(resp, sock)
+            yield from httpio.iter_body(resp, sock)
             complete = not resp.length
-        except httpio.BROKEN as exc:
+        except httpio.READ_ERRORS as exc:
             raise self._incomplete(repr(exc)) from exc
         finally:
             resp.close()
             if complete:
-                self.forwarder.give_back(conn)
+                self.forwarder.release(conn)
             else:
                 self._abort(conn)
         if not complete:
