--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -485,7 +485,7 @@
     ),
     Mutation(
         'takeover-without-stampede',
-        'catkinshunt/weights/_draws.py',
+        'catkinshunt/weights/_origin_fetches.py',
         'if draw.own_at > now:',
         'if False:',
     ),
--- a/catkinshunt/engines/_slot.py
+++ b/catkinshunt/engines/_slot.py
@@ -52,7 +52,7 @@
         ):
             raise errors.InvalidRequestError('unknown weights', step='pull')
         transfer = self.get_transfer(*parts[1:])
-        if transfer is None or not transfer.store.whole:
+        if transfer is None or not transfer.store.is_complete:
             raise errors.InvalidRequestError('unknown weights', step='pull')
         length = ('Content-Length', str(transfer.manifest.size_bytes))
-        return httpio.Response(200, transfer.store.read_whole(), (length,))
+        return httpio.Response(200, transfer.store.iter_chunks(), (length,))
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -30,7 +30,7 @@
         self.store = weights.ChunkStore(self.manifest)
         for index in range(3):
             first, end = self.manifest.chunk_range(index)
-            self.store.offer(index, data[first:end])
+            self.store.put(index, data[first:end])
 
 
 class Process:
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -56,7 +56,7 @@
             self.cfg.link_bytes_per_s,
         ).start()
         self._chunks = weights.ChunkApp(
-            self._agent, self.cfg.deployment_key, self._agent.upload_share
+            self._agent, self.cfg.deployment_key, self._agent.upload_pacer
         )
         self._slot = engines.WeightsSlot(
             self.cfg.host, self.port, self._agent.transfer
@@ -97,8 +97,8 @@
         """Count bytes of live requests, to which a transfer yields."""
         if self._agent is not None:
             now = time.monotonic()
-            self._agent.upload_share.observe(n_sent, now)
-            self._agent.download_share.observe(n_received, now)
+            self._agent.upload_pacer.observe(n_sent, now)
+            self._agent.download_pacer.observe(n_received, now)
 
     def _run(self):
         seen = None
@@ -156,11 +156,11 @@
         self._wanted = {place.model: place.version}
         if self._served == self._wanted:
             return True
-        wanted = weights.Wanted(
+        wanted = weights.TargetVersion(
             place.model, place.version, place.lean_fraction
         )
         self._agent.offer(wanted)
-        transfer = self._agent.wait_whole(wanted, WHOLE_WAIT_S)
+        transfer = self._agent.wait_complete(wanted, WHOLE_WAIT_S)
         if transfer is None:
             return False
         self._order(transfer.manifest, conf.revision)
--- a/catkinshunt/weights/__init__.py
+++ b/catkinshunt/weights/__init__.py
@@ -1,12 +1,11 @@
 """Weight distribution: manifests, chunks and the choice of sources."""
 
+from catkinshunt.weights._agent import TargetVersion
 from catkinshunt.weights._agent import TransferAgent
 from catkinshunt.weights._agent import TransferReport
-from catkinshunt.weights._agent import Wanted
 from catkinshunt.weights._app import ChunkApp
-from catkinshunt.weights._gate import UploadGate
-from catkinshunt.weights._link import LinkShare
-from catkinshunt.weights._live import LiveTrafficApp
+from catkinshunt.weights._link_pacer import LinkPacer
+from catkinshunt.weights._live_traffic import LiveTrafficApp
 from catkinshunt.weights._manifest import Manifest
 from catkinshunt.weights._ordered import ChainStrategy
 from catkinshunt.weights._ordered import StripedStrategy
@@ -15,6 +14,7 @@
 from catkinshunt.weights._store import ChunkStore
 from catkinshunt.weights._swarm import SwarmStrategy
 from catkinshunt.weights._timing import Timing
+from catkinshunt.weights._upload_limiter import UploadLimiter
 from catkinshunt.weights._view import Member
 from catkinshunt.weights._view import PeerView
 from catkinshunt.weights._view import Pull
@@ -28,7 +28,7 @@
     'ChainStrategy',
     'ChunkApp',
     'ChunkStore',
-    'LinkShare',
+    'LinkPacer',
     'LiveTrafficApp',
     'Manifest',
     'Member',
@@ -36,12 +36,12 @@
     'Pull',
     'StripedStrategy',
     'SwarmStrategy',
+    'TargetVersion',
     'Timing',
     'TransferAgent',
     'TransferReport',
     'TransferView',
     'TreeStrategy',
-    'UploadGate',
-    'Wanted',
+    'UploadLimiter',
     'rank',
 ]
--- a/catkinshunt/weights/tests/test_store.py
+++ b/catkinshunt/weights/tests/test_store.py
@@ -23,7 +23,7 @@
     wrong = bytes([PARTS[0][0] ^ 1]) + PARTS[0][1:]
     for data in (wrong, PARTS[0][:-1], PARTS[1], b''):
         with pytest.raises(errors.CorruptChunkError):
-            store.offer(0, data)
+            store.put(0, data)
     assert store.get(0) is None
     assert store.bitmap == 0
 
@@ -33,11 +33,11 @@
 def test_whole_only_with_the_last_chunk_in_any_order(order):
     store = weights.ChunkStore(MANIFEST)
     for index in order:
-        assert not store.whole
+        assert not store.is_complete
         with pytest.raises(errors.TransferError, match='not whole'):
-            next(store.read_whole())
-        store.offer(index, PARTS[index])
-    assert b''.join(store.read_whole()) == DATA
+            next(store.iter_chunks())
+        store.put(index, PARTS[index])
+    assert b''.join(store.iter_chunks()) == DATA
 
 
 def test_chunks_that_fit_a_wrong_whole_are_dropped():
@@ -47,10 +47,10 @@
     """
     store = weights.ChunkStore(attrs.evolve(MANIFEST, digest='0' * 64))
     for index, part in enumerate(PARTS[:-1]):
-        store.offer(index, part)
+        store.put(index, part)
     with pytest.raises(errors.CorruptChunkError, match='whole'):
-        store.offer(6, PARTS[6])
-    assert not store.whole
+        store.put(6, PARTS[6])
+    assert not store.is_complete
     assert store.get(0) is None
 
 
@@ -62,12 +62,12 @@
     """
     store = weights.ChunkStore(MANIFEST)
     for index, part in enumerate(PARTS):
-        store.offer(index, part)
-    reader = store.read_whole()
+        store.put(index, part)
+    reader = store.iter_chunks()
     assert next(reader) == PARTS[0]
     store.cancel()
     with pytest.raises(errors.TransferError, match='superseded'):
         list(reader)
     with pytest.raises(errors.TransferError, match='superseded'):
-        store.offer(0, PARTS[0])
+        store.put(0, PARTS[0])
     assert store.get(0) is None
