--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -480,13 +480,13 @@
     Mutation(
         'superseded-transfer-cancelled',
         'catkinshunt/weights/_agent.py',
-        '                self._cancel()\n            self._wanted = wanted\n',
-        '                pass\n            self._wanted = wanted\n',
+        '                self._cancel()\n            self._target = target\n',
+        '                pass\n            self._target = target\n',
     ),
     Mutation(
         'takeover-without-stampede',
         'catkinshunt/weights/_origin_fetches.py',
-        'if draw.own_at > now:',
+        'if fetch.origin_allowed_at > now:',
         'if False:',
     ),
     # Leaving and dead upstreams, planned stops.
--- a/catkinshunt/weights/_agent.py
+++ b/catkinshunt/weights/_agent.py
@@ -19,10 +19,10 @@
 
 RETRY_S = 0.5
 #: Instances that read the manifest from the origin; the others ask them.
-MANIFEST_READERS = 3
+N_MANIFEST_ROOTS = 3
 _MANIFEST_FANOUT = 8
 _MANIFEST_TRIES = 4
-_LEAN_TO_TIME = 0.5
+_MAX_LEAN_TO_WAIT_FOR_STORE = 0.5
 _log = logs.get_logger('weights')
 
 
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        me,
+        own_name,
         key,
         list_members,
         origin,
@@ -89,7 +89,7 @@
         read_timeout_s=3.0,
         random_state=None,
     ):
-        self.me = me
+        self.own_name = own_name
         self.key = key
         self.list_members = list_members
         self.origin = origin
@@ -102,13 +102,13 @@
         self._pool = httpio.ConnectionPool(read_timeout_s)
         self._peers = _sources.PeerSource(key, self._pool, self.download_pacer)
         self._changed = threading.Condition()
-        self._wanted = None
+        self._target = None
         self._transfer = None
         self._stopped = False
 
     def __repr__(self):
         # The key must not reach a log through repr.
-        return f'TransferAgent(me={self.me!r}, origin={self.origin!r})'
+        return f'TransferAgent(me={self.own_name!r}, origin={self.origin!r})'
 
     def start(self):
         """Act on offers in the background."""
@@ -125,15 +125,15 @@
             self._changed.notify_all()
         self._pool.close()
 
-    def offer(self, wanted):
-        """Make `wanted` the version to hold; None holds nothing.
+    def offer(self, target):
+        """Make `target` the version to hold; None holds nothing.
 
         The transfer of another version is cancelled at once.
         """
         with self._changed:
-            if self._key(self._wanted) != self._key(wanted):
+            if self._key(self._target) != self._key(target):
                 self._cancel()
-            self._wanted = wanted
+            self._target = target
             self._changed.notify_all()
 
     def transfer(self, model, version):
@@ -146,14 +146,14 @@
             return None
         return transfer
 
-    def wait_complete(self, wanted, timeout_s):
-        """Return the whole `Transfer` of `wanted`, or None after a while."""
+    def wait_complete(self, target, timeout_s):
+        """Return the whole `Transfer` of `target`, or None after a while."""
         deadline = time.monotonic() + timeout_s
         with self._changed:
             self._changed.wait_for(
-                lambda: self.transfer(*wanted.key) is not None, timeout_s
+                lambda: self.transfer(*target.key) is not None, timeout_s
             )
-        transfer = self.transfer(*wanted.key)
+        transfer = self.transfer(*target.key)
         if transfer is None:
             return None
         left_s = max(0.0, deadline - time.monotonic())
@@ -184,9 +184,9 @@
                 self._changed.wait_for(self._has_work)
                 if self._stopped:
                     return
-                wanted = self._wanted
+                target = self._target
             try:
-                self._begin(wanted)
+                self._begin_transfer(target)
             except Exception as exc:
                 # If the thread ended here, no later version would ever be
                 # fetched, and nothing would say so.
@@ -197,7 +197,7 @@
     def _has_work(self):
         if self._stopped:
             return True
-        return self._wanted is not None and self._transfer is None
+        return self._target is not None and self._transfer is None
 
     def _cancel(self):
         transfer, self._transfer = self._transfer, None
@@ -205,87 +205,89 @@
             transfer.stop()
             _log.info('Version {} is dropped.', transfer.manifest.version)
 
-    def _begin(self, wanted):
-        source = self._origin_source(wanted)
-        manifest = self._find_manifest(wanted, source)
+    def _begin_transfer(self, target):
+        source = self._origin_source(target)
+        manifest = self._find_manifest(target, source)
         with self._changed:
-            if self._stopped or self._key(self._wanted) != wanted.key:
+            if self._stopped or self._key(self._target) != target.key:
                 return
             if manifest is None:
                 self._changed.wait(RETRY_S)
                 return
-            self._transfer = self._make(wanted, manifest, source).start()
+            self._transfer = self._make_transfer(
+                target, manifest, source
+            ).start()
             self._changed.notify_all()
 
-    def _make(self, wanted, manifest, source):
-        timing = _timing.Timing.of(manifest, self.link_bytes_per_s)
+    def _make_transfer(self, target, manifest, source):
+        timing = _timing.Timing.for_link(manifest, self.link_bytes_per_s)
         strategy = _swarm.SwarmStrategy(
-            lean=wanted.lean,
-            origin_copy_s=timing.link_s / _timing.ORIGIN_LINK_RATIO,
+            lean=target.lean,
+            origin_copy_s=timing.copy_s / _timing.ORIGIN_LINK_RATIO,
             takeover_s=timing.takeover_s,
             random_state=self.random_state,
         )
         return _transfer.Transfer(
             manifest,
-            self.me,
-            lambda: self.list_members(wanted),
+            self.own_name,
+            lambda: self.list_members(target),
             strategy,
             self._peers,
             source,
             timing,
         )
 
-    def _origin_source(self, wanted):
+    def _origin_source(self, target):
         return _sources.OriginSource(
             self.origin,
             self._pool,
             self.download_pacer,
             self.weight_store,
-            wait_for_store=wanted.lean < _LEAN_TO_TIME,
+            wait_for_store=target.lean < _MAX_LEAN_TO_WAIT_FOR_STORE,
         )
 
-    def _find_manifest(self, wanted, source):
+    def _find_manifest(self, target, source):
         """Return the manifest from a peer or the origin, or None."""
         try:
-            raw = self._ask_peers(wanted)
+            raw = self._fetch_manifest_from_peers(target)
             if raw is None:
-                raw = source.fetch_manifest(*wanted.key)
+                raw = source.fetch_manifest(*target.key)
             manifest = _manifest.Manifest.loads(raw)
         except errors.TransferError as exc:
-            _log.warning('No manifest of {}: {}', wanted.version, exc)
+            _log.warning('No manifest of {}: {}', target.version, exc)
             return None
-        if (manifest.model, manifest.version) != wanted.key:
+        if (manifest.model, manifest.version) != target.key:
             _log.warning('Manifest names another version than wanted.')
             return None
         return manifest
 
-    def _ask_peers(self, wanted):
+    def _fetch_manifest_from_peers(self, target):
         # At 1,900 instances the manifest alone would draw as much from the
         # origin as many chunks, so it comes down a tree of instances.
-        members = {one.name: one for one in self.list_members(wanted)}
-        names = set(members) | {self.me}
-        order = _rendezvous.rank(f'manifest-{wanted.version}', sorted(names))
-        place = order.index(self.me)
-        if place < MANIFEST_READERS:
+        members = {one.name: one for one in self.list_members(target)}
+        names = set(members) | {self.own_name}
+        order = _rendezvous.rank(f'manifest-{target.version}', sorted(names))
+        position = order.index(self.own_name)
+        if position < N_MANIFEST_ROOTS:
             return None
-        parents = [(place - MANIFEST_READERS) // _MANIFEST_FANOUT]
-        parents += range(MANIFEST_READERS)
+        parents = [(position - N_MANIFEST_ROOTS) // _MANIFEST_FANOUT]
+        parents += range(N_MANIFEST_ROOTS)
         for _ in range(_MANIFEST_TRIES):
             for parent in parents:
-                raw = self._ask_peer(members[order[parent]], wanted)
+                raw = self._fetch_manifest_from(members[order[parent]], target)
                 if raw is not None:
                     return raw
             with self._changed:
                 self._changed.wait(RETRY_S)
-                if self._key(self._wanted) != wanted.key:
+                if self._key(self._target) != target.key:
                     return None
         return None
 
-    def _ask_peer(self, member, wanted):
+    def _fetch_manifest_from(self, member, target):
         try:
-            return self._peers.fetch_manifest(member.address, *wanted.key)
+            return self._peers.fetch_manifest(member.address, *target.key)
         except errors.TransferError:
             return None
 
-    def _key(self, wanted):
-        return None if wanted is None else wanted.key
+    def _key(self, target):
+        return None if target is None else target.key
--- a/catkinshunt/weights/_app.py
+++ b/catkinshunt/weights/_app.py
@@ -23,10 +23,10 @@
         share: `LinkPacer` of the outgoing direction.
     """
 
-    def __init__(self, agent, key, share):
+    def __init__(self, agent, key, pacer):
         self.agent = agent
         self.key = key
-        self.share = share
+        self.pacer = pacer
 
     def __repr__(self):
         # The key must not reach a log through repr.
@@ -52,38 +52,38 @@
         parts = environ['PATH_INFO'].removeprefix(PREFIX).split('/')
         if len(parts) != 3:
             raise errors.InvalidRequestError('no such path', step='read')
-        model, version, what = parts
+        model, version, resource = parts
         transfer = self.agent.transfer(model, version)
         if transfer is None:
             return httpio.Response(404, (), (('Content-Length', '0'),))
-        if what == 'manifest':
+        if resource == 'manifest':
             return self._manifest(transfer)
-        return self._chunk(transfer, what)
+        return self._chunk(transfer, resource)
 
     def _manifest(self, transfer):
         body = transfer.manifest.dumps()
         length = ('Content-Length', str(len(body)))
         return httpio.Response(200, [body], (length,))
 
-    def _chunk(self, transfer, what):
+    def _chunk(self, transfer, resource):
         now = time.monotonic()
-        if what == 'holdings':
+        if resource == 'holdings':
             return self._reply(transfer, 204, now)
-        if not what.isdecimal():
+        if not resource.isdecimal():
             raise errors.InvalidRequestError('no such chunk', step='read')
-        data = transfer.store.get(int(what))
+        data = transfer.store.get(int(resource))
         if data is None:
             return self._reply(transfer, 404, now)
         if not transfer.upload_limiter.begin(len(data), now):
             return self._reply(transfer, 503, now)
-        body = _Upload(data, transfer.upload_limiter, self.share)
+        body = _Upload(data, transfer.upload_limiter, self.pacer)
         return self._reply(transfer, 200, now, body, len(data))
 
     def _reply(self, transfer, status, now, body=(), size_bytes=0):
         copies = transfer.upload_limiter.uploaded_copies(now)
         fields = (
-            (_sources.HOLDINGS, f'{transfer.store.bitmap:x}'),
-            (_sources.UPLOADED, f'{copies:.4f}'),
+            (_sources.BITMAP_HEADER, f'{transfer.store.bitmap:x}'),
+            (_sources.UPLOADED_COPIES_HEADER, f'{copies:.4f}'),
         )
         if status != 204:
             fields += (('Content-Length', str(size_bytes)),)
@@ -93,10 +93,10 @@
 class _Upload:
     """Body of one chunk, paced; gives its place back when closed."""
 
-    def __init__(self, data, upload_limiter, share):
+    def __init__(self, data, upload_limiter, pacer):
         self._data = memoryview(data)
-        self._gate = upload_limiter
-        self._share = share
+        self._upload_limiter = upload_limiter
+        self._pacer = pacer
         self._sent = 0
         self._open = True
 
@@ -104,7 +104,7 @@
         step = _sources.PIECE_BYTES
         for at in range(0, len(self._data), step):
             piece = bytes(self._data[at : at + step])
-            time.sleep(self._share.reserve(len(piece), time.monotonic()))
+            time.sleep(self._pacer.reserve(len(piece), time.monotonic()))
             self._sent += len(piece)
             yield piece
 
@@ -112,4 +112,4 @@
         """Called by the server at the end, also when the peer went away."""
         if self._open:
             self._open = False
-            self._gate.end(len(self._data) - self._sent)
+            self._upload_limiter.end(len(self._data) - self._sent)
--- a/catkinshunt/weights/_link_pacer.py
+++ b/catkinshunt/weights/_link_pacer.py
@@ -14,21 +14,21 @@
 
     Args:
         rate_bytes_per_s: rate of the link in this direction.
-        floor_share: part of the rate that the transfer always gets.
+        min_share: part of the rate that the transfer always gets.
         window_s: seconds over which live bytes are averaged.
         burst_s: seconds of rate that may be sent at once.
 
     Examples:
-        >>> share = LinkPacer(rate_bytes_per_s=100, burst_s=0.0)
-        >>> share.reserve(50, now=0.0), share.reserve(50, now=0.0)
+        >>> pacer = LinkPacer(rate_bytes_per_s=100, burst_s=0.0)
+        >>> pacer.reserve(50, now=0.0), pacer.reserve(50, now=0.0)
         (0.5, 1.0)
     """
 
     def __init__(
-        self, rate_bytes_per_s, floor_share=0.2, window_s=0.5, burst_s=0.02
+        self, rate_bytes_per_s, min_share=0.2, window_s=0.5, burst_s=0.02
     ):
         self.rate_bytes_per_s = rate_bytes_per_s
-        self.floor_share = floor_share
+        self.min_share = min_share
         self.window_s = window_s
         self.burst_s = burst_s
         self._lock = threading.Lock()
@@ -45,19 +45,19 @@
     def available_bytes_per_s(self, now):
         """Return the rate left to transfers."""
         with self._lock:
-            return self._left(now)
+            return self._available(now)
 
     def reserve(self, n_bytes, now):
         """Take `n_bytes` of the share; return the seconds to wait."""
         with self._lock:
-            rate = self._left(now)
+            rate = self._available(now)
             begin = max(now - self.burst_s, self._free_at)
             self._free_at = begin + n_bytes / rate
             return max(0.0, self._free_at - now)
 
-    def _left(self, now):
+    def _available(self, now):
         self._decay(now)
-        floor = self.floor_share * self.rate_bytes_per_s
+        floor = self.min_share * self.rate_bytes_per_s
         return max(floor, self.rate_bytes_per_s - self._live_rate)
 
     def _decay(self, now):
--- a/catkinshunt/weights/_ordered.py
+++ b/catkinshunt/weights/_ordered.py
@@ -23,8 +23,8 @@
         self.max_pulls = max_pulls
 
     @abc.abstractmethod
-    def parents(self, order, me, stripe):
-        """Return the ancestors of `me`, nearest first, without the origin."""
+    def parents(self, order, own_name, stripe):
+        """Return the ancestors of an instance, nearest first, without origin."""
 
     def neighbours(self, view, now):
         chosen = [self._parent(view, i, now) for i in range(self.n_stripes)]
@@ -58,10 +58,11 @@
             names = tuple(one.name for one in view.members)
             order = _rendezvous.rank('order', names)
             view.plan = [
-                self.parents(order, view.me, i) for i in range(self.n_stripes)
+                self.parents(order, view.own_name, i)
+                for i in range(self.n_stripes)
             ]
         for name in view.plan[stripe]:
-            if view.usable(name, now):
+            if view.is_usable(name, now):
                 return name
         return base.ORIGIN
 
@@ -69,8 +70,8 @@
 class ChainStrategy(BaseOrderedStrategy):
     """Each instance pulls from the one before it."""
 
-    def parents(self, order, me, stripe):
-        return order[: order.index(me)][::-1]
+    def parents(self, order, own_name, stripe):
+        return order[: order.index(own_name)][::-1]
 
 
 class TreeStrategy(BaseOrderedStrategy):
@@ -80,8 +81,8 @@
         super().__init__(max_pulls)
         self.fanout = fanout
 
-    def parents(self, order, me, stripe):
-        return _ancestors(order, order.index(me), self.fanout)
+    def parents(self, order, own_name, stripe):
+        return _ancestors(order, order.index(own_name), self.fanout)
 
 
 class StripedStrategy(BaseOrderedStrategy):
@@ -91,13 +92,13 @@
         super().__init__(max_pulls)
         self.n_stripes = n_stripes
 
-    def parents(self, order, me, stripe):
+    def parents(self, order, own_name, stripe):
         # Interior instances of this stripe come first in its tree, so that
         # the leaves are those that are interior elsewhere.
         inner = order[stripe :: self.n_stripes]
         rest = [name for name in order if name not in set(inner)]
         tree = list(inner) + rest
-        return _ancestors(tree, tree.index(me), self.n_stripes)
+        return _ancestors(tree, tree.index(own_name), self.n_stripes)
 
 
 def _ancestors(order, index, fanout):
--- a/catkinshunt/weights/_origin_fetches.py
+++ b/catkinshunt/weights/_origin_fetches.py
@@ -11,21 +11,21 @@
 _MAX_STRIPES = 256
 #: An earlier drawer that lives gets this many times the takeover time: its
 #: link may be slow, and a second copy would slow it further.
-_PATIENCE = 4
+_REACHABLE_OWNER_FACTOR = 4
 #: Instances of another data centre that are asked for a chunk, in turn; one
 #: alone may have spent its budget.
-_REMOTE = 8
+_MAX_REMOTE_HOLDERS = 8
 
 
 @attrs.define
-class Draw:
+class OriginFetch:
     """A chunk that this instance may have to fetch outside the swarm.
 
     Args:
         chunk: number of the chunk.
         due_at: earliest time of the first attempt.
-        own_at: time from which the origin may be asked although an earlier
-            drawer lives.
+        origin_allowed_at: time from which the origin may be used although an
+            earlier owner is reachable.
         extra: whether this copy is wanted though others hold the chunk.
         earlier: names of the drawers of this data centre that come before
             this instance.
@@ -35,14 +35,14 @@
 
     chunk = attrs.field()
     due_at = attrs.field()
-    own_at = attrs.field()
-    extra = attrs.field()
-    earlier = attrs.field(default=())
-    remote = attrs.field(default=())
+    origin_allowed_at = attrs.field()
+    is_extra_copy = attrs.field()
+    earlier_owners = attrs.field(default=())
+    remote_holders = attrs.field(default=())
 
 
-def plan_draws(view, strategy):
-    """Return the draws of ``view.me``, the last due first.
+def plan_origin_fetches(view, strategy):
+    """Return the draws of ``view.own_name``, the last due first.
 
     Every instance works this out for itself: the order of data centres and
     of instances for a chunk follows from rendezvous hashing over the list.
@@ -51,12 +51,12 @@
     for one in view.members:
         names.setdefault(one.data_centre, []).append(one.name)
     names = {key: tuple(value) for key, value in names.items()}
-    draws = [_plan(view, strategy, names, c) for c in range(view.n_chunks)]
-    return sorted(draws, key=lambda draw: -draw.due_at)
+    fetches = [_plan(view, strategy, names, c) for c in range(view.n_chunks)]
+    return sorted(fetches, key=lambda fetch: -fetch.due_at)
 
 
-def choose_draw(view, draw, near, seen, now):
-    """Return the `Pull` by which `draw` is done at `now`, or None.
+def choose_pull(view, fetch, neighbour_chunks, known_chunks, now):
+    """Return the `Pull` by which `fetch` is done at `now`, or None.
 
     Earlier drawers are asked before the origin. Without that, every instance
     that misses a chunk of a dead drawer would draw it, and the origin's link
@@ -64,29 +64,33 @@
 
     Args:
         view: what the instance knows.
-        draw: a `Draw` that is due.
+        draw: a `OriginFetch` that is due.
         near: chunks that some neighbour holds; they come from there.
         seen: chunks that some usable peer is known to hold.
         now: the present time, in seconds.
     """
-    if not draw.extra and near >> draw.chunk & 1:
+    if not fetch.is_extra_copy and neighbour_chunks >> fetch.chunk & 1:
         return None
-    if draw.own_at > now:
-        for name in draw.earlier:
-            if view.usable(name, now):
-                return _ask(view, draw.chunk, (name,), now)
-        remote = [name for name in draw.remote if view.usable(name, now)]
-        if remote:
-            return _ask(view, draw.chunk, remote, now)
-    if not draw.extra and seen >> draw.chunk & 1:
+    if fetch.origin_allowed_at > now:
+        for name in fetch.earlier_owners:
+            if view.is_usable(name, now):
+                return _pull_from_first_idle(view, fetch.chunk, (name,), now)
+        remote_holders = [
+            name for name in fetch.remote_holders if view.is_usable(name, now)
+        ]
+        if remote_holders:
+            return _pull_from_first_idle(
+                view, fetch.chunk, remote_holders, now
+            )
+    if not fetch.is_extra_copy and known_chunks >> fetch.chunk & 1:
         return None
     origin = view.peer(base.ORIGIN)
     if max(origin.busy_until, origin.avoid_until) > now:
         return None
-    return _view.Pull(draw.chunk, base.ORIGIN)
+    return _view.Pull(fetch.chunk, base.ORIGIN)
 
 
-def _ask(view, chunk, names, now):
+def _pull_from_first_idle(view, chunk, names, now):
     for name in names:
         peer = view.peer(name)
         if peer.busy_until <= now and not peer.pulls:
@@ -96,27 +100,41 @@
 
 def _plan(view, strategy, names, chunk):
     stripe = chunk % min(view.n_chunks, _MAX_STRIPES)
-    homes = _rendezvous.rank(f'data_centre-{stripe}', tuple(sorted(names)))
-    home = view.data_centres[view.me]
-    local = _rendezvous.rank(f'chunk-{stripe}', names[home])
-    place = homes.index(home)
-    rank = local.index(view.me)
-    turn = rank * len(homes) + place
+    ranked_data_centres = _rendezvous.rank(
+        f'data_centre-{stripe}', tuple(sorted(names))
+    )
+    own_data_centre = view.data_centres[view.own_name]
+    local = _rendezvous.rank(f'chunk-{stripe}', names[own_data_centre])
+    data_centre_rank = ranked_data_centres.index(own_data_centre)
+    rank = local.index(view.own_name)
+    owner_rank = rank * len(ranked_data_centres) + data_centre_rank
     pace_s = strategy.origin_copy_s / view.n_chunks
-    if turn < strategy.copies(chunk):
-        due_at = view.started_at + pace_s * (turn * view.n_chunks + chunk)
-        return Draw(chunk, due_at, due_at, turn > 0)
+    if owner_rank < strategy.count_origin_copies(chunk):
+        due_at = view.started_at + pace_s * (
+            owner_rank * view.n_chunks + chunk
+        )
+        return OriginFetch(chunk, due_at, due_at, owner_rank > 0)
     first_at = view.started_at + pace_s * (chunk + 1)
     if rank == 0:
         due_at = first_at
     else:
         due_at = first_at + strategy.takeover_s * (1 + math.log2(rank))
-    own_at = first_at + _PATIENCE * strategy.takeover_s * (1 + turn)
-    remote = [
+    origin_allowed_at = (
+        first_at
+        + _REACHABLE_OWNER_FACTOR * strategy.takeover_s * (1 + owner_rank)
+    )
+    remote_holders = [
         name
-        for one in homes[:place]
-        for name in _rendezvous.rank(f'chunk-{stripe}', names[one])[:_REMOTE]
+        for one in ranked_data_centres[:data_centre_rank]
+        for name in _rendezvous.rank(f'chunk-{stripe}', names[one])[
+            :_MAX_REMOTE_HOLDERS
+        ]
     ]
-    return Draw(
-        chunk, due_at, own_at, False, tuple(local[:rank]), tuple(remote)
+    return OriginFetch(
+        chunk,
+        due_at,
+        origin_allowed_at,
+        False,
+        tuple(local[:rank]),
+        tuple(remote_holders),
     )
--- a/catkinshunt/weights/_sources.py
+++ b/catkinshunt/weights/_sources.py
@@ -11,9 +11,9 @@
 
 PIECE_BYTES = 256 * 1024
 #: Chunks that the replying sidecar holds, as a hexadecimal number.
-HOLDINGS = 'Catkinshunt-Holdings'
+BITMAP_HEADER = 'Catkinshunt-Holdings'
 #: Copies that the replying sidecar has sent.
-UPLOADED = 'Catkinshunt-Uploaded-Copies'
+UPLOADED_COPIES_HEADER = 'Catkinshunt-Uploaded-Copies'
 _PEER_STATUSES = (
     http.client.OK,
     http.client.NO_CONTENT,
@@ -41,10 +41,10 @@
         share: `LinkPacer` of the incoming direction.
     """
 
-    def __init__(self, key, pool, share):
+    def __init__(self, key, pool, pacer):
         self.key = key
         self.pool = pool
-        self.share = share
+        self.pacer = pacer
 
     def fetch(self, address, manifest, index, timeout_s):
         """Ask for one chunk; the reply may come without it.
@@ -58,12 +58,12 @@
         with self._exchange(address, path) as resp:
             data = None
             if resp.status == http.client.OK:
-                data = read_body(resp, end - first, self.share, deadline)
+                data = read_body(resp, end - first, self.pacer, deadline)
             else:
                 resp.read()
             return _peer_reply(resp, address, data)
 
-    def ask(self, address, manifest):
+    def fetch_state(self, address, manifest):
         """Ask what the peer holds."""
         path = chunk_path(manifest.model, manifest.version, 'holdings')
         with self._exchange(address, path) as resp:
@@ -96,11 +96,11 @@
     """
 
     def __init__(
-        self, origin, pool, share, weight_store=None, wait_for_store=False
+        self, origin, pool, pacer, weight_store=None, wait_for_store=False
     ):
         self.origin = origin
         self.pool = pool
-        self.share = share
+        self.pacer = pacer
         self.weight_store = weight_store
         self.wait_for_store = wait_for_store
         self.store_bytes = 0
@@ -152,7 +152,7 @@
             self._check(
                 resp, address, http.client.PARTIAL_CONTENT, 'draw chunk'
             )
-            return read_body(resp, end - first, self.share, deadline)
+            return read_body(resp, end - first, self.pacer, deadline)
 
     def _check(self, resp, address, wanted, step):
         if resp.status == wanted:
@@ -161,19 +161,19 @@
             http.client.TOO_MANY_REQUESTS,
             http.client.SERVICE_UNAVAILABLE,
         )
-        kind = errors.TransferError
+        error_class = errors.TransferError
         extra = {}
         if resp.status in busy:
-            kind = errors.SourceBusyError
+            error_class = errors.SourceBusyError
             extra['retry_after_s'] = _retry_after_s(resp)
-        raise kind(
+        raise error_class(
             f'status {resp.status}', step=step, peer=str(address), **extra
         )
 
 
-def chunk_path(model, version, what):
-    """Return the path below which a sidecar serves `what`."""
-    return f'/chunks/{model}/{version}/{what}'
+def chunk_path(model, version, resource):
+    """Return the path below which a sidecar serves `resource`."""
+    return f'/chunks/{model}/{version}/{resource}'
 
 
 @contextlib.contextmanager
@@ -203,8 +203,8 @@
         conn.close()
 
 
-def read_body(resp, size_bytes, share, deadline):
-    """Return a body of exactly `size_bytes`, paced by `share`.
+def read_body(resp, size_bytes, pacer, deadline):
+    """Return a body of exactly `size_bytes`, paced by `pacer`.
 
     Raises:
         TransferError: another length, or not whole by `deadline`. A peer
@@ -223,7 +223,7 @@
         now = time.monotonic()
         if now > deadline:
             raise errors.TransferError('too slow', step='read')
-        time.sleep(share.reserve(len(piece), now))
+        time.sleep(pacer.reserve(len(piece), now))
     resp.read()
     return bytes(data)
 
@@ -234,8 +234,8 @@
             f'status {resp.status}', step='pull chunk', peer=str(address)
         )
     try:
-        bitmap = int(resp.getheader(HOLDINGS, ''), 16)
-        copies = float(resp.getheader(UPLOADED, ''))
+        bitmap = int(resp.getheader(BITMAP_HEADER, ''), 16)
+        copies = float(resp.getheader(UPLOADED_COPIES_HEADER, ''))
     except ValueError:
         bitmap = copies = -1
     if bitmap < 0 or not copies >= 0:
--- a/catkinshunt/weights/_swarm.py
+++ b/catkinshunt/weights/_swarm.py
@@ -10,7 +10,7 @@
 MAX_ORIGIN_COPIES = 4
 _FRACTION_STEPS = 1000
 #: Takeover times without one new chunk after which the origin is asked.
-_STUCK = 5
+_STUCK_TAKEOVER_TIMES = 5
 
 
 class SwarmStrategy(base.BaseStrategy):
@@ -50,7 +50,7 @@
         self.random_state = random_state
         self._random = None
 
-    def copies(self, chunk):
+    def count_origin_copies(self, chunk):
         """Return how many copies of `chunk` the origin is to send."""
         lean = checks.check_fraction(self.lean, 'lean')
         wanted = 1 + lean * (MAX_ORIGIN_COPIES - 1)
@@ -58,13 +58,13 @@
         return int(wanted + part / _FRACTION_STEPS)
 
     def neighbours(self, view, now):
-        usable = [
-            name for name in self._ranked(view) if view.usable(name, now)
+        usable_names = [
+            name for name in self._ranked(view) if view.is_usable(name, now)
         ]
         # Peers with a spent budget come last, but stay known: they show
         # that a chunk is held, and need not be drawn from the origin.
-        usable.sort(key=lambda name: self._depleted(view, name))
-        return tuple(usable[: self.n_neighbours])
+        usable_names.sort(key=lambda name: self._has_spent_budget(view, name))
+        return tuple(usable_names[: self.n_neighbours])
 
     def choose(self, view, now):
         if view.n_pulls >= self.max_pulls:
@@ -75,75 +75,83 @@
         return pull
 
     def _choose_due(self, view, now):
-        draws, waiting = self._plan(view)
-        while draws and draws[-1].due_at <= now:
-            waiting.append(draws.pop())
+        fetches, waiting = self._plan(view)
+        while fetches and fetches[-1].due_at <= now:
+            waiting.append(fetches.pop())
         missing = view.missing
         held = view.bitmap
         waiting[:] = [one for one in waiting if not held >> one.chunk & 1]
         if not waiting:
             return None
-        near, seen = self._seen(view, now)
-        late = self._joins_late(view)
-        for draw in waiting:
-            if not missing >> draw.chunk & 1 or (late and draw.extra):
+        neighbour_chunks, known_chunks = self._known_chunks(view, now)
+        is_late_joiner = self._is_late_joiner(view)
+        for fetch in waiting:
+            if not missing >> fetch.chunk & 1 or (
+                is_late_joiner and fetch.is_extra_copy
+            ):
                 continue
-            pull = _origin_fetches.choose_draw(view, draw, near, seen, now)
+            pull = _origin_fetches.choose_pull(
+                view, fetch, neighbour_chunks, known_chunks, now
+            )
             if pull is not None:
                 return pull
         return None
 
-    def _seen(self, view, now):
+    def _known_chunks(self, view, now):
         # A peer that is no neighbour any more is not asked again. If it
         # died with the only copy of a chunk, old knowledge of it would keep
         # every drawer waiting; one notices by a last chunk that never comes.
         if self._is_stuck(view, now):
             return 0, 0
-        near = seen = 0
+        neighbour_chunks = known_chunks = 0
         asked = set(self.neighbours(view, now))
         for name, peer in view.peers.items():
             fresh = now - peer.observed_at <= self.takeover_s
-            if (fresh or name in asked) and view.usable(name, now):
-                seen |= peer.bitmap
-                near |= peer.bitmap if name in asked else 0
-        return near, seen
+            if (fresh or name in asked) and view.is_usable(name, now):
+                known_chunks |= peer.bitmap
+                neighbour_chunks |= peer.bitmap if name in asked else 0
+        return neighbour_chunks, known_chunks
 
     def _is_stuck(self, view, now):
         # Peers that hold a chunk and never have a place for this instance
         # would keep it waiting for ever: the origin is there for that. The
         # wait differs from one instance to the next, against a stampede.
-        part = _rendezvous.score('stuck', view.me) % _FRACTION_STEPS
-        wait_s = _STUCK * (1 + part / _FRACTION_STEPS) * self.takeover_s
+        part = _rendezvous.score('stuck', view.own_name) % _FRACTION_STEPS
+        wait_s = (
+            _STUCK_TAKEOVER_TIMES
+            * (1 + part / _FRACTION_STEPS)
+            * self.takeover_s
+        )
         return now - view.progress_at > wait_s
 
-    def _joins_late(self, view):
+    def _is_late_joiner(self, view):
         """Whether a peer is whole, so that the origin need not help."""
-        everything = (1 << view.n_chunks) - 1
-        return any(one.bitmap == everything for one in view.peers.values())
+        all_chunks = (1 << view.n_chunks) - 1
+        return any(one.bitmap == all_chunks for one in view.peers.values())
 
     def _choose_rarest(self, view, now):
         missing = view.missing
         names = [
             name
             for name in self.neighbours(view, now)
-            if self._free(view, name, missing, now)
+            if self._can_pull_from(view, name, missing, now)
         ]
         if not names:
             return None
         wanted = 0
         for name in names:
             wanted |= view.peers[name].bitmap
-        chunk = self._pick(_rarest(view, wanted & missing))
+        chunk = self._pick_random_bit(_rarest(view, wanted & missing))
         holders = [
             name for name in names if view.peers[name].bitmap >> chunk & 1
         ]
         return _view.Pull(chunk, self._least_uploaded(view, holders))
 
-    def _free(self, view, name, missing, now):
+    def _can_pull_from(self, view, name, missing, now):
         peer = view.peer(name)
         if peer.pulls or peer.busy_until > now:
             return False
-        if self._depleted(view, name):
+        if self._has_spent_budget(view, name):
             return False
         return bool(peer.bitmap & missing)
 
@@ -152,11 +160,11 @@
             names,
             key=lambda name: (
                 view.peers[name].uploaded_copies,
-                _rendezvous.score(view.me, name),
+                _rendezvous.score(view.own_name, name),
             ),
         )
 
-    def _depleted(self, view, name):
+    def _has_spent_budget(self, view, name):
         peer = view.peers.get(name)
         if peer is None or self.budget_copies is None:
             return False
@@ -170,9 +178,9 @@
     def _plan(self, view):
         if view.plan is None:
             view.plan = _Plan(self, view)
-        return view.plan.draws, view.plan.waiting
+        return view.plan.fetches, view.plan.waiting
 
-    def _pick(self, mask):
+    def _pick_random_bit(self, mask):
         # The first bit at or after a random place: cheap on a wide mask.
         if self._random is None:
             self._random = checks.check_random_state(self.random_state)
@@ -185,17 +193,19 @@
     """What follows from the instance list alone."""
 
     def __init__(self, strategy, view):
-        self.draws = _origin_fetches.plan_draws(view, strategy)
+        self.fetches = _origin_fetches.plan_origin_fetches(view, strategy)
         self.waiting = []
         self.ranked = _rank_neighbours(strategy, view)
 
 
 def _rank_neighbours(strategy, view):
     """Return all peers by rendezvous rank, some local ones first."""
-    names = [one.name for one in view.members if one.name != view.me]
-    names.sort(key=lambda name: _rendezvous.score(view.me, name))
-    home = view.data_centres[view.me]
-    local = [name for name in names if view.data_centres[name] == home]
+    names = [one.name for one in view.members if one.name != view.own_name]
+    names.sort(key=lambda name: _rendezvous.score(view.own_name, name))
+    own_data_centre = view.data_centres[view.own_name]
+    local = [
+        name for name in names if view.data_centres[name] == own_data_centre
+    ]
     if len(local) == len(names):
         return names
     n_remote = round(strategy.lean * strategy.n_neighbours)
--- a/catkinshunt/weights/_transfer.py
+++ b/catkinshunt/weights/_transfer.py
@@ -15,13 +15,13 @@
 from catkinshunt.weights import base
 
 #: Draws from the origin that this instance has under way at most.
-ORIGIN_TASKS = 4
+MAX_ORIGIN_PULLS = 4
 #: A peer that sent a wrong chunk is left alone this many times longer.
-CORRUPT_FACTOR = 30
-_GREETING_S = 2.0
-_STORE_RETRY_S = 1.0
-_ASK = object()
-_END = object()
+CORRUPT_AVOID_FACTOR = 30
+_INITIAL_QUERY_TIMEOUT_S = 2.0
+_ORIGIN_RETRY_S = 1.0
+_QUERY = object()
+_STOP = object()
 _log = logs.get_logger('weights')
 
 
@@ -31,7 +31,7 @@
 
     peer_bytes = attrs.field(default=0)
     pulls = attrs.field(default=0)
-    asks = attrs.field(default=0)
+    queries = attrs.field(default=0)
     failures = attrs.field(default=0)
     corrupt_chunks = attrs.field(default=0)
 
@@ -55,7 +55,7 @@
     def __init__(
         self,
         manifest,
-        me,
+        own_name,
         list_members,
         strategy,
         peer_source,
@@ -63,7 +63,7 @@
         timing,
     ):
         self.manifest = manifest
-        self.me = me
+        self.own_name = own_name
         self.list_members = list_members
         self.strategy = strategy
         self.peer_source = peer_source
@@ -79,16 +79,16 @@
         self.counters = Counters()
         self.changed = threading.Condition()
         self._members = {}
-        self._tasks = {}
-        self._asked_at = {}
+        self._task_queues = {}
+        self._queried_at = {}
 
     def start(self):
         """Begin to pull in the background."""
         now = time.monotonic()
         self._view = _view.TransferView(
-            self.me, self._list(), len(self.manifest.chunks), now
+            self.own_name, self._read_members(), len(self.manifest.chunks), now
         )
-        self._listed_at = now
+        self._members_read_at = now
         threading.Thread(
             target=self._run,
             name=f'transfer-{self.manifest.version}',
@@ -116,15 +116,15 @@
         return self.store.is_complete
 
     def _run(self):
-        self._greet()
+        self._query_neighbours()
         while not (self.store.is_complete or self.failed):
             with self.changed:
                 now = time.monotonic()
-                self._relist(now)
-                self._hand_out(now)
+                self._refresh_members(now)
+                self._schedule(now)
                 self.changed.wait(self.timing.poll_s)
-        for task in self._tasks.values():
-            task.put(_END)
+        for task_queue in self._task_queues.values():
+            task_queue.put(_STOP)
         if self.store.is_complete:
             self.upload_limiter.start_budget_decay(time.monotonic())
             _log.info(
@@ -133,66 +133,72 @@
                 self.manifest.model,
             )
 
-    def _greet(self):
+    def _query_neighbours(self):
         # Peers may hold everything already, as after a restart of this
         # process; drawing before they were asked would cost origin bytes.
         with self.changed:
             names = self._neighbours(time.monotonic())
             for name in names:
-                self._ask(name, time.monotonic())
+                self._enqueue_query(name, time.monotonic())
             self.changed.wait_for(
-                lambda: self.failed or all(map(self._known, names)),
-                _GREETING_S,
+                lambda: (
+                    self.failed or all(map(self._has_replied_or_failed, names))
+                ),
+                _INITIAL_QUERY_TIMEOUT_S,
             )
 
-    def _known(self, name):
+    def _has_replied_or_failed(self, name):
         peer = self._view.peer(name)
         return peer.observed_at > 0 or peer.consecutive_failures > 0
 
     def _neighbours(self, now):
         return self.strategy.neighbours(self._view, now)
 
-    def _hand_out(self, now):
+    def _schedule(self, now):
         for name in self._neighbours(now):
             peer = self._view.peer(name)
-            age_s = now - max(peer.observed_at, self._asked_at.get(name, 0.0))
+            age_s = now - max(
+                peer.observed_at, self._queried_at.get(name, 0.0)
+            )
             idle = self._view.n_pulls < self.strategy.max_pulls
             due_s = self.timing.poll_s if idle else self.timing.refresh_s
             if not peer.pulls and age_s >= due_s:
-                self._ask(name, now)
+                self._enqueue_query(name, now)
         while (pull := self.strategy.choose(self._view, now)) is not None:
             self._view.begin(pull)
-            self._put(pull.peer, pull)
+            self._enqueue(pull.peer, pull)
 
-    def _ask(self, name, now):
-        self._asked_at[name] = now
-        self._put(name, _ASK)
+    def _enqueue_query(self, name, now):
+        self._queried_at[name] = now
+        self._enqueue(name, _QUERY)
 
-    def _put(self, name, item):
-        if name not in self._tasks:
-            self._tasks[name] = queue.SimpleQueue()
-            n_threads = ORIGIN_TASKS if name == base.ORIGIN else 1
+    def _enqueue(self, name, item):
+        if name not in self._task_queues:
+            self._task_queues[name] = queue.SimpleQueue()
+            n_threads = MAX_ORIGIN_PULLS if name == base.ORIGIN else 1
             for _ in range(n_threads):
                 threading.Thread(
-                    target=self._serve_task,
-                    args=(name, self._tasks[name]),
+                    target=self._run_worker,
+                    args=(name, self._task_queues[name]),
                     name=f'pull-{name}',
                     daemon=True,
                 ).start()
-        self._tasks[name].put(item)
+        self._task_queues[name].put(item)
 
-    def _serve_task(self, name, task):
-        while (item := task.get()) is not _END:
-            if item is _ASK:
-                self._carry_out_ask(name)
+    def _run_worker(self, name, task_queue):
+        while (item := task_queue.get()) is not _STOP:
+            if item is _QUERY:
+                self._execute_query(name)
             else:
-                self._carry_out(item)
-        task.put(_END)
+                self._execute_pull(item)
+        task_queue.put(_STOP)
 
-    def _carry_out_ask(self, name):
-        self.counters.asks += 1
+    def _execute_query(self, name):
+        self.counters.queries += 1
         try:
-            reply = self.peer_source.ask(self._address(name), self.manifest)
+            reply = self.peer_source.fetch_state(
+                self._address(name), self.manifest
+            )
         except errors.TransferError:
             with self.changed:
                 now = time.monotonic()
@@ -201,7 +207,7 @@
         else:
             self._observe(name, reply)
 
-    def _carry_out(self, pull):
+    def _execute_pull(self, pull):
         self.counters.pulls += 1
         try:
             data = self._fetch(pull)
@@ -209,18 +215,20 @@
         except errors.SourceBusyError as exc:
             wait_s = exc.retry_after_s
             wait_s = self.timing.poll_s if wait_s is None else wait_s
-            self._end(pull, self._view.postpone, time.monotonic() + wait_s)
+            self._update_view(
+                pull, self._view.postpone, time.monotonic() + wait_s
+            )
         except errors.CorruptChunkError as exc:
             self.counters.corrupt_chunks += 1
             _log.warning('Chunk of {} refused: {}', pull.peer, exc)
-            avoid_s = self.timing.avoid_s * CORRUPT_FACTOR
-            self._end(pull, self._view.fail, time.monotonic(), avoid_s)
+            avoid_s = self.timing.avoid_s * CORRUPT_AVOID_FACTOR
+            self._update_view(pull, self._view.fail, time.monotonic(), avoid_s)
         except errors.TransferError as exc:
-            self._fail(pull, exc)
+            self._handle_failed_pull(pull, exc)
         else:
-            self._end(pull, self._view.finish, time.monotonic())
+            self._update_view(pull, self._view.finish, time.monotonic())
 
-    def _fail(self, pull, exc):
+    def _handle_failed_pull(self, pull, exc):
         if self.failed:
             return
         self.counters.failures += 1
@@ -229,25 +237,25 @@
         if pull.peer == base.ORIGIN:
             # There is no other origin to turn to, so its absence must not
             # lengthen the wait from one try to the next.
-            self._end(pull, self._view.postpone, now + _STORE_RETRY_S)
+            self._update_view(pull, self._view.postpone, now + _ORIGIN_RETRY_S)
         else:
-            self._end(pull, self._view.fail, now, self.timing.avoid_s)
+            self._update_view(pull, self._view.fail, now, self.timing.avoid_s)
 
-    def _end(self, pull, note, *args):
+    def _update_view(self, pull, update, *args):
         with self.changed:
-            note(pull, *args)
+            update(pull, *args)
             self.changed.notify_all()
 
     def _fetch(self, pull):
         if pull.peer == base.ORIGIN:
             return self.origin_source.fetch(
-                self.manifest, pull.chunk, self.timing.chunk_s
+                self.manifest, pull.chunk, self.timing.chunk_timeout_s
             )
         reply = self.peer_source.fetch(
             self._address(pull.peer),
             self.manifest,
             pull.chunk,
-            self.timing.chunk_s,
+            self.timing.chunk_timeout_s,
         )
         self._observe(pull.peer, reply)
         if reply.data is None:
@@ -256,11 +264,11 @@
         return reply.data
 
     def _observe(self, name, reply):
-        everything = (1 << len(self.manifest.chunks)) - 1
+        all_chunks = (1 << len(self.manifest.chunks)) - 1
         with self.changed:
             self._view.observe(
                 name,
-                reply.bitmap & everything,
+                reply.bitmap & all_chunks,
                 reply.uploaded_copies,
                 time.monotonic(),
             )
@@ -272,17 +280,17 @@
             raise errors.TransferError('has left the list', peer=name)
         return member.address
 
-    def _list(self):
+    def _read_members(self):
         members = {one.name: one for one in self.list_members()}
-        members.setdefault(self.me, _view.Member(self.me))
+        members.setdefault(self.own_name, _view.Member(self.own_name))
         self._members = members
         return tuple(members.values())
 
-    def _relist(self, now):
-        if now - self._listed_at < self.timing.refresh_s:
+    def _refresh_members(self, now):
+        if now - self._members_read_at < self.timing.refresh_s:
             return
-        self._listed_at = now
+        self._members_read_at = now
         before = set(self._members)
-        members = self._list()
+        members = self._read_members()
         if set(self._members) != before:
             self._view.set_members(members)
--- a/catkinshunt/weights/_upload_limiter.py
+++ b/catkinshunt/weights/_upload_limiter.py
@@ -43,51 +43,51 @@
         self.sent_bytes = 0
         self._lock = threading.Lock()
         self._uploads = 0
-        self._counted_bytes = 0.0
-        self._counted_at = None
+        self._budgeted_bytes = 0.0
+        self._decayed_at = None
 
     def uploaded_copies(self, now):
         """Copies sent or promised, less what is forgotten."""
         with self._lock:
-            self._forget(now)
-            return self._counted_bytes / self.size_bytes
+            self._decay(now)
+            return self._budgeted_bytes / self.size_bytes
 
     def begin(self, chunk_bytes, now):
         """Take a place for an upload; returns False if there is none."""
         with self._lock:
-            self._forget(now)
+            self._decay(now)
             if self._uploads >= self.max_uploads:
                 return False
-            if self._exceeds(chunk_bytes):
+            if self._exceeds_budget(chunk_bytes):
                 return False
             self._uploads += 1
-            self._counted_bytes += chunk_bytes
+            self._budgeted_bytes += chunk_bytes
             self.sent_bytes += chunk_bytes
             return True
 
     def start_budget_decay(self, now):
         """Begin to forget what was sent."""
         with self._lock:
-            if self._counted_at is None:
-                self._counted_at = now
+            if self._decayed_at is None:
+                self._decayed_at = now
 
     def end(self, unsent_bytes=0):
         """Give the place back, and the bytes that were not sent."""
         with self._lock:
             self._uploads -= 1
-            self._counted_bytes -= unsent_bytes
+            self._budgeted_bytes -= unsent_bytes
             self.sent_bytes -= unsent_bytes
 
-    def _exceeds(self, chunk_bytes):
+    def _exceeds_budget(self, chunk_bytes):
         if self.budget_copies is None:
             return False
         bound = self.budget_copies * self.size_bytes
-        return self._counted_bytes + chunk_bytes > bound
+        return self._budgeted_bytes + chunk_bytes > bound
 
-    def _forget(self, now):
-        since = self._counted_at
+    def _decay(self, now):
+        since = self._decayed_at
         if since is None:
             return
-        self._counted_at = now
+        self._decayed_at = now
         forgotten = (now - since) / self.budget_decay_s * self.size_bytes
-        self._counted_bytes = max(0.0, self._counted_bytes - forgotten)
+        self._budgeted_bytes = max(0.0, self._budgeted_bytes - forgotten)
--- a/catkinshunt/weights/_view.py
+++ b/catkinshunt/weights/_view.py
@@ -4,7 +4,7 @@
 
 from catkinshunt.weights import base
 
-_MAX_STRIKES = 6
+_MAX_BACKOFF_DOUBLINGS = 6
 
 
 @attrs.frozen
@@ -53,8 +53,8 @@
         started_at: time at which the version was offered, in seconds.
     """
 
-    def __init__(self, me, members, n_chunks, started_at=0.0):
-        self.me = me
+    def __init__(self, own_name, members, n_chunks, started_at=0.0):
+        self.own_name = own_name
         self.n_chunks = n_chunks
         self.started_at = started_at
         self.bitmap = 0
@@ -91,7 +91,7 @@
             self.peers[name] = PeerView()
         return self.peers[name]
 
-    def usable(self, name, now):
+    def is_usable(self, name, now):
         """Whether `name` is on the list and not avoided at `now`."""
         if name not in self.data_centres:
             return False
@@ -139,7 +139,7 @@
         peer = self.peer(name)
         peer.avoid_until = now + avoid_s * 2**peer.consecutive_failures
         peer.consecutive_failures = min(
-            peer.consecutive_failures + 1, _MAX_STRIKES
+            peer.consecutive_failures + 1, _MAX_BACKOFF_DOUBLINGS
         )
 
     def _end(self, pull):
--- a/catkinshunt/weights/tests/fleet.py
+++ b/catkinshunt/weights/tests/fleet.py
@@ -14,7 +14,7 @@
 TIMEOUT_S = 30.0
 
 
-class Box:
+class Instance:
     """An agent with its server.
 
     Args:
@@ -54,8 +54,8 @@
         self.origin = origin.Origin(chunk_bytes=chunk_bytes)
         self.origin.publish(MODEL, 'v1', SIZE_BYTES)
         self.origin.publish(MODEL, 'v2', SIZE_BYTES)
-        self.boxes = {}
-        self.ghosts = []
+        self.instances = {}
+        self.unserved_members = []
         server = self.serve(self.origin.app)
         self.origin_address = server
         if not origin_up:
@@ -73,35 +73,35 @@
 
     def add(self, name, wrap=None):
         """Start one more agent."""
-        box = self.boxes[name] = Box(name, self, wrap)
-        self.callback(box.stop)
-        return box
+        instance = self.instances[name] = Instance(name, self, wrap)
+        self.callback(instance.stop)
+        return instance
 
-    def add_ghost(self, name, address):
+    def add_unserved_member(self, name, address):
         """List an instance whose address nobody serves as an agent."""
-        self.ghosts.append(weights.Member(name, address=address))
+        self.unserved_members.append(weights.Member(name, address=address))
 
-    def list_members(self, wanted):
+    def list_members(self, target):
         """Return the members, as the instance list would."""
         members = [
-            weights.Member(name, address=box.address)
-            for name, box in self.boxes.items()
+            weights.Member(name, address=instance.address)
+            for name, instance in self.instances.items()
         ]
-        return tuple(members + self.ghosts)
+        return tuple(members + self.unserved_members)
 
     def offer(self, version='v1', lean=0.0, names=None):
         """Offer a version to some or all agents; return the wish."""
-        wanted = weights.TargetVersion(MODEL, version, lean)
-        for name in names or list(self.boxes):
-            self.boxes[name].agent.offer(wanted)
-        return wanted
+        target = weights.TargetVersion(MODEL, version, lean)
+        for name in names or list(self.instances):
+            self.instances[name].agent.offer(target)
+        return target
 
-    def whole(self, wanted, names=None):
+    def wait_for_weights(self, target, names=None):
         """Return the weights of each agent once whole; None for the rest."""
         found = {}
-        for name in names or list(self.boxes):
-            agent = self.boxes[name].agent
-            transfer = agent.wait_complete(wanted, TIMEOUT_S)
+        for name in names or list(self.instances):
+            agent = self.instances[name].agent
+            transfer = agent.wait_complete(target, TIMEOUT_S)
             found[name] = transfer and b''.join(transfer.store.iter_chunks())
         return found
 
--- a/catkinshunt/weights/tests/test_manifest.py
+++ b/catkinshunt/weights/tests/test_manifest.py
@@ -26,7 +26,7 @@
         ('chunks', ['0' * 64, None, '0' * 64], r'chunks\[1\]'),
     ],
 )
-def test_a_wrong_field_is_named(field, value, named):
+def test_invalid_field_is_named_in_the_error(field, value, named):
     fields = {**json.loads(MANIFEST.dumps()), field: value}
     with pytest.raises(errors.ManifestError, match=named):
         weights.Manifest.loads(json.dumps(fields).encode())
@@ -45,7 +45,7 @@
 @hypothesis.given(
     st.integers(0, len(MANIFEST.dumps()) - 1), st.binary(max_size=4)
 )
-def test_a_cut_manifest_is_refused_and_never_misread(end, tail):
+def test_truncated_manifest_is_rejected(end, tail):
     """A connection breaks while the manifest is read, or bytes are damaged.
 
     The reader must say so; weights checked against half a manifest would be
--- a/catkinshunt/weights/tests/test_store.py
+++ b/catkinshunt/weights/tests/test_store.py
@@ -13,7 +13,7 @@
 PARTS = [DATA[i : i + 16] for i in range(0, 100, 16)]
 
 
-def test_a_corrupt_chunk_is_never_held():
+def test_corrupt_chunk_is_never_stored():
     """A chunk arrives with a flipped bit.
 
     If it were held, the instance would pass it on and the engine would load
@@ -40,7 +40,7 @@
     assert b''.join(store.iter_chunks()) == DATA
 
 
-def test_chunks_that_fit_a_wrong_whole_are_dropped():
+def test_chunks_are_dropped_if_the_total_digest_differs():
     """A manifest lists good chunks with the whole digest of other weights.
 
     The engine would be told to load weights that nobody published.
--- a/catkinshunt/weights/tests/test_strategies.py
+++ b/catkinshunt/weights/tests/test_strategies.py
@@ -13,8 +13,8 @@
 NAMES = tuple(one.name for one in MEMBERS)
 
 
-def make_view(me, members=MEMBERS):
-    return weights.TransferView(me, members, N_CHUNKS)
+def make_view(own_name, members=MEMBERS):
+    return weights.TransferView(own_name, members, N_CHUNKS)
 
 
 def make_swarm(**params):
@@ -71,7 +71,7 @@
     assert max(drawn.values()) <= 4
 
 
-def test_draws_are_spread_over_the_time_of_one_copy():
+def test_origin_fetches_are_spread_over_the_time_of_one_copy():
     """All instances learn of a version at once.
 
     If each drew its chunks at once, the origin would share its link among
@@ -86,7 +86,7 @@
     assert 0 < len(early) <= N_CHUNKS * 0.3
 
 
-def home_of(chunk):
+def find_owner(chunk):
     """Return the name that draws `chunk` first, and another one."""
     for name in NAMES:
         view = make_view(name)
@@ -97,30 +97,30 @@
     raise AssertionError('nobody draws the chunk')
 
 
-def test_a_failed_drawer_is_taken_over_without_a_stampede():
+def test_failed_owner_is_replaced_without_a_stampede():
     """The instance that was to draw a chunk dies before it has it.
 
     Every other instance misses that chunk. They ask the drawers before
     themselves, and only the first that lives goes to the origin; otherwise
     the origin would send one copy to each of them.
     """
-    drawer = home_of(3)
+    owner = find_owner(3)
     to_origin = []
     for name in NAMES:
-        if name == drawer:
+        if name == owner:
             continue
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(name)
-        everything = (1 << N_CHUNKS) - 1
-        view.bitmap = everything & ~(1 << 3)
-        view.avoid(drawer, 0.0, 1000.0)
+        all_chunks = (1 << N_CHUNKS) - 1
+        view.bitmap = all_chunks & ~(1 << 3)
+        view.avoid(owner, 0.0, 1000.0)
         pulls = drain(strategy, view, 15.0)
         if pulls == [weights.Pull(3, weights.ORIGIN)]:
             to_origin.append(name)
     assert len(to_origin) <= 2
 
 
-def test_a_chunk_that_a_peer_holds_is_not_drawn_again():
+def test_chunk_held_by_a_peer_is_not_fetched_from_the_origin():
     """A chunk is late at an instance only because its holders are busy.
 
     Going to the origin for it would cost origin bytes exactly when all
@@ -136,7 +136,7 @@
     assert drain(strategy, view, 1e6 + 1.0) == []
 
 
-def test_holders_that_never_have_a_place_do_not_block_for_ever():
+def test_permanently_busy_holders_do_not_block_a_transfer():
     """Peers say that they hold the last chunk, and are always busy.
 
     An instance that went on waiting for them would never be whole.
@@ -150,21 +150,21 @@
     assert weights.ORIGIN in sources
 
 
-def test_old_knowledge_of_a_dead_holder_does_not_stop_a_takeover():
+def test_stale_state_of_a_dead_owner_does_not_stop_failover():
     """The first drawer dies just after it got a chunk, and a peer knew.
 
     That peer no longer asks the dead one, so it believed that the chunk was
     held, never drew it, and the last chunk never came.
     """
-    drawer = home_of(3)
+    owner = find_owner(3)
     for name in NAMES:
-        if name == drawer:
+        if name == owner:
             continue
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(name)
         view.bitmap = ((1 << N_CHUNKS) - 1) & ~(1 << 3)
-        view.observe(drawer, 1 << 3, 2.0, 1.0)
-        view.peer(drawer).busy_until = 0.0
+        view.observe(owner, 1 << 3, 2.0, 1.0)
+        view.peer(owner).busy_until = 0.0
         assert drain(strategy, view, 1e6) != []
 
 
@@ -184,7 +184,7 @@
             for dead in strategy.neighbours(view, 0.0):
                 view.avoid(dead, 0.0, 1000.0)
             after = strategy.neighbours(view, 1.0)
-            assert all(view.usable(peer, 1.0) for peer in after)
+            assert all(view.is_usable(peer, 1.0) for peer in after)
 
 
 def test_stripes_have_disjoint_interiors():
@@ -198,24 +198,24 @@
     assert max(len(stripes) for stripes in interior.values()) == 1
 
 
-def test_a_new_list_keeps_what_is_known_of_peers():
+def test_new_member_list_keeps_peer_state():
     view = make_view('instance-0')
     view.observe('instance-1', 0b11, 0.5, 0.0)
     view.set_members(MEMBERS[:5])
     assert view.peer('instance-1').bitmap == 0b11
-    assert not view.usable('instance-9', 0.0)
+    assert not view.is_usable('instance-9', 0.0)
 
 
-def test_a_drawer_goes_on_asking_a_holder_elsewhere():
+def test_owner_retries_a_holder_in_another_data_centre():
     """A data centre's drawer asks an instance of another one for a chunk.
 
     What that one replied once counted as held, so the drawer asked again
     only when the knowledge was old, and its whole data centre waited.
     """
     asked = 0
-    for me in NAMES:
+    for own_name in NAMES:
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
-        view = make_view(me)
+        view = make_view(own_name)
         for pull in drain(strategy, view, 1.0):
             if pull.peer == weights.ORIGIN:
                 continue
