--- a/catkinshunt/weights/_agent.py
+++ b/catkinshunt/weights/_agent.py
@@ -1,4 +1,4 @@
-"""Keeps the wanted version of a model present and whole here."""
+"""Fetches the target version of a model and keeps it in memory."""
 
 import threading
 import time
@@ -18,7 +18,8 @@
 from catkinshunt.weights import _transfer
 
 RETRY_S = 0.5
-#: Instances that read the manifest from the origin; the others ask them.
+#: Number of instances that read the manifest from the origin; the others get
+#: it from peers.
 N_MANIFEST_ROOTS = 3
 _MANIFEST_FANOUT = 8
 _MANIFEST_TRIES = 4
@@ -28,12 +29,13 @@
 
 @attrs.frozen
 class TargetVersion:
-    """A version that an instance is to hold.
+    """A version that an instance should have.
 
     Args:
         model: name of the model.
         version: version of its weights.
-        lean: 0 leans towards origin bytes, 1 towards time to N.
+        lean: 0 minimizes origin bytes, 1 the time until all members are
+            complete.
     """
 
     model = attrs.field()
@@ -42,13 +44,13 @@
 
     @property
     def key(self):
-        """What two wishes for the same weights have in common."""
+        """Model and version, which identify the weights."""
         return self.model, self.version
 
 
 @attrs.frozen
 class TransferReport:
-    """State of the present transfer; sizes in bytes."""
+    """State of the current transfer; sizes in bytes."""
 
     model = attrs.field()
     version = attrs.field()
@@ -64,18 +66,18 @@
 
 
 class TransferAgent(base.BaseService):
-    """Fetches the wanted version and serves it to peers.
+    """Fetches the target version and serves it to peers.
 
     Args:
-        me: name of this instance.
-        key: the deployment's key.
+        own_name: name of this instance.
+        key: deployment key.
         list_members: function of a `TargetVersion` that returns the
             `Member` tuple.
         origin: `httpio.Address` of the origin.
         weight_store: `httpio.Address` of the weight store, or None.
         link_bytes_per_s: rate of this instance's link, each direction.
-        read_timeout_s: longest silence on a connection.
-        random_state: seed or generator for ties.
+        read_timeout_s: timeout of each read on a connection.
+        random_state: seed or generator for breaking ties.
     """
 
     def __init__(
@@ -107,18 +109,21 @@
         self._stopped = False
 
     def __repr__(self):
-        # The key must not reach a log through repr.
-        return f'TransferAgent(me={self.own_name!r}, origin={self.origin!r})'
+        # Excludes the key, which must not be logged.
+        return (
+            f'TransferAgent(own_name={self.own_name!r}, '
+            f'origin={self.origin!r})'
+        )
 
     def start(self):
-        """Act on offers in the background."""
+        """Start the background thread that handles target versions."""
         threading.Thread(
             target=self._run, name='transfer-agent', daemon=True
         ).start()
         return self
 
     def stop(self):
-        """End the transfer and drop what is held."""
+        """Cancel the transfer and drop all chunks."""
         with self._changed:
             self._stopped = True
             self._cancel()
@@ -126,7 +131,7 @@
         self._pool.close()
 
     def offer(self, target):
-        """Make `target` the version to hold; None holds nothing.
+        """Set the `TargetVersion`, or None for no version.
 
         The transfer of another version is cancelled at once.
         """
@@ -137,7 +142,7 @@
             self._changed.notify_all()
 
     def transfer(self, model, version):
-        """Return the `Transfer` of exactly this version, or None."""
+        """Return the `Transfer` of this version, or None."""
         transfer = self._transfer
         if transfer is None or transfer.failed:
             return None
@@ -147,7 +152,7 @@
         return transfer
 
     def wait_complete(self, target, timeout_s):
-        """Return the whole `Transfer` of `target`, or None after a while."""
+        """Return the complete `Transfer` of `target`, or None on timeout."""
         deadline = time.monotonic() + timeout_s
         with self._changed:
             self._changed.wait_for(
@@ -160,7 +165,7 @@
         return transfer if transfer.wait_complete(left_s) else None
 
     def report(self, now):
-        """Return the `TransferReport` of the present transfer, or None."""
+        """Return the `TransferReport` of the current transfer, or None."""
         transfer = self._transfer
         if transfer is None:
             return None
@@ -188,9 +193,9 @@
             try:
                 self._begin_transfer(target)
             except Exception as exc:
-                # If the thread ended here, no later version would ever be
-                # fetched, and nothing would say so.
-                _log.error('Transfer did not begin: {!r}', exc)
+                # If the thread ended here, no later version would be
+                # fetched, without any sign of it.
+                _log.error('Transfer could not be started: {!r}.', exc)
                 with self._changed:
                     self._changed.wait(RETRY_S)
 
@@ -203,7 +208,7 @@
         transfer, self._transfer = self._transfer, None
         if transfer is not None:
             transfer.stop()
-            _log.info('Version {} is dropped.', transfer.manifest.version)
+            _log.info('Cancelled version {}.', transfer.manifest.version)
 
     def _begin_transfer(self, target):
         source = self._origin_source(target)
@@ -254,16 +259,20 @@
                 raw = source.fetch_manifest(*target.key)
             manifest = _manifest.Manifest.loads(raw)
         except errors.TransferError as exc:
-            _log.warning('No manifest of {}: {}', target.version, exc)
+            _log.warning(
+                'Manifest of version {} is not available: {}.',
+                target.version,
+                exc,
+            )
             return None
         if (manifest.model, manifest.version) != target.key:
-            _log.warning('Manifest names another version than wanted.')
+            _log.warning('Manifest is not of the target version.')
             return None
         return manifest
 
     def _fetch_manifest_from_peers(self, target):
-        # At 1,900 instances the manifest alone would draw as much from the
-        # origin as many chunks, so it comes down a tree of instances.
+        # With 1,900 instances, the manifest alone would take as many bytes
+        # from the origin as many chunks, so instances form a tree.
         members = {one.name: one for one in self.list_members(target)}
         names = set(members) | {self.own_name}
         order = _rendezvous.rank(f'manifest-{target.version}', sorted(names))
--- a/catkinshunt/weights/_app.py
+++ b/catkinshunt/weights/_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application from which peers pull chunks."""
+"""WSGI application from which peers pull chunks."""
 
 import hmac
 import time
@@ -12,15 +12,15 @@
 
 
 class ChunkApp(base.ParamsMixin):
-    """Serves verified chunks of the version that the agent holds.
+    """Serves the verified chunks of the agent's version.
 
-    Each reply says what is held and how much was sent, so that peers learn
-    both without calls of their own.
+    Each reply has the chunk bitmap and the copies sent in its headers, so
+    that peers need no separate request for them.
 
     Args:
         agent: `TransferAgent`.
-        key: the deployment's key.
-        share: `LinkPacer` of the outgoing direction.
+        key: deployment key.
+        pacer: `LinkPacer` of the outgoing direction.
     """
 
     def __init__(self, agent, key, pacer):
@@ -29,11 +29,11 @@
         self.pacer = pacer
 
     def __repr__(self):
-        # The key must not reach a log through repr.
+        # Excludes the key, which must not be logged.
         return f'ChunkApp(agent={self.agent!r})'
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Handle one request."""
         try:
             resp = self.handle(environ)
         except errors.RequestError as exc:
@@ -41,17 +41,19 @@
         return resp.send(start_response)
 
     def handle(self, environ):
-        """Return the `httpio.Response` to one request.
+        """Return the `httpio.Response` for one request.
 
         Raises:
-            InvalidRequestError: wrong key or path.
+            InvalidRequestError: invalid key or path.
         """
         given = environ.get('HTTP_CATKINSHUNT_KEY', '').encode()
         if not hmac.compare_digest(given, self.key.encode()):
-            raise errors.InvalidRequestError('wrong key', step='authenticate')
+            raise errors.InvalidRequestError(
+                'invalid deployment key', step='authenticate'
+            )
         parts = environ['PATH_INFO'].removeprefix(PREFIX).split('/')
         if len(parts) != 3:
-            raise errors.InvalidRequestError('no such path', step='read')
+            raise errors.InvalidRequestError('unknown path', step='read')
         model, version, resource = parts
         transfer = self.agent.transfer(model, version)
         if transfer is None:
@@ -70,7 +72,9 @@
         if resource == 'holdings':
             return self._reply(transfer, 204, now)
         if not resource.isdecimal():
-            raise errors.InvalidRequestError('no such chunk', step='read')
+            raise errors.InvalidRequestError(
+                'invalid chunk index', step='read'
+            )
         data = transfer.store.get(int(resource))
         if data is None:
             return self._reply(transfer, 404, now)
@@ -91,7 +95,7 @@
 
 
 class _Upload:
-    """Body of one chunk, paced; gives its place back when closed."""
+    """Paced body of one chunk; releases its upload when closed."""
 
     def __init__(self, data, upload_limiter, pacer):
         self._data = memoryview(data)
@@ -109,7 +113,7 @@
             yield piece
 
     def close(self):
-        """Called by the server at the end, also when the peer went away."""
+        """Called by the server at the end, also if the peer disconnected."""
         if self._open:
             self._open = False
             self._upload_limiter.end(len(self._data) - self._sent)
--- a/catkinshunt/weights/_link_pacer.py
+++ b/catkinshunt/weights/_link_pacer.py
@@ -1,4 +1,4 @@
-"""What of a link a transfer may use while live requests use it too."""
+"""Paces transfers on a link that also carries live requests."""
 
 import math
 import threading
@@ -7,16 +7,16 @@
 
 
 class LinkPacer(base.ParamsMixin):
-    """Paces a transfer to what live requests leave of a link.
+    """Limits a transfer to the link rate that live requests leave.
 
-    Without it a transfer fills the link's queue, and a caller waits behind
-    megabytes of weights; one notices by the 99th percentile of requests.
+    Without it, a transfer fills the link's queue and requests wait behind
+    megabytes of weights, which shows in their 99th percentile latency.
 
     Args:
         rate_bytes_per_s: rate of the link in this direction.
-        min_share: part of the rate that the transfer always gets.
-        window_s: seconds over which live bytes are averaged.
-        burst_s: seconds of rate that may be sent at once.
+        min_share: fraction of the rate that a transfer always gets.
+        window_s: averaging time for live traffic, in seconds.
+        burst_s: burst size, in seconds at the available rate.
 
     Examples:
         >>> pacer = LinkPacer(rate_bytes_per_s=100, burst_s=0.0)
@@ -37,18 +37,18 @@
         self._free_at = 0.0
 
     def observe(self, n_bytes, now):
-        """Take note of `n_bytes` of live requests on the link."""
+        """Record `n_bytes` of live requests on the link."""
         with self._lock:
             self._decay(now)
             self._live_rate += n_bytes / self.window_s
 
     def available_bytes_per_s(self, now):
-        """Return the rate left to transfers."""
+        """Return the rate available to transfers."""
         with self._lock:
             return self._available(now)
 
     def reserve(self, n_bytes, now):
-        """Take `n_bytes` of the share; return the seconds to wait."""
+        """Reserve `n_bytes`; return the seconds to wait."""
         with self._lock:
             rate = self._available(now)
             begin = max(now - self.burst_s, self._free_at)
@@ -61,6 +61,6 @@
         return max(floor, self.rate_bytes_per_s - self._live_rate)
 
     def _decay(self, now):
-        passed_s = max(0.0, now - self._observed_at)
-        self._live_rate *= math.exp(-passed_s / self.window_s)
+        elapsed_s = max(0.0, now - self._observed_at)
+        self._live_rate *= math.exp(-elapsed_s / self.window_s)
         self._observed_at = now
--- a/catkinshunt/weights/_live_traffic.py
+++ b/catkinshunt/weights/_live_traffic.py
@@ -1,15 +1,15 @@
-"""Counts the bytes of live requests, to which transfers yield."""
+"""Counts the bytes of live requests, which take precedence over transfers."""
 
 from catkinshunt import base
 
 
 class LiveTrafficApp(base.ParamsMixin):
-    """Reports the bytes of requests and answers of a WSGI application.
+    """Reports the request and response bytes of a WSGI application.
 
     Args:
-        app: the WSGI application.
-        observe: function of the bytes sent and the bytes received.
-        prefix: only requests whose path begins so are live ones.
+        app: the wrapped WSGI application.
+        observe: called with the bytes sent and the bytes received.
+        prefix: path prefix of live requests; others are not counted.
     """
 
     def __init__(self, app, observe, prefix='/upstream/'):
@@ -18,7 +18,7 @@
         self.prefix = prefix
 
     def __call__(self, environ, start_response):
-        """Answer one request."""
+        """Handle one request."""
         body = self.app(environ, start_response)
         if not environ['PATH_INFO'].startswith(self.prefix):
             return body
@@ -27,7 +27,7 @@
 
 
 class _CountedBody:
-    """A body that is counted as it is sent."""
+    """A response body whose bytes are counted as they are sent."""
 
     def __init__(self, body, observe):
         self._body = body
@@ -39,7 +39,7 @@
             yield piece
 
     def close(self):
-        """Pass the server's call on, so that the answer is released."""
+        """Close the wrapped body, which releases the response."""
         close = getattr(self._body, 'close', None)
         if close is not None:
             close()
--- a/catkinshunt/weights/_manifest.py
+++ b/catkinshunt/weights/_manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: what the weights of one model version are made of."""
+"""Manifest of the weights of one model version."""
 
 import hashlib
 import json
@@ -26,10 +26,10 @@
     Args:
         model: name of the model.
         version: version of its weights.
-        size_bytes: length of the whole.
-        chunk_bytes: length of every chunk but the last.
+        size_bytes: total length of the weights.
+        chunk_bytes: length of each chunk except the last.
         chunks: hex digest of each chunk, in order.
-        digest: hex digest of the whole.
+        digest: hex digest of the complete weights.
 
     Examples:
         >>> manifest = Manifest.from_bytes('drafts', '7', b'abcde', 2)
@@ -48,7 +48,7 @@
 
     @classmethod
     def from_bytes(cls, model, version, data, chunk_bytes):
-        """Return the manifest of `data` cut into chunks."""
+        """Return the manifest of `data` split into chunks."""
         starts = range(0, len(data), chunk_bytes)
         parts = (data[start : start + chunk_bytes] for start in starts)
         return cls(
@@ -62,11 +62,11 @@
 
     @classmethod
     def loads(cls, raw):
-        """Return the manifest that the JSON bytes `raw` describe.
+        """Parse a manifest from JSON bytes.
 
         Raises:
-            ManifestError: `raw` is not a whole and consistent manifest; the
-                message names the field.
+            ManifestError: `raw` is incomplete or inconsistent; the message
+                names the field.
         """
         if len(raw) > MAX_MANIFEST_BYTES:
             raise _error(f'is longer than {MAX_MANIFEST_BYTES} bytes')
@@ -82,15 +82,15 @@
         return json.dumps(attrs.asdict(self)).encode()
 
     def chunk_range(self, index):
-        """Return the first byte of chunk `index` and the one past its end."""
+        """Return the byte offsets (start, end) of chunk `index`."""
         first = index * self.chunk_bytes
         return first, min(first + self.chunk_bytes, self.size_bytes)
 
     def check(self, index, data):
-        """Return `data` if it is chunk `index`.
+        """Verify `data` against the digest of chunk `index` and return it.
 
         Raises:
-            CorruptChunkError: length or digest differ.
+            CorruptChunkError: the length or the digest differs.
         """
         first, end = self.chunk_range(index)
         if len(data) != end - first:
@@ -100,7 +100,7 @@
             )
         if hashlib.sha256(data).hexdigest() != self.chunks[index]:
             raise errors.CorruptChunkError(
-                f'chunk {index} differs from its digest', step='verify chunk'
+                f'digest of chunk {index} does not match', step='verify chunk'
             )
         return data
 
@@ -133,7 +133,7 @@
 
 def _check_size(name, value):
     if isinstance(value, bool) or not isinstance(value, int) or value <= 0:
-        raise _error(f'field {name} must be a whole number above 0')
+        raise _error(f'field {name} must be a positive integer')
 
 
 def _check_digest(name, value):
--- a/catkinshunt/weights/_ordered.py
+++ b/catkinshunt/weights/_ordered.py
@@ -8,12 +8,12 @@
 
 
 class BaseOrderedStrategy(base.BaseStrategy):
-    """Pulls each stripe of chunks, in order, from its parent.
+    """Pulls the chunks of each stripe in order from its parent.
 
-    When the parent fails, the next ancestor takes its place.
+    If the parent fails, the next ancestor becomes the parent.
 
     Args:
-        max_pulls: pulls of one instance at a time.
+        max_pulls: maximum number of concurrent pulls of one instance.
     """
 
     #: Chunk ``c`` belongs to stripe ``c % n_stripes``.
@@ -24,7 +24,7 @@
 
     @abc.abstractmethod
     def parents(self, order, own_name, stripe):
-        """Return the ancestors of an instance, nearest first, without origin."""
+        """Return the ancestors, nearest first, without the origin."""
 
     def neighbours(self, view, now):
         chosen = [self._parent(view, i, now) for i in range(self.n_stripes)]
@@ -68,14 +68,14 @@
 
 
 class ChainStrategy(BaseOrderedStrategy):
-    """Each instance pulls from the one before it."""
+    """Each instance pulls from its predecessor."""
 
     def parents(self, order, own_name, stripe):
         return order[: order.index(own_name)][::-1]
 
 
 class TreeStrategy(BaseOrderedStrategy):
-    """A tree in which each interior instance sends to `fanout` others."""
+    """A tree in which each interior instance has `fanout` children."""
 
     def __init__(self, fanout=2, max_pulls=4):
         super().__init__(max_pulls)
@@ -86,15 +86,15 @@
 
 
 class StripedStrategy(BaseOrderedStrategy):
-    """One tree a stripe; each instance is interior in one tree only."""
+    """One tree per stripe; each instance is interior in only one tree."""
 
     def __init__(self, n_stripes=4, max_pulls=4):
         super().__init__(max_pulls)
         self.n_stripes = n_stripes
 
     def parents(self, order, own_name, stripe):
-        # Interior instances of this stripe come first in its tree, so that
-        # the leaves are those that are interior elsewhere.
+        # The interior instances of this stripe come first in its tree; its
+        # leaves are interior instances of other stripes.
         inner = order[stripe :: self.n_stripes]
         rest = [name for name in order if name not in set(inner)]
         tree = list(inner) + rest
--- a/catkinshunt/weights/_origin_fetches.py
+++ b/catkinshunt/weights/_origin_fetches.py
@@ -1,4 +1,4 @@
-"""Who draws which chunk from the origin, and who takes over."""
+"""Assigns each chunk to an owner, which fetches it from the origin."""
 
 import math
 
@@ -9,27 +9,29 @@
 from catkinshunt.weights import base
 
 _MAX_STRIPES = 256
-#: An earlier drawer that lives gets this many times the takeover time: its
-#: link may be slow, and a second copy would slow it further.
+#: Failover from an earlier owner that is reachable waits this many times the
+#: takeover time: its link may be slow, and a second copy would slow it
+#: further.
 _REACHABLE_OWNER_FACTOR = 4
-#: Instances of another data centre that are asked for a chunk, in turn; one
-#: alone may have spent its budget.
+#: Instances of another data centre from which a chunk is requested, one after
+#: the other; a single one may have spent its upload budget.
 _MAX_REMOTE_HOLDERS = 8
 
 
 @attrs.define
 class OriginFetch:
-    """A chunk that this instance may have to fetch outside the swarm.
+    """A chunk that this instance may have to fetch from the origin.
 
     Args:
         chunk: number of the chunk.
         due_at: earliest time of the first attempt.
         origin_allowed_at: time from which the origin may be used although an
             earlier owner is reachable.
-        extra: whether this copy is wanted though others hold the chunk.
-        earlier: names of the drawers of this data centre that come before
-            this instance.
-        remote: names of instances in data centres that get the chunk
+        is_extra_copy: whether to fetch it although other instances have the
+            chunk.
+        earlier_owners: names of the owners of this data centre that rank
+            before this instance.
+        remote_holders: names of instances in data centres that get the chunk
             before this one, likely holders first.
     """
 
@@ -42,10 +44,10 @@
 
 
 def plan_origin_fetches(view, strategy):
-    """Return the draws of ``view.own_name``, the last due first.
+    """Return the origin fetches of ``view.own_name``, the last due first.
 
-    Every instance works this out for itself: the order of data centres and
-    of instances for a chunk follows from rendezvous hashing over the list.
+    Needs no coordination: the order of data centres and instances for a chunk
+    is given by rendezvous hashing over the members.
     """
     names = {}
     for one in view.members:
@@ -56,18 +58,19 @@
 
 
 def choose_pull(view, fetch, neighbour_chunks, known_chunks, now):
-    """Return the `Pull` by which `fetch` is done at `now`, or None.
+    """Return the `Pull` that executes `fetch` at `now`, or None.
 
-    Earlier drawers are asked before the origin. Without that, every instance
-    that misses a chunk of a dead drawer would draw it, and the origin's link
-    would carry one copy for each of them.
+    Earlier owners are tried before the origin. Otherwise every instance that
+    misses a chunk of a dead owner would fetch it, and the origin's link would
+    carry one copy for each of them.
 
     Args:
-        view: what the instance knows.
-        draw: a `OriginFetch` that is due.
-        near: chunks that some neighbour holds; they come from there.
-        seen: chunks that some usable peer is known to hold.
-        now: the present time, in seconds.
+        view: `TransferView` of the instance.
+        fetch: an `OriginFetch` that is due.
+        neighbour_chunks: bitmap of chunks present at a neighbour, from which
+            they are pulled.
+        known_chunks: bitmap of chunks present at a usable peer.
+        now: current time in seconds.
     """
     if not fetch.is_extra_copy and neighbour_chunks >> fetch.chunk & 1:
         return None
--- a/catkinshunt/weights/_rendezvous.py
+++ b/catkinshunt/weights/_rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing with the last answers kept.
+"""Rendezvous hashing with cached results.
 
-A transfer asks for the same orders again for each chunk.
+A transfer needs the same rankings for each chunk.
 """
 
 import functools
@@ -16,5 +16,5 @@
 
 
 def rank(key, names):
-    """Return `names` in the order of their weights for `key`."""
+    """Return `names` in rendezvous order for `key`."""
     return list(_rank(key, tuple(names)))
--- a/catkinshunt/weights/_sources.py
+++ b/catkinshunt/weights/_sources.py
@@ -1,4 +1,4 @@
-"""Chunks and manifests over HTTP, from peers, store and origin."""
+"""HTTP clients for chunks and manifests: peers, weight store and origin."""
 
 import contextlib
 import http.client
@@ -10,9 +10,9 @@
 from catkinshunt.httpio import headers
 
 PIECE_BYTES = 256 * 1024
-#: Chunks that the replying sidecar holds, as a hexadecimal number.
+#: Bitmap of the chunks that the replying sidecar has, in hexadecimal.
 BITMAP_HEADER = 'Catkinshunt-Holdings'
-#: Copies that the replying sidecar has sent.
+#: Number of copies that the replying sidecar has sent.
 UPLOADED_COPIES_HEADER = 'Catkinshunt-Uploaded-Copies'
 _PEER_STATUSES = (
     http.client.OK,
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class PeerReply:
-    """What a peer's reply carried: of itself, and the chunk if it gave it."""
+    """State of the peer, and the chunk if the reply contains it."""
 
     bitmap = attrs.field()
     uploaded_copies = attrs.field()
@@ -33,12 +33,12 @@
 
 
 class PeerSource:
-    """Other sidecars.
+    """Client of other sidecars.
 
     Args:
-        key: the deployment's key.
-        pool: `httpio.ConnectionPool`; its timeout bounds each silence.
-        share: `LinkPacer` of the incoming direction.
+        key: deployment key.
+        pool: `httpio.ConnectionPool`; its timeout applies to each read.
+        pacer: `LinkPacer` of the incoming direction.
     """
 
     def __init__(self, key, pool, pacer):
@@ -47,7 +47,7 @@
         self.pacer = pacer
 
     def fetch(self, address, manifest, index, timeout_s):
-        """Ask for one chunk; the reply may come without it.
+        """Request one chunk; the `PeerReply` may come without it.
 
         Raises:
             TransferError: the peer cannot be used.
@@ -64,14 +64,14 @@
             return _peer_reply(resp, address, data)
 
     def fetch_state(self, address, manifest):
-        """Ask what the peer holds."""
+        """Return the `PeerReply` of a peer without a chunk."""
         path = chunk_path(manifest.model, manifest.version, 'holdings')
         with self._exchange(address, path) as resp:
             resp.read()
             return _peer_reply(resp, address, None)
 
     def fetch_manifest(self, address, model, version):
-        """Return the manifest's bytes, or None if the peer has none."""
+        """Return the manifest as bytes, or None if the peer has none."""
         with self._exchange(
             address, chunk_path(model, version, 'manifest')
         ) as resp:
@@ -84,15 +84,15 @@
 
 
 class OriginSource:
-    """The weight store, then the origin.
+    """Client of the weight store, with the origin as fallback.
 
     Args:
         origin: `httpio.Address` of the origin.
         weight_store: `httpio.Address` of the weight store, or None.
         pool: `httpio.ConnectionPool`.
-        share: `LinkPacer` of the incoming direction.
-        wait_for_store: leave the origin alone while the store only says
-            that it is busy.
+        pacer: `LinkPacer` of the incoming direction.
+        wait_for_store: do not fall back to the origin while the store is
+            only busy.
     """
 
     def __init__(
@@ -107,11 +107,11 @@
         self.origin_bytes = 0
 
     def fetch(self, manifest, index, timeout_s):
-        """Return one chunk, not yet verified.
+        """Return one unverified chunk.
 
         Raises:
-            SourceBusyError: try again later.
-            TransferError: no source could give it.
+            SourceBusyError: the source is busy; retry later.
+            TransferError: no source returned the chunk.
         """
         if self.weight_store is not None:
             try:
@@ -124,15 +124,15 @@
                 if self.wait_for_store:
                     raise
             except errors.TransferError:
-                # A store that is down or lacks the version costs origin
-                # bytes, but the version must arrive.
+                # If the store is down or lacks the version, the origin is
+                # used: the transfer must complete.
                 pass
         data = self._fetch(self.origin, manifest, index, timeout_s)
         self.origin_bytes += len(data)
         return data
 
     def fetch_manifest(self, model, version):
-        """Return the manifest's bytes from the origin."""
+        """Return the manifest from the origin as bytes."""
         path = f'/models/{model}/{version}/manifest'
         with exchange(
             self.pool, self.origin, path, {}, 'read manifest'
@@ -172,16 +172,16 @@
 
 
 def chunk_path(model, version, resource):
-    """Return the path below which a sidecar serves `resource`."""
+    """Return the path at which a sidecar serves `resource`."""
     return f'/chunks/{model}/{version}/{resource}'
 
 
 @contextlib.contextmanager
 def exchange(pool, address, path, fields, step):
-    """Yield the reply to a GET; the connection is kept if all was read.
+    """Yield the response to a GET; a fully read connection is reused.
 
     Raises:
-        TransferError: no connection, silence, or a reply cut short.
+        TransferError: connection failure, timeout or truncated response.
     """
     conn, _ = pool.take(address)
     try:
@@ -207,22 +207,22 @@
     """Return a body of exactly `size_bytes`, paced by `pacer`.
 
     Raises:
-        TransferError: another length, or not whole by `deadline`. A peer
-            that trickles bytes would else hold the chunk for ever.
+        TransferError: wrong length, or incomplete at `deadline`. Without
+            it, a peer that sends very slowly would block the chunk for ever.
     """
     if resp.length != size_bytes:
         raise errors.TransferError(
-            f'{resp.length} bytes announced, not {size_bytes}', step='read'
+            f'Content-Length is {resp.length}, not {size_bytes}', step='read'
         )
     data = bytearray()
     while len(data) < size_bytes:
         piece = resp.read(min(PIECE_BYTES, size_bytes - len(data)))
         if not piece:
-            raise errors.TransferError('body cut short', step='read')
+            raise errors.TransferError('truncated body', step='read')
         data += piece
         now = time.monotonic()
         if now > deadline:
-            raise errors.TransferError('too slow', step='read')
+            raise errors.TransferError('deadline exceeded', step='read')
         time.sleep(pacer.reserve(len(piece), now))
     resp.read()
     return bytes(data)
@@ -240,7 +240,7 @@
         bitmap = copies = -1
     if bitmap < 0 or not copies >= 0:
         raise errors.TransferError(
-            f'status {resp.status} without holdings',
+            f'status {resp.status} without valid chunk state headers',
             step='pull chunk',
             peer=str(address),
         )
--- a/catkinshunt/weights/_store.py
+++ b/catkinshunt/weights/_store.py
@@ -1,4 +1,4 @@
-"""Verified chunks of one model version, held in memory."""
+"""Verified chunks of one model version, in memory."""
 
 import hashlib
 import threading
@@ -8,10 +8,10 @@
 
 
 class ChunkStore(base.ParamsMixin):
-    """Chunks of one version; serves only what it has verified.
+    """Verified chunks of one version.
 
-    A store belongs to one manifest for its whole life, so that chunks of two
-    versions cannot meet in it.
+    The manifest of a store never changes, so that chunks of two versions
+    cannot be mixed.
 
     Args:
         manifest: the `Manifest` of the version.
@@ -38,12 +38,12 @@
 
     @property
     def bitmap(self):
-        """Chunks held, as an integer with one bit a chunk."""
+        """Chunks present, as an integer with one bit per chunk."""
         return self._bitmap
 
     @property
     def is_complete(self):
-        """Whether all chunks are held and the whole has its digest."""
+        """Whether all chunks are present and the total digest matches."""
         return self._whole
 
     @property
@@ -52,11 +52,11 @@
         return self._cancelled
 
     def put(self, index, data):
-        """Verify and hold chunk `index`; returns whether it was new.
+        """Verify and store chunk `index`; return whether it was new.
 
         Raises:
-            CorruptChunkError: the chunk, or the whole which it completes,
-                differs from its digest; nothing of it will be served.
+            CorruptChunkError: the digest of the chunk, or of the weights
+                that it completes, does not match; the data is not served.
             TransferError: the version was superseded.
         """
         self.manifest.check(index, data)
@@ -74,20 +74,20 @@
             return True
 
     def get(self, index):
-        """Return chunk `index`, or None if it is not held."""
+        """Return chunk `index`, or None if it is not present."""
         return self._chunks.get(index)
 
     def iter_chunks(self):
-        """Yield the whole, chunk by chunk.
+        """Yield all chunks in order.
 
         Raises:
-            TransferError: the version is not whole, or is superseded while
-                it is read; the reader then sees a short body, never bytes of
-                another version.
+            TransferError: the version is incomplete, or is superseded while
+                it is read; the reader then receives a short body, never
+                bytes of another version.
         """
         if not self._whole:
             raise errors.TransferError(
-                f'version {self.manifest.version} is not whole',
+                f'version {self.manifest.version} is incomplete',
                 step='read whole',
             )
         for index in range(len(self.manifest.chunks)):
@@ -100,7 +100,7 @@
             yield data
 
     def cancel(self):
-        """Drop all chunks and refuse new ones; the version is superseded."""
+        """Drop all chunks and reject new ones: the version is superseded."""
         with self._lock:
             self._cancelled = True
             self._drop()
@@ -111,8 +111,8 @@
         self._chunks.clear()
 
     def _hash_prefix(self):
-        # The whole is hashed as its front grows, so that no long pause
-        # stands between the last chunk and the order to the engine.
+        # Hashes incrementally, so that the load order to the engine is not
+        # delayed by hashing all weights after the last chunk.
         while self._hashed in self._chunks:
             self._hash.update(self._chunks[self._hashed])
             self._hashed += 1
@@ -121,11 +121,12 @@
         if self._hash.hexdigest() == self.manifest.digest:
             self._whole = True
             return
-        # Each chunk fits the manifest and the whole does not: the manifest
-        # contradicts itself. Without this an engine would load weights that
-        # nobody published; an operator sees the error and no replica.
+        # All chunks match but the total digest does not: the manifest is
+        # inconsistent. Otherwise an engine would load weights that were never
+        # published; an operator sees the error and no replica.
         self._cancelled = True
         self._drop()
         raise errors.CorruptChunkError(
-            'the whole differs from its digest', step='verify whole'
+            'digest of the complete weights does not match',
+            step='verify whole',
         )
--- a/catkinshunt/weights/_swarm.py
+++ b/catkinshunt/weights/_swarm.py
@@ -1,4 +1,4 @@
-"""The chunk swarm: rarest chunk first, least loaded sender first."""
+"""Swarm strategy: rarest chunk first, least loaded sender first."""
 
 from catkinshunt import checks
 from catkinshunt.weights import _origin_fetches
@@ -6,10 +6,10 @@
 from catkinshunt.weights import _view
 from catkinshunt.weights import base
 
-#: Copies that the origin sends at most when time counts most.
+#: Maximum number of copies that the origin sends, at a `lean` of 1.
 MAX_ORIGIN_COPIES = 4
 _FRACTION_STEPS = 1000
-#: Takeover times without one new chunk after which the origin is asked.
+#: Number of takeover times without a new chunk until the origin is used.
 _STUCK_TAKEOVER_TIMES = 5
 
 
@@ -17,16 +17,17 @@
     """Pulls chunks from a bounded set of neighbours.
 
     Args:
-        n_neighbours: peers whose holdings are followed.
-        max_pulls: pulls of one instance at a time.
-        max_uploads: uploads of one instance at a time.
-        budget_copies: copies that one instance sends at most.
-        lean: 0 leans towards origin bytes, 1 towards time to N.
-        origin_copy_s: seconds in which the origin can send one copy; draws
-            are spread over it.
-        takeover_s: seconds that a chunk may be late before the next drawer
-            steps in.
-        random_state: seed or generator for ties.
+        n_neighbours: number of peers whose bitmaps are queried.
+        max_pulls: maximum number of concurrent pulls of one instance.
+        max_uploads: maximum number of concurrent uploads of one instance.
+        budget_copies: maximum number of copies that one instance sends.
+        lean: 0 minimizes origin bytes, 1 the time until all members are
+            complete.
+        origin_copy_s: seconds in which the origin can send one copy; origin
+            fetches are spread over this time.
+        takeover_s: seconds that a chunk may be late before the next failover
+            owner fetches it.
+        random_state: seed or generator for breaking ties.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self._random = None
 
     def count_origin_copies(self, chunk):
-        """Return how many copies of `chunk` the origin is to send."""
+        """Return the number of copies of `chunk` to fetch from the origin."""
         lean = checks.check_fraction(self.lean, 'lean')
         wanted = 1 + lean * (MAX_ORIGIN_COPIES - 1)
         part = _rendezvous.score('copies', chunk) % _FRACTION_STEPS
@@ -61,8 +62,8 @@
         usable_names = [
             name for name in self._ranked(view) if view.is_usable(name, now)
         ]
-        # Peers with a spent budget come last, but stay known: they show
-        # that a chunk is held, and need not be drawn from the origin.
+        # Peers with a spent budget come last but remain neighbours: their
+        # bitmaps show chunks that need not be fetched from the origin.
         usable_names.sort(key=lambda name: self._has_spent_budget(view, name))
         return tuple(usable_names[: self.n_neighbours])
 
@@ -98,24 +99,28 @@
         return None
 
     def _known_chunks(self, view, now):
-        # A peer that is no neighbour any more is not asked again. If it
-        # died with the only copy of a chunk, old knowledge of it would keep
-        # every drawer waiting; one notices by a last chunk that never comes.
+        # A former neighbour is no longer queried. If it died with the only
+        # copy of a chunk, its stale bitmap would keep every owner waiting,
+        # and the last chunk would never arrive.
         if self._is_stuck(view, now):
             return 0, 0
         neighbour_chunks = known_chunks = 0
-        asked = set(self.neighbours(view, now))
+        neighbour_names = set(self.neighbours(view, now))
         for name, peer in view.peers.items():
             fresh = now - peer.observed_at <= self.takeover_s
-            if (fresh or name in asked) and view.is_usable(name, now):
+            if (fresh or name in neighbour_names) and view.is_usable(
+                name, now
+            ):
                 known_chunks |= peer.bitmap
-                neighbour_chunks |= peer.bitmap if name in asked else 0
+                neighbour_chunks |= (
+                    peer.bitmap if name in neighbour_names else 0
+                )
         return neighbour_chunks, known_chunks
 
     def _is_stuck(self, view, now):
-        # Peers that hold a chunk and never have a place for this instance
-        # would keep it waiting for ever: the origin is there for that. The
-        # wait differs from one instance to the next, against a stampede.
+        # Peers that have a chunk but no free upload slot could block this
+        # instance for ever, so it falls back to the origin. The wait differs
+        # between instances to prevent a stampede.
         part = _rendezvous.score('stuck', view.own_name) % _FRACTION_STEPS
         wait_s = (
             _STUCK_TAKEOVER_TIMES
@@ -125,7 +130,7 @@
         return now - view.progress_at > wait_s
 
     def _is_late_joiner(self, view):
-        """Whether a peer is whole, so that the origin need not help."""
+        """Whether a peer is complete, so that extra copies are not needed."""
         all_chunks = (1 << view.n_chunks) - 1
         return any(one.bitmap == all_chunks for one in view.peers.values())
 
@@ -181,7 +186,7 @@
         return view.plan.fetches, view.plan.waiting
 
     def _pick_random_bit(self, mask):
-        # The first bit at or after a random place: cheap on a wide mask.
+        # The first bit at or after a random position: cheap on a wide mask.
         if self._random is None:
             self._random = checks.check_random_state(self.random_state)
         start = self._random.randrange(mask.bit_length())
@@ -190,7 +195,7 @@
 
 
 class _Plan:
-    """What follows from the instance list alone."""
+    """State derived from the members alone."""
 
     def __init__(self, strategy, view):
         self.fetches = _origin_fetches.plan_origin_fetches(view, strategy)
@@ -199,7 +204,7 @@
 
 
 def _rank_neighbours(strategy, view):
-    """Return all peers by rendezvous rank, some local ones first."""
+    """Return the peers in rendezvous order, some local ones first."""
     names = [one.name for one in view.members if one.name != view.own_name]
     names.sort(key=lambda name: _rendezvous.score(view.own_name, name))
     own_data_centre = view.data_centres[view.own_name]
@@ -217,10 +222,10 @@
 
 
 def _rarest(view, wanted):
-    """Return those chunks of `wanted` that the fewest known peers hold.
+    """Return those chunks of `wanted` that the fewest known peers have.
 
-    Counts are kept as bit planes over all chunks at once, which costs a few
-    operations on wide integers a peer instead of a loop over chunks.
+    Counts are bit planes over all chunks, which costs a few operations on
+    wide integers per peer instead of a loop over chunks.
     """
     planes = []
     for peer in view.peers.values():
--- a/catkinshunt/weights/_timing.py
+++ b/catkinshunt/weights/_timing.py
@@ -1,4 +1,4 @@
-"""Times of a transfer, which follow from size and link."""
+"""Times of a transfer, derived from its size and the link rate."""
 
 import attrs
 
@@ -14,9 +14,10 @@
     'takeover_s': 0.1,
     'avoid_s': 0.1,
 }
-#: The origin's link carries so many times what an instance's link does.
+#: Rate of the origin's link divided by that of an instance's link.
 ORIGIN_LINK_RATIO = 2.0
-#: Slowest link that a chunk's time-out allows for, as a part of the rate.
+#: Slowest transfer of a chunk before it times out, as a fraction of the
+#: link rate.
 _MIN_LINK_FRACTION = 0.002
 _MIN_CHUNK_TIMEOUT_S = 5.0
 _DECAY_COPY_TIMES = 10
@@ -24,16 +25,18 @@
 
 @attrs.frozen
 class Timing:
-    """Times in seconds; the shares are those of `benchmarks.bench_weights`.
+    """Times in seconds, with the fractions of `benchmarks.bench_weights`.
 
     Attributes:
-        copy_s: one copy over the instance's link.
-        poll_s: wait between choices while nothing can be chosen.
-        refresh_s: age at which a neighbour's holdings are asked again.
-        takeover_s: lateness of a chunk before another drawer steps in.
-        avoid_s: time for which a failed peer is left alone at first.
-        chunk_timeout_s: longest time for one chunk.
-        budget_decay_s: time in which a whole instance forgets one copy sent.
+        copy_s: transfer time of one copy over the instance's link.
+        poll_s: interval between choices while no pull is possible.
+        refresh_s: age at which a neighbour's bitmap is queried again.
+        takeover_s: delay of a chunk before the next failover owner fetches
+            it.
+        avoid_s: time for which a peer is avoided after its first failure.
+        chunk_timeout_s: time limit for one chunk.
+        budget_decay_s: time in which the upload budget of a complete instance
+            recovers by one copy.
     """
 
     copy_s = attrs.field()
@@ -46,7 +49,7 @@
 
     @classmethod
     def for_link(cls, manifest, link_bytes_per_s):
-        """Return the times for one version over one kind of link.
+        """Return the times for one version and link rate.
 
         Examples:
             >>> from catkinshunt import weights
--- a/catkinshunt/weights/_transfer.py
+++ b/catkinshunt/weights/_transfer.py
@@ -1,4 +1,4 @@
-"""Brings one version of one model to this instance, and on to peers."""
+"""Transfer of one model version to this instance and its peers."""
 
 import queue
 import threading
@@ -14,9 +14,9 @@
 from catkinshunt.weights import _view
 from catkinshunt.weights import base
 
-#: Draws from the origin that this instance has under way at most.
+#: Maximum number of concurrent pulls from the origin.
 MAX_ORIGIN_PULLS = 4
-#: A peer that sent a wrong chunk is left alone this many times longer.
+#: A peer that sent a corrupt chunk is avoided this many times longer.
 CORRUPT_AVOID_FACTOR = 30
 _INITIAL_QUERY_TIMEOUT_S = 2.0
 _ORIGIN_RETRY_S = 1.0
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Counters:
-    """What a transfer moved and met."""
+    """Counters of one transfer."""
 
     peer_bytes = attrs.field(default=0)
     pulls = attrs.field(default=0)
@@ -37,15 +37,15 @@
 
 
 class Transfer(package_base.BaseService):
-    """One version on its way; also serves it once whole.
+    """Pulls the chunks of one version and makes them available to peers.
 
-    One thread decides; one more for each peer, and a few for the origin,
-    carry out what was decided.
+    One thread schedules pulls and queries; one thread per peer, and a few for
+    the origin, execute them.
 
     Args:
         manifest: `Manifest` of the version.
-        me: name of this instance.
-        list_members: function that returns the `Member` tuple wanting it.
+        own_name: name of this instance.
+        list_members: function that returns the tuple of all `Member`.
         strategy: a `BaseStrategy`.
         peer_source: `PeerSource`.
         origin_source: `OriginSource`.
@@ -83,7 +83,7 @@
         self._queried_at = {}
 
     def start(self):
-        """Begin to pull in the background."""
+        """Start to pull in the background."""
         now = time.monotonic()
         self._view = _view.TransferView(
             self.own_name, self._read_members(), len(self.manifest.chunks), now
@@ -97,18 +97,18 @@
         return self
 
     def stop(self):
-        """Cancel: drop all chunks, take and serve none any more."""
+        """Cancel the transfer, drop all chunks and reject new ones."""
         self.store.cancel()
         with self.changed:
             self.changed.notify_all()
 
     @property
     def failed(self):
-        """Whether the version can never be whole, or was superseded."""
+        """Whether the version cannot complete or was superseded."""
         return self.store.cancelled
 
     def wait_complete(self, timeout_s):
-        """Wait until the version is whole, or has failed; returns whole."""
+        """Wait until complete or failed; return whether complete."""
         with self.changed:
             self.changed.wait_for(
                 lambda: self.store.is_complete or self.failed, timeout_s
@@ -134,8 +134,8 @@
             )
 
     def _query_neighbours(self):
-        # Peers may hold everything already, as after a restart of this
-        # process; drawing before they were asked would cost origin bytes.
+        # Peers may have all chunks, for example after a restart of this
+        # process; fetching before they have replied would cost origin bytes.
         with self.changed:
             names = self._neighbours(time.monotonic())
             for name in names:
@@ -220,7 +220,7 @@
             )
         except errors.CorruptChunkError as exc:
             self.counters.corrupt_chunks += 1
-            _log.warning('Chunk of {} refused: {}', pull.peer, exc)
+            _log.warning('Rejected a chunk from {}: {}.', pull.peer, exc)
             avoid_s = self.timing.avoid_s * CORRUPT_AVOID_FACTOR
             self._update_view(pull, self._view.fail, time.monotonic(), avoid_s)
         except errors.TransferError as exc:
@@ -232,11 +232,11 @@
         if self.failed:
             return
         self.counters.failures += 1
-        _log.info('Pull of chunk {} failed: {}', pull.chunk, exc)
+        _log.info('Pull of chunk {} failed: {}.', pull.chunk, exc)
         now = time.monotonic()
         if pull.peer == base.ORIGIN:
-            # There is no other origin to turn to, so its absence must not
-            # lengthen the wait from one try to the next.
+            # There is no other origin, so repeated failures must not
+            # increase the retry delay.
             self._update_view(pull, self._view.postpone, now + _ORIGIN_RETRY_S)
         else:
             self._update_view(pull, self._view.fail, now, self.timing.avoid_s)
@@ -259,7 +259,9 @@
         )
         self._observe(pull.peer, reply)
         if reply.data is None:
-            raise errors.SourceBusyError('no place or no chunk', step='pull')
+            raise errors.SourceBusyError(
+                'no free upload slot, or chunk not present', step='pull'
+            )
         self.counters.peer_bytes += len(reply.data)
         return reply.data
 
@@ -277,7 +279,7 @@
     def _address(self, name):
         member = self._members.get(name)
         if member is None or member.address is None:
-            raise errors.TransferError('has left the list', peer=name)
+            raise errors.TransferError('peer is not a member', peer=name)
         return member.address
 
     def _read_members(self):
--- a/catkinshunt/weights/_upload_limiter.py
+++ b/catkinshunt/weights/_upload_limiter.py
@@ -1,4 +1,4 @@
-"""The sender's side: how much one instance uploads, and to how many."""
+"""Limits the uploads of one instance."""
 
 import threading
 
@@ -6,20 +6,20 @@
 
 
 class UploadLimiter(base.ParamsMixin):
-    """Admits uploads of one version up to a number and a budget.
+    """Limits the concurrent uploads and the bytes sent of one version.
 
-    Without the budget the instances that hold chunks first would send many
-    copies each and fill their links, at the cost of live requests there,
-    while others send nothing. Once this instance is whole, what it sent is
-    forgotten slowly, so that instances which restart later still find peers
-    that may send.
+    Without the byte budget, the instances that have chunks first would send
+    many copies each and fill their links, delaying live requests there, while
+    others send nothing. Once this instance is complete, the bytes counted
+    against its budget decay, so that instances which restart later still find
+    peers that may send.
 
     Args:
         size_bytes: length of one copy of the version.
-        budget_copies: copies sent at most; None for no bound.
-        max_uploads: uploads at a time.
-        budget_decay_s: seconds in which one copy sent is forgotten after
-            `start_budget_decay`.
+        budget_copies: maximum number of copies sent; None for no limit.
+        max_uploads: maximum number of concurrent uploads.
+        budget_decay_s: seconds in which one copy sent is removed from the
+            count after `start_budget_decay`.
 
     Examples:
         >>> limiter = UploadLimiter(100, budget_copies=1, max_uploads=2)
@@ -47,13 +47,13 @@
         self._decayed_at = None
 
     def uploaded_copies(self, now):
-        """Copies sent or promised, less what is forgotten."""
+        """Return the copies sent or started, minus the decayed part."""
         with self._lock:
             self._decay(now)
             return self._budgeted_bytes / self.size_bytes
 
     def begin(self, chunk_bytes, now):
-        """Take a place for an upload; returns False if there is none."""
+        """Reserve an upload of `chunk_bytes`; return whether it is allowed."""
         with self._lock:
             self._decay(now)
             if self._uploads >= self.max_uploads:
@@ -66,13 +66,13 @@
             return True
 
     def start_budget_decay(self, now):
-        """Begin to forget what was sent."""
+        """Start to reduce the count of bytes sent."""
         with self._lock:
             if self._decayed_at is None:
                 self._decayed_at = now
 
     def end(self, unsent_bytes=0):
-        """Give the place back, and the bytes that were not sent."""
+        """Release an upload, and the reservation of its unsent bytes."""
         with self._lock:
             self._uploads -= 1
             self._budgeted_bytes -= unsent_bytes
@@ -89,5 +89,5 @@
         if since is None:
             return
         self._decayed_at = now
-        forgotten = (now - since) / self.budget_decay_s * self.size_bytes
-        self._budgeted_bytes = max(0.0, self._budgeted_bytes - forgotten)
+        decayed_bytes = (now - since) / self.budget_decay_s * self.size_bytes
+        self._budgeted_bytes = max(0.0, self._budgeted_bytes - decayed_bytes)
--- a/catkinshunt/weights/_view.py
+++ b/catkinshunt/weights/_view.py
@@ -1,4 +1,4 @@
-"""What one instance knows of a transfer that it takes part in."""
+"""State of a transfer as seen by one member."""
 
 import attrs
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class Member:
-    """An instance that wants the same version.
+    """An instance that takes part in the transfer of a version.
 
     Args:
-        name: its name.
-        data_centre: where it stands.
-        address: `httpio.Address` of its sidecar; None where nothing is sent.
+        name: name of the instance.
+        data_centre: name of its data centre.
+        address: `httpio.Address` of its sidecar; None if nothing is sent.
     """
 
     name = attrs.field()
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Pull:
-    """One chunk to ask one peer, or the origin, for."""
+    """A request for one chunk to one peer or to the origin."""
 
     chunk = attrs.field()
     peer = attrs.field()
@@ -32,7 +32,7 @@
 
 @attrs.define
 class PeerView:
-    """What is known of one peer; holdings have one bit a chunk."""
+    """State of one peer; `bitmap` has one bit per chunk."""
 
     bitmap = attrs.field(default=0)
     uploaded_copies = attrs.field(default=0.0)
@@ -44,12 +44,12 @@
 
 
 class TransferView:
-    """Holdings, pulls under way and peers, as one instance sees them.
+    """Chunks, pulls in progress and peers of one member.
 
     Args:
-        me: name of the instance.
-        members: tuple of `Member`, the instance itself among them.
-        n_chunks: chunks of the version.
+        own_name: name of this instance.
+        members: tuple of `Member`, including this instance.
+        n_chunks: number of chunks of the version.
         started_at: time at which the version was offered, in seconds.
     """
 
@@ -65,48 +65,48 @@
         self.set_members(members)
 
     def set_members(self, members):
-        """Take a new instance list; what is known of peers is kept."""
+        """Replace the members; the state of peers is kept."""
         self.members = tuple(sorted(members, key=lambda one: one.name))
         self.data_centres = {one.name: one.data_centre for one in members}
         self.plan = None
 
     @property
     def missing(self):
-        """Chunks neither held nor being pulled."""
+        """Bitmap of chunks neither present nor being pulled."""
         return ~(self.bitmap | self.pulling) & ((1 << self.n_chunks) - 1)
 
     @property
     def is_complete(self):
-        """Whether every chunk is held."""
+        """Whether every chunk is present."""
         return self.bitmap == (1 << self.n_chunks) - 1
 
     @property
     def n_pulls(self):
-        """Number of pulls under way."""
+        """Number of pulls in progress."""
         return self.pulling.bit_count()
 
     def peer(self, name):
-        """Return the `PeerView` of `name`, made at first mention."""
+        """Return the `PeerView` of `name`, created on first use."""
         if name not in self.peers:
             self.peers[name] = PeerView()
         return self.peers[name]
 
     def is_usable(self, name, now):
-        """Whether `name` is on the list and not avoided at `now`."""
+        """Whether `name` is a member and not avoided at `now`."""
         if name not in self.data_centres:
             return False
         peer = self.peers.get(name)
         return peer is None or peer.avoid_until <= now
 
     def observe(self, name, bitmap, uploaded_copies, now):
-        """Take what a reply of `name` said of itself."""
+        """Record the state in a reply of the peer `name`."""
         peer = self.peer(name)
         peer.bitmap = bitmap
         peer.uploaded_copies = uploaded_copies
         peer.observed_at = now
 
     def begin(self, pull):
-        """Note that `pull` is under way."""
+        """Record that `pull` has started."""
         self.pulling |= 1 << pull.chunk
         if pull.peer == base.ORIGIN:
             self.origin_pulls += 1
@@ -114,7 +114,7 @@
             self.peer(pull.peer).pulls += 1
 
     def finish(self, pull, now):
-        """Note that `pull` brought its chunk, whole and verified."""
+        """Record that the chunk of `pull` has been stored."""
         self._end(pull)
         self.progress_at = now
         self.bitmap |= 1 << pull.chunk
@@ -122,20 +122,20 @@
             self.peer(pull.peer).consecutive_failures = 0
 
     def postpone(self, pull, until):
-        """Note that the source had no place or no chunk; ask it later."""
+        """Record that the source is busy or lacks the chunk; retry later."""
         self._end(pull)
         self.peer(pull.peer).busy_until = until
 
     def fail(self, pull, now, avoid_s):
-        """Note that the source died, stalled or sent a wrong chunk.
+        """Record that the source failed, stalled or sent a corrupt chunk.
 
-        Each failure in a row doubles the time for which it is avoided.
+        Each consecutive failure doubles the time for which it is avoided.
         """
         self._end(pull)
         self.avoid(pull.peer, now, avoid_s)
 
     def avoid(self, name, now, avoid_s):
-        """Leave `name` alone for `avoid_s`, longer at each repetition."""
+        """Avoid `name` for `avoid_s`, doubled per consecutive failure."""
         peer = self.peer(name)
         peer.avoid_until = now + avoid_s * 2**peer.consecutive_failures
         peer.consecutive_failures = min(
--- a/catkinshunt/weights/base.py
+++ b/catkinshunt/weights/base.py
@@ -1,29 +1,29 @@
-"""Abstract classes of weight distribution."""
+"""Base classes of weight distribution."""
 
 import abc
 
 from catkinshunt import base
 
-#: Stands for the origin (or the weight store before it) as a source.
+#: Name of the origin, or of the weight store in front of it, as a source.
 ORIGIN = 'origin'
 
 
 class BaseStrategy(base.ParamsMixin, abc.ABC):
-    """Decides which chunk an instance pulls next, and from whom.
+    """Chooses the next chunk that an instance pulls, and its source.
 
-    The same object serves the transport and the benchmarks; it sees only a
-    `TransferView` and the present time.
+    Transfers and benchmarks use the same object; it depends only on a
+    `TransferView` and the current time.
     """
 
-    #: Copies of the model that one instance sends at most, or None.
+    #: Maximum number of model copies that one instance sends, or None.
     budget_copies = None
-    #: Uploads that one instance carries at a time.
+    #: Maximum number of concurrent uploads of one instance.
     max_uploads = 4
 
     @abc.abstractmethod
     def neighbours(self, view, now):
-        """Return the names of the peers whose holdings matter to `view`."""
+        """Return the names of the peers to query for their bitmaps."""
 
     @abc.abstractmethod
     def choose(self, view, now):
-        """Return the next `Pull`, or None if there is none at `now`."""
+        """Return the next `Pull`, or None if nothing can be pulled now."""
--- a/catkinshunt/weights/tests/fleet.py
+++ b/catkinshunt/weights/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A few agents over real sockets in one process, for the tests."""
+"""Agents over real sockets in one process, for the tests."""
 
 import contextlib
 
@@ -15,12 +15,12 @@
 
 
 class Instance:
-    """An agent with its server.
+    """An agent with its HTTP server.
 
     Args:
         name: name of the instance.
         fleet: the `Fleet` that it belongs to.
-        wrap: function of the WSGI application that returns the one served.
+        wrap: wraps the WSGI application before it is served, or None.
     """
 
     def __init__(self, name, fleet, wrap=None):
@@ -41,13 +41,13 @@
         self.agent.start()
 
     def stop(self):
-        """End both, as when the instance dies."""
+        """Stop the server and the agent, as if the instance died."""
         self.server.stop()
         self.agent.stop()
 
 
 class Fleet(contextlib.ExitStack):
-    """An origin, and agents that know each other."""
+    """An origin and agents that list each other as members."""
 
     def __init__(self, store=None, origin_up=True, chunk_bytes=CHUNK_BYTES):
         super().__init__()
@@ -65,24 +65,24 @@
             self.store_address = self.serve(store.app)
 
     def serve(self, app, port=0):
-        """Serve a stand-in; return its address."""
+        """Serve a WSGI application and return its address."""
         server = httpio.HttpServer(app, port=port, threads=8).start()
         self.origin_server = server
         self.callback(server.stop)
         return httpio.Address('127.0.0.1', server.port)
 
     def add(self, name, wrap=None):
-        """Start one more agent."""
+        """Start another agent."""
         instance = self.instances[name] = Instance(name, self, wrap)
         self.callback(instance.stop)
         return instance
 
     def add_unserved_member(self, name, address):
-        """List an instance whose address nobody serves as an agent."""
+        """List a member at whose address no agent runs."""
         self.unserved_members.append(weights.Member(name, address=address))
 
     def list_members(self, target):
-        """Return the members, as the instance list would."""
+        """Return all members."""
         members = [
             weights.Member(name, address=instance.address)
             for name, instance in self.instances.items()
@@ -90,14 +90,14 @@
         return tuple(members + self.unserved_members)
 
     def offer(self, version='v1', lean=0.0, names=None):
-        """Offer a version to some or all agents; return the wish."""
+        """Offer a version to some or all agents; return it."""
         target = weights.TargetVersion(MODEL, version, lean)
         for name in names or list(self.instances):
             self.instances[name].agent.offer(target)
         return target
 
     def wait_for_weights(self, target, names=None):
-        """Return the weights of each agent once whole; None for the rest."""
+        """Return the weights by agent; None if not complete in time."""
         found = {}
         for name in names or list(self.instances):
             agent = self.instances[name].agent
@@ -106,5 +106,5 @@
         return found
 
     def data(self, version):
-        """Return what the origin published."""
+        """Return the published weights of a version."""
         return self.origin._weights[MODEL, version]
--- a/catkinshunt/weights/tests/test_agent.py
+++ b/catkinshunt/weights/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""Tests of whole transfers over real sockets, under failure."""
+"""Tests of complete transfers over real sockets, with failures."""
 
 import contextlib
 import socket
@@ -37,10 +37,10 @@
 
 
 def test_other_instances_complete_when_one_dies(fleet):
-    """One of the machines vanishes when it has passed on some chunks.
+    """An instance dies after it has sent some chunks.
 
-    The others lose a source, and some chunks it was to draw. They must still
-    become whole, or runners stay without the new model.
+    The others lose a source and the owner of some chunks. They must still
+    complete, or engines would stay without the new model.
     """
     many_calls = threading.Event()
     for name in NAMES:
@@ -52,7 +52,7 @@
 
 
 def count_calls(app, n_calls, event):
-    """Set `event` when `app` has answered `n_calls`."""
+    """Return `app` wrapped to set `event` after `n_calls` requests."""
     seen = []
 
     def counted(environ, start_response):
@@ -65,9 +65,9 @@
 
 
 def test_peer_with_a_stalled_link_is_avoided(fleet):
-    """A machine's link stalls: it takes connections and answers nothing.
+    """The link of an instance stalls: it accepts connections without replying.
 
-    Whoever waits for it for ever is never whole.
+    A transfer that waited for it for ever would never complete.
     """
     with contextlib.closing(socket.create_server(('127.0.0.1', 0))) as sock:
         address = httpio.Address('127.0.0.1', sock.getsockname()[1])
@@ -78,10 +78,10 @@
 
 
 def test_peer_that_sends_corrupt_chunks_is_avoided(fleet):
-    """A machine with bad memory flips a bit in each chunk that it sends.
+    """An instance with faulty memory flips a bit in each chunk that it sends.
 
-    Its peers must notice by the digest, leave it alone and get the chunk
-    elsewhere; without that an engine would serve mixed weights.
+    Its peers must detect this by the digest, avoid it and get the chunk
+    elsewhere; otherwise an engine would serve mixed weights.
     """
     fleet.add('box-1', wrap=flip_chunks)
     for name in NAMES[1:]:
@@ -90,13 +90,13 @@
     assert_complete(fleet, target)
     reports = [fleet.instances[name].agent.report(0.0) for name in NAMES[1:]]
     refused = sum(report.corrupt_chunks for report in reports)
-    # Each of the others asks it for a few chunks before the first is
-    # checked, and then leaves it alone.
+    # Each of the others requests a few chunks from it before the first one is
+    # verified, and then avoids it.
     assert 1 <= refused <= 6
 
 
 def flip_chunks(app):
-    """Return `app` with one bit flipped in each chunk."""
+    """Return `app` wrapped to flip one bit in each chunk."""
 
     def flipped(environ, start_response):
         body = b''.join(app(environ, start_response))
@@ -108,9 +108,10 @@
 
 
 def test_a_version_that_changes_in_flight_never_mixes(fleet):
-    """Operators accept a second version while the first is on its way.
+    """Operators accept a second version during the transfer of the first.
 
-    The first must end at once, and no chunk of it may reach the second.
+    The first transfer must end at once, and none of its chunks may be used
+    for the second.
     """
     many_calls = threading.Event()
     for name in NAMES:
@@ -130,9 +131,9 @@
 
 
 def test_restarted_instance_pulls_only_from_peers(fleet):
-    """A machine is replaced after all were whole; it keeps nothing.
+    """An instance restarts without its chunks after all were complete.
 
-    Its peers have all it needs, so the origin's costly link stays idle.
+    Its peers have all chunks, so the origin's costly link must stay idle.
     """
     for name in NAMES:
         fleet.add(name)
@@ -147,9 +148,9 @@
 
 
 def test_chunks_owned_by_removed_instances_are_fetched(fleet):
-    """The instance list lags and still names machines that are gone.
+    """The instance list is stale and has instances that no longer exist.
 
-    Some of them would be the first to draw chunks; others must step in.
+    Some of them are owners of chunks; failover owners must fetch these.
     """
     with contextlib.closing(socket.create_server(('127.0.0.1', 0))) as sock:
         gone = httpio.Address('127.0.0.1', sock.getsockname()[1])
@@ -162,9 +163,9 @@
 
 
 def test_origin_outage_only_delays_the_transfer():
-    """The origin cannot be reached when a version is accepted.
+    """The origin is unreachable when a version is accepted.
 
-    The agents must go on trying, and be whole once it is back.
+    The agents must keep retrying and complete once it is reachable again.
     """
     with fleets.Fleet(origin_up=False) as fleet:
         tried = threading.Event()
@@ -192,10 +193,10 @@
 
 @pytest.mark.parametrize('lean', [0.0, 1.0])
 def test_busy_store_is_waited_for_unless_lean_prefers_time(lean):
-    """The rate-limited store answers 429 with a time to come back.
+    """The rate-limited store replies 429 with a retry time.
 
-    Leaning towards origin bytes the agents wait for it; leaning towards
-    time they turn to the origin at once.
+    With a `lean` towards origin bytes, the agents wait for it; with a `lean`
+    towards time, they use the origin at once.
     """
     store = make_store(rate_bytes_per_s=2e6, refuse_when_busy=True)
     with fleets.Fleet(store, chunk_bytes=100_000) as fleet:
@@ -209,7 +210,7 @@
 def test_store_without_the_version_is_skipped():
     """The weight store does not have the new version yet.
 
-    The origin does; a store that says 404 must not stop the transfer.
+    The origin has it; a 404 from the store must not stop the transfer.
     """
     with fleets.Fleet(origin.Origin()) as fleet:
         fleet.add('box-1')
@@ -217,9 +218,9 @@
 
 
 def test_inconsistent_manifest_is_never_served(fleet):
-    """A manifest carries the digest of other weights than its chunks make.
+    """A manifest has correct chunk digests and a wrong total digest.
 
-    Each chunk is right and the whole is not; nothing of it may be used.
+    None of its chunks may be used.
     """
     instance = fleet.add('box-1')
     data = bytearray(fleet.data('v1'))
@@ -241,7 +242,7 @@
 
 @pytest.mark.parametrize('key', ['', 'another-key', 'é'])
 def test_chunks_need_the_deployments_key(fleet, key):
-    """A caller, or a process of another deployment, asks for weights."""
+    """A client, or a process of another deployment, requests weights."""
     instance = fleet.add('box-1')
     target = fleet.offer()
     assert_complete(fleet, target)
@@ -272,9 +273,9 @@
 
 @pytest.mark.parametrize('answer', ['cut', 'long', 'headers', 'refused'])
 def test_peer_with_invalid_replies_is_skipped(fleet, answer):
-    """Something else listens where a sidecar was, or a reply is damaged.
+    """Another server listens at a sidecar's address, or a reply is damaged.
 
-    It must cost a retry elsewhere, and no wrong byte may be held.
+    The chunk must be pulled from another source, and no wrong byte stored.
     """
 
     def send_invalid_reply(environ, start_response):
--- a/catkinshunt/weights/tests/test_link_pacer.py
+++ b/catkinshunt/weights/tests/test_link_pacer.py
@@ -1,4 +1,4 @@
-"""Tests of the share of a link that a transfer takes."""
+"""Tests of the pacing of transfers on a shared link."""
 
 import pytest
 
@@ -6,10 +6,10 @@
 
 
 def test_a_transfer_yields_to_live_requests_down_to_the_floor():
-    """Requests and a transfer meet on one link.
+    """Live requests and a transfer share one link.
 
-    If the transfer took all of it, callers would wait behind weights; if it
-    got nothing, the new version would never come.
+    If the transfer used all of it, requests would wait behind weights; if it
+    got nothing, the new version would never arrive.
     """
     pacer = weights.LinkPacer(1000.0, min_share=0.2, window_s=1.0)
     assert pacer.available_bytes_per_s(0.0) == 1000.0
@@ -28,7 +28,7 @@
 
 
 class Body:
-    """An answer that notes when it is released."""
+    """A response body that records whether it was closed."""
 
     closed = False
 
--- a/catkinshunt/weights/tests/test_manifest.py
+++ b/catkinshunt/weights/tests/test_manifest.py
@@ -1,4 +1,4 @@
-"""Tests of the manifest's reader."""
+"""Tests of parsing manifests."""
 
 import json
 
@@ -46,10 +46,10 @@
     st.integers(0, len(MANIFEST.dumps()) - 1), st.binary(max_size=4)
 )
 def test_truncated_manifest_is_rejected(end, tail):
-    """A connection breaks while the manifest is read, or bytes are damaged.
+    """The connection breaks while the manifest is read, or bytes are damaged.
 
-    The reader must say so; weights checked against half a manifest would be
-    half a model.
+    Parsing must fail: weights verified against part of a manifest would be
+    part of a model.
     """
     raw = MANIFEST.dumps()[:end] + tail
     if raw == MANIFEST.dumps():
--- a/catkinshunt/weights/tests/test_store.py
+++ b/catkinshunt/weights/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store of verified chunks."""
+"""Tests of the chunk store."""
 
 import attrs
 import hypothesis
@@ -16,8 +16,8 @@
 def test_corrupt_chunk_is_never_stored():
     """A chunk arrives with a flipped bit.
 
-    If it were held, the instance would pass it on and the engine would load
-    wrong weights.
+    If it were stored, the instance would send it to peers and the engine
+    would load wrong weights.
     """
     store = weights.ChunkStore(MANIFEST)
     wrong = bytes([PARTS[0][0] ^ 1]) + PARTS[0][1:]
@@ -34,21 +34,24 @@
     store = weights.ChunkStore(MANIFEST)
     for index in order:
         assert not store.is_complete
-        with pytest.raises(errors.TransferError, match='not whole'):
+        with pytest.raises(errors.TransferError, match='is incomplete'):
             next(store.iter_chunks())
         store.put(index, PARTS[index])
     assert b''.join(store.iter_chunks()) == DATA
 
 
 def test_chunks_are_dropped_if_the_total_digest_differs():
-    """A manifest lists good chunks with the whole digest of other weights.
+    """A manifest has correct chunk digests and a wrong total digest.
 
-    The engine would be told to load weights that nobody published.
+    Without the check, the engine would load weights that were never
+    published.
     """
     store = weights.ChunkStore(attrs.evolve(MANIFEST, digest='0' * 64))
     for index, part in enumerate(PARTS[:-1]):
         store.put(index, part)
-    with pytest.raises(errors.CorruptChunkError, match='whole'):
+    with pytest.raises(
+        errors.CorruptChunkError, match='digest of the complete weights'
+    ):
         store.put(6, PARTS[6])
     assert not store.is_complete
     assert store.get(0) is None
@@ -57,8 +60,8 @@
 def test_a_superseded_version_is_dropped_while_it_is_read():
     """A new version is accepted while an engine still reads the old one.
 
-    The engine must see a short body, and no chunk of the old version may be
-    taken or served any more.
+    The engine must receive a short body, and chunks of the old version must
+    no longer be stored or served.
     """
     store = weights.ChunkStore(MANIFEST)
     for index, part in enumerate(PARTS):
--- a/catkinshunt/weights/tests/test_strategies.py
+++ b/catkinshunt/weights/tests/test_strategies.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of chunks, senders and drawers."""
+"""Tests of the choice of chunks, sources and owners."""
 
 import collections
 
@@ -58,24 +58,27 @@
 
 @pytest.mark.parametrize(('lean', 'copies'), [(0, 1), (0.5, 2.5), (1, 4)])
 def test_lean_sets_the_origin_copies(lean, copies):
-    drawn = collections.Counter()
+    copy_counts = collections.Counter()
     for name in NAMES:
         strategy = make_swarm(
             lean=lean, origin_copy_s=1e-6, max_pulls=N_CHUNKS
         )
         for pull in drain(strategy, make_view(name), 1.0):
             if pull.peer == weights.ORIGIN:
-                drawn[pull.chunk] += 1
-    assert len(drawn) == N_CHUNKS
-    assert sum(drawn.values()) / N_CHUNKS == pytest.approx(copies, abs=0.4)
-    assert max(drawn.values()) <= 4
+                copy_counts[pull.chunk] += 1
+    assert len(copy_counts) == N_CHUNKS
+    assert sum(copy_counts.values()) / N_CHUNKS == pytest.approx(
+        copies, abs=0.4
+    )
+    assert max(copy_counts.values()) <= 4
 
 
 def test_origin_fetches_are_spread_over_the_time_of_one_copy():
-    """All instances learn of a version at once.
+    """All instances start the transfer of a version at the same time.
 
-    If each drew its chunks at once, the origin would share its link among
-    all of them and nobody would have a whole chunk to pass on for long.
+    If each fetched its chunks at once, the origin's link would be shared
+    among all of them, and for long no instance would have a complete chunk to
+    send.
     """
     early = [
         pull
@@ -87,22 +90,22 @@
 
 
 def find_owner(chunk):
-    """Return the name that draws `chunk` first, and another one."""
+    """Return the name of the owner of `chunk`."""
     for name in NAMES:
         view = make_view(name)
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         pulls = drain(strategy, view, 1.0)
         if weights.Pull(chunk, weights.ORIGIN) in pulls:
             return name
-    raise AssertionError('nobody draws the chunk')
+    raise AssertionError('no instance fetches the chunk')
 
 
 def test_failed_owner_is_replaced_without_a_stampede():
-    """The instance that was to draw a chunk dies before it has it.
+    """The owner of a chunk dies before it has fetched it.
 
-    Every other instance misses that chunk. They ask the drawers before
-    themselves, and only the first that lives goes to the origin; otherwise
-    the origin would send one copy to each of them.
+    All other instances miss that chunk. They try the owners that rank before
+    them, and only the first one alive uses the origin; otherwise the origin
+    would send one copy to each of them.
     """
     owner = find_owner(3)
     to_origin = []
@@ -123,8 +126,8 @@
 def test_chunk_held_by_a_peer_is_not_fetched_from_the_origin():
     """A chunk is late at an instance only because its holders are busy.
 
-    Going to the origin for it would cost origin bytes exactly when all
-    links are full.
+    Fetching it from the origin would cost origin bytes exactly when all links
+    are full.
     """
     strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
     view = make_view('instance-0')
@@ -137,9 +140,9 @@
 
 
 def test_permanently_busy_holders_do_not_block_a_transfer():
-    """Peers say that they hold the last chunk, and are always busy.
+    """Peers report that they have the last chunk, but are always busy.
 
-    An instance that went on waiting for them would never be whole.
+    An instance that kept waiting for them would never complete.
     """
     strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
     view = make_view('instance-0')
@@ -151,10 +154,10 @@
 
 
 def test_stale_state_of_a_dead_owner_does_not_stop_failover():
-    """The first drawer dies just after it got a chunk, and a peer knew.
+    """The owner dies just after it fetched a chunk and reported it to a peer.
 
-    That peer no longer asks the dead one, so it believed that the chunk was
-    held, never drew it, and the last chunk never came.
+    The peer no longer queries the dead owner, so with its stale bitmap it
+    never fetched the chunk, and the transfer never completed.
     """
     owner = find_owner(3)
     for name in NAMES:
@@ -169,10 +172,10 @@
 
 
 def test_ordered_strategies_skip_a_failed_parent():
-    """The one instance that another pulls from dies.
+    """The parent of an instance dies.
 
-    Its children must go on from the next ancestor, or all below would never
-    be whole.
+    Its children must continue with the next ancestor, or the subtree would
+    never complete.
     """
     for strategy in (
         weights.ChainStrategy(),
@@ -207,12 +210,13 @@
 
 
 def test_owner_retries_a_holder_in_another_data_centre():
-    """A data centre's drawer asks an instance of another one for a chunk.
+    """An owner requests a chunk from an instance of another data centre.
 
-    What that one replied once counted as held, so the drawer asked again
-    only when the knowledge was old, and its whole data centre waited.
+    If the reply made the chunk count as held by a neighbour, the owner would
+    request it again only when the reply was old, and its data centre would
+    wait.
     """
-    asked = 0
+    n_retries = 0
     for own_name in NAMES:
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(own_name)
@@ -223,6 +227,6 @@
             view.postpone(pull, 2.0)
             again = drain(strategy, view, 2.0)
             assert pull.chunk in {one.chunk for one in again}
-            asked += 1
+            n_retries += 1
             break
-    assert asked
+    assert n_retries
