--- a/catkinshunt/weights/_store.py
+++ b/catkinshunt/weights/_store.py
@@ -32,8 +32,8 @@
         self._chunks = {}
         self._bitmap = 0
         self._hash = hashlib.sha256()
-        self._hashed = 0
-        self._whole = False
+        self._n_hashed = 0
+        self._is_complete = False
         self._cancelled = False
 
     @property
@@ -44,7 +44,7 @@
     @property
     def is_complete(self):
         """Whether all chunks are present and the total digest matches."""
-        return self._whole
+        return self._is_complete
 
     @property
     def cancelled(self):
@@ -85,7 +85,7 @@
                 it is read; the reader then receives a short body, never
                 bytes of another version.
         """
-        if not self._whole:
+        if not self._is_complete:
             raise errors.TransferError(
                 f'version {self.manifest.version} is incomplete',
                 step='read whole',
@@ -106,24 +106,24 @@
             self._drop()
 
     def _drop(self):
-        self._whole = False
+        self._is_complete = False
         self._bitmap = 0
         self._chunks.clear()
 
     def _hash_prefix(self):
         # Hashes incrementally, so that the load order to the engine is not
         # delayed by hashing all weights after the last chunk.
-        while self._hashed in self._chunks:
-            self._hash.update(self._chunks[self._hashed])
-            self._hashed += 1
-        if self._hashed < len(self.manifest.chunks):
+        while self._n_hashed in self._chunks:
+            self._hash.update(self._chunks[self._n_hashed])
+            self._n_hashed += 1
+        if self._n_hashed < len(self.manifest.chunks):
             return
         if self._hash.hexdigest() == self.manifest.digest:
-            self._whole = True
+            self._is_complete = True
             return
         # All chunks match but the total digest does not: the manifest is
-        # inconsistent. Otherwise an engine would load weights that were never
-        # published; an operator sees the error and no replica.
+        # inconsistent. Without this check, an engine would load weights that were
+        # never published; an operator sees the error and no replica.
         self._cancelled = True
         self._drop()
         raise errors.CorruptChunkError(
--- a/catkinshunt/weights/_swarm.py
+++ b/catkinshunt/weights/_swarm.py
@@ -55,8 +55,8 @@
         """Return the number of copies of `chunk` to fetch from the origin."""
         lean = checks.check_fraction(self.lean, 'lean')
         wanted = 1 + lean * (MAX_ORIGIN_COPIES - 1)
-        part = _rendezvous.score('copies', chunk) % _FRACTION_STEPS
-        return int(wanted + part / _FRACTION_STEPS)
+        fraction = _rendezvous.score('copies', chunk) % _FRACTION_STEPS
+        return int(wanted + fraction / _FRACTION_STEPS)
 
     def neighbours(self, view, now):
         usable_names = [
@@ -121,10 +121,10 @@
         # Peers that have a chunk but no free upload slot could block this
         # instance for ever, so it falls back to the origin. The wait differs
         # between instances to prevent a stampede.
-        part = _rendezvous.score('stuck', view.own_name) % _FRACTION_STEPS
+        fraction = _rendezvous.score('stuck', view.own_name) % _FRACTION_STEPS
         wait_s = (
             _STUCK_TAKEOVER_TIMES
-            * (1 + part / _FRACTION_STEPS)
+            * (1 + fraction / _FRACTION_STEPS)
             * self.takeover_s
         )
         return now - view.progress_at > wait_s
--- a/catkinshunt/weights/_transfer.py
+++ b/catkinshunt/weights/_transfer.py
@@ -45,7 +45,8 @@
     Args:
         manifest: `Manifest` of the version.
         own_name: name of this instance.
-        list_members: function that returns the tuple of all `Member`.
+        list_members: function that returns the tuple of `Member` that take
+            part.
         strategy: a `BaseStrategy`.
         peer_source: `PeerSource`.
         origin_source: `OriginSource`.
