--- a/catkinshunt/cli/_announcing.py
+++ b/catkinshunt/cli/_edit_push.py
@@ -21,7 +21,7 @@
         return 0
     # Only an edit needs the control channel; other commands start faster.
     from catkinshunt import configuration
-    from catkinshunt.dissemination import peering
+    from catkinshunt.dissemination import grpc_transport
     from catkinshunt import instances
     from catkinshunt import peers
 
@@ -33,7 +33,7 @@
         return 0
     with peers.LoopThread() as loop:
         pool = peers.PeerPool(cfg.deployment_key, loop)
-        operator = peering.GrpcPeering('operator', pool)
+        operator = grpc_transport.GrpcPeerTransport('operator', pool)
         taken = configuration.announce(accepted, operator, directory.members)
         pool.close()
     return taken
--- a/catkinshunt/engines/_slot.py
+++ b/catkinshunt/engines/_weights_endpoint.py
@@ -10,7 +10,7 @@
 _TOKEN_BYTES = 16
 
 
-class WeightsSlot(base.ParamsMixin):
+class WeightsEndpoint(base.ParamsMixin):
     """Gives the engine beside it the whole weights of one version.
 
     Some engines ignore fencing numbers. An order of an earlier process in
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -39,7 +39,7 @@
     def __init__(self, port=0):
         self.held = None
         self.server = httpio.HttpServer(self, port=port, threads=4).start()
-        self.slot = engines.WeightsSlot(
+        self.slot = engines.WeightsEndpoint(
             '127.0.0.1', self.server.port, self.get_transfer
         )
 
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -96,14 +96,16 @@
         pool: `httpio.ConnectionPool`.
         deployment_key: secret that sidecars ask for.
         stall_s: longest wait for the next piece of an answer.
-        keeper: `configuration.Keeper` whose revision rides along.
+        keeper: `configuration.ConfigurationReplica` whose revision rides along.
     """
 
-    def __init__(self, pool, deployment_key, stall_s=10.0, keeper=None):
+    def __init__(
+        self, pool, deployment_key, stall_s=10.0, config_replica=None
+    ):
         self.pool = pool
         self.deployment_key = deployment_key
         self.stall_s = stall_s
-        self.keeper = keeper
+        self.config_replica = config_replica
 
     def open(self, req, route, address, now, resume=None, learn=None):
         """Send `req` to the sidecar at `address`; wait for its reply's head.
@@ -125,7 +127,7 @@
         # On a kept connection a request can be lost without a sign whether
         # it ran; one that must not run twice could then not be retried.
         wait_s = self._head_wait_s(req, left_s)
-        conn, _ = self.pool.take(address, wait_s, fresh=not req.idempotent)
+        conn, _ = self.pool.acquire(address, wait_s, fresh=not req.idempotent)
         peer = str(address)
         try:
             if conn.sock is None:
@@ -149,8 +151,10 @@
             ) from exc
         opened = Opened(address, conn, resp, sock)
         self._check_echo(opened, exchange_id)
-        if self.keeper is not None:
-            self.keeper.hear(resp.getheader(headers.REVISION), now)
+        if self.config_replica is not None:
+            self.config_replica.observe_revision(
+                resp.getheader(headers.REVISION), now
+            )
         if learn is not None:
             learn(Reported.from_reply(resp))
         self._check_refusal(opened)
@@ -165,8 +169,8 @@
         """
         resp = opened.resp
         try:
-            yield from httpio.iter_pieces(resp, opened.sock)
-        except httpio.BROKEN as exc:
+            yield from httpio.iter_body(resp, opened.sock)
+        except httpio.READ_ERRORS as exc:
             opened.close()
             raise _incomplete(opened, repr(exc)) from exc
         if resp.length:
@@ -176,7 +180,7 @@
         # last byte of a body with a length, and refuses the next request.
         resp.close()
         opened.returned = True
-        self.pool.give_back(opened.address, opened.conn)
+        self.pool.release(opened.address, opened.conn)
 
     def read_whole(self, opened):
         """Return the whole body.
@@ -204,8 +208,8 @@
             not_after = time.time() + left_s
             once[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
             once[headers.NOT_AFTER] = f'{not_after:.3f}'
-        if self.keeper is not None:
-            once[headers.REVISION] = str(self.keeper.revision)
+        if self.config_replica is not None:
+            once[headers.REVISION] = str(self.config_replica.revision)
         return once | {
             'Content-Type': req.content_type,
             headers.ACCOUNT: req.account,
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -75,7 +75,7 @@
             await self._relay_events(head)
         else:
             await self._relay_buffered(head)
-        return self.conn.sent_whole and not reply_info.closes_connection
+        return self.conn.is_fully_sent and not reply_info.closes_connection
 
     async def _read_reply_head(self):
         """Return the head of the reply to this request.
@@ -100,12 +100,12 @@
                 self._check_version()
                 self._check_responsive()
                 continue
-            if isinstance(part, http1.Broken):
+            if isinstance(part, http1.ConnectionLost):
                 raise ConnectionLostError(
                     part.reason, step='read-reply', peer=self.peer
                 )
             self.state.receive(self.context.clock())
-            self.job.answering = True
+            self.job.reply_started = True
             return part
 
     def _check_version(self):
@@ -114,7 +114,7 @@
         A request can wait in the queue of a full engine for seconds, and
         would then be answered from weights that must no longer serve.
         """
-        if self.job.answering:
+        if self.job.reply_started:
             return
         if self.exchange.selection.is_outdated(self.upstream, POLL_S):
             raise OutdatedVersionError(
@@ -135,7 +135,7 @@
     def _check_head(self, head, reply_info):
         """Raise if the reply must not be relayed."""
         if reply_info.misdirected:
-            self.state.rest(self.context.clock(), MISDIRECTED_PAUSE_S)
+            self.state.pause(self.context.clock(), MISDIRECTED_PAUSE_S)
             raise errors.RefusedError(
                 'unexpected upstream id or version',
                 step='read-reply',
@@ -169,9 +169,9 @@
         now = self.context.clock()
         load = reply_info.load
         if load is not None and load.running < load.slots:
-            self.state.rest(now, LOADING_PAUSE_S, self.upstream.versions)
+            self.state.pause(now, LOADING_PAUSE_S, self.upstream.versions)
         else:
-            self.state.rest(now, FULL_PAUSE_S)
+            self.state.pause(now, FULL_PAUSE_S)
 
     def _is_stream(self, head):
         kind = head.headers.get('content-type') or ''
@@ -181,7 +181,7 @@
         body = bytearray()
         while len(body) <= MAX_BUFFERED_BYTES:
             part = await self._next_part()
-            if isinstance(part, http1.End):
+            if isinstance(part, http1.EndOfReply):
                 self._send_buffered(head, bytes(body))
                 return
             body += part.data
@@ -198,7 +198,7 @@
             self.exchange.conn.write(http1.dump_chunk(data))
             await self.exchange.conn.drain()
             part = await self._next_part()
-            if isinstance(part, http1.End):
+            if isinstance(part, http1.EndOfReply):
                 self.exchange.conn.write(http1.LAST_CHUNK)
                 return
             data = part.data
@@ -207,7 +207,7 @@
         splitter = _events.EventSplitter()
         while True:
             part = await self._next_part()
-            if isinstance(part, http1.End):
+            if isinstance(part, http1.EndOfReply):
                 break
             unsent, gap = self._select_new(self._split(splitter, part.data))
             if unsent:
--- a/catkinshunt/httpio/__init__.py
+++ b/catkinshunt/httpio/__init__.py
@@ -5,9 +5,9 @@
 from catkinshunt.httpio._client import exchange
 from catkinshunt.httpio._client import Reply
 from catkinshunt.httpio._errors import read_error
-from catkinshunt.httpio._pieces import BROKEN
-from catkinshunt.httpio._pieces import iter_pieces
-from catkinshunt.httpio._pieces import PIECE_BYTES
+from catkinshunt.httpio._body import READ_ERRORS
+from catkinshunt.httpio._body import iter_body
+from catkinshunt.httpio._body import PIECE_BYTES
 from catkinshunt.httpio._server import HttpServer
 from catkinshunt.httpio._wsgi import error_response
 from catkinshunt.httpio._wsgi import make_target
@@ -17,7 +17,7 @@
 from catkinshunt.httpio import headers
 
 __all__ = [
-    'BROKEN',
+    'READ_ERRORS',
     'PIECE_BYTES',
     'Address',
     'ConnectionPool',
@@ -28,7 +28,7 @@
     'exchange',
     'headers',
     'make_target',
-    'iter_pieces',
+    'iter_body',
     'read_body',
     'read_header',
     'read_error',
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -58,7 +58,7 @@
         self._chunks = weights.ChunkApp(
             self._agent, self.cfg.deployment_key, self._agent.upload_pacer
         )
-        self._slot = engines.WeightsSlot(
+        self._slot = engines.WeightsEndpoint(
             self.cfg.host, self.port, self._agent.transfer
         )
         thread = threading.Thread(
@@ -157,7 +157,7 @@
         if self._served == self._wanted:
             return True
         wanted = weights.TargetVersion(
-            place.model, place.version, place.lean_fraction
+            place.model, place.version, place.time_preference
         )
         self._agent.offer(wanted)
         transfer = self._agent.wait_complete(wanted, WHOLE_WAIT_S)
@@ -188,7 +188,7 @@
 
     def _list_members(self, wanted):
         """Return the instances that want the same version."""
-        names = control.find_holders(
+        names = control.find_replica_names(
             self.follower.current.rule_set,
             self._instance(),
             self.directory.instances,
--- a/catkinshunt/sidecar/_process.py
+++ b/catkinshunt/sidecar/_process.py
@@ -23,16 +23,16 @@
         """Listen, then follow the configuration."""
         self._control = control.ControlPlane(self.cfg)
         self._placement = _placement.Placement(
-            self.cfg, self._control.keeper, self._control.directory
+            self.cfg, self._control.config_replica, self._control.directory
         )
         self._app = _app.SidecarApp(self.cfg, self._placement)
         registry = metrics.Registry()
-        app = control.RevisionApp(
-            self._app, self._control.keeper, self.cfg.deployment_key
+        app = control.RevisionMiddleware(
+            self._app, self._control.config_replica, self.cfg.deployment_key
         )
         app = weights.LiveTrafficApp(app, self._placement.observe)
         self._server = httpio.HttpServer(
-            metrics.MeasuredApp(app, registry),
+            metrics.InstrumentedApp(app, registry),
             self.cfg.host,
             self.cfg.port,
             self.cfg.threads,
@@ -42,7 +42,7 @@
         if self.cfg.is_engine:
             self._placement.port = self._server.port
             self._placement.start()
-        self._operators = metrics.start_operators(
+        self._operators = metrics.start_operator_server(
             self.cfg, registry, lambda: self._serving, self.report
         )
         return self
@@ -52,7 +52,7 @@
         return {
             'name': self.cfg.name,
             'state': 'serving' if self._serving else 'leaving',
-            'revision': self._control.keeper.revision,
+            'revision': self._control.config_replica.revision,
             **self._placement.report(),
         }
 
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -61,7 +61,7 @@
         clock: returns seconds on the steady clock.
         link_mbps: speed of the instance's link.
         byte_counter: counts bytes by source.
-        admission: `places.BaseAdmission` of the engine.
+        admission: `places.BasePermitAdmission` of the engine.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._loader = _loader.Loader(
             engine, cluster_view, admission, clock, self._staging_lock
         )
-        self._outage = logs.Outage(
+        self._outage = logs.OutageLogger(
             _log, 'Engine unreachable: {}.', 'Engine reachable again.'
         )
 
