--- a/catkinshunt/weights/_store.py
+++ b/catkinshunt/weights/_store.py
@@ -122,8 +122,8 @@
             self._is_complete = True
             return
         # All chunks match but the total digest does not: the manifest is
-        # inconsistent. Without this check, an engine would load weights that were
-        # never published; an operator sees the error and no replica.
+        # inconsistent. Without this check, an engine would load weights that
+        # were never published; an operator sees the error and no replica.
         self._cancelled = True
         self._drop()
         raise errors.CorruptChunkError(
