--- a/catkinshunt/weights/_upload_limiter.py
+++ b/catkinshunt/weights/_upload_limiter.py
@@ -1,4 +1,4 @@
-"""The sender's side: how much one instance uploads, and to how many."""
+"""Limits the uploads of one instance."""
 
 import threading
 
@@ -6,26 +6,26 @@
 
 
 class UploadLimiter(base.ParamsMixin):
-    """Admits uploads of one version up to a number and a budget.
+    """Limits the concurrent uploads and the bytes sent of one version.
 
-    Without the budget the instances that hold chunks first would send many
-    copies each and fill their links, at the cost of live requests there,
-    while others send nothing. Once this instance is whole, what it sent is
-    forgotten slowly, so that instances which restart later still find peers
-    that may send.
+    Without the byte budget, the instances that have chunks first would send
+    many copies each and fill their links, delaying live requests there, while
+    others send nothing. Once this instance is complete, the bytes counted
+    against its budget decay, so that instances which restart later still find
+    peers that may send.
 
     Args:
         size_bytes: length of one copy of the version.
-        budget_copies: copies sent at most; None for no bound.
-        max_uploads: uploads at a time.
-        budget_decay_s: seconds in which one copy sent is forgotten after
-            `start_budget_decay`.
+        budget_copies: maximum number of copies sent; None for no limit.
+        max_uploads: maximum number of concurrent uploads.
+        budget_decay_s: seconds in which one copy sent is removed from the
+            count after `start_budget_decay`.
 
     Examples:
-        >>> upload_limiter = UploadLimiter(100, budget_copies=1, max_uploads=2)
-        >>> upload_limiter.begin(60, now=0.0), upload_limiter.begin(60, now=0.0)
+        >>> limiter = UploadLimiter(100, budget_copies=1, max_uploads=2)
+        >>> limiter.begin(60, now=0.0), limiter.begin(60, now=0.0)
         (True, False)
-        >>> upload_limiter.uploaded_copies(now=0.0)
+        >>> limiter.uploaded_copies(now=0.0)
         0.6
     """
 
@@ -43,51 +43,51 @@
         self.sent_bytes = 0
         self._lock = threading.Lock()
         self._uploads = 0
-        self._counted_bytes = 0.0
-        self._counted_at = None
+        self._budgeted_bytes = 0.0
+        self._decayed_at = None
 
     def uploaded_copies(self, now):
-        """Copies sent or promised, less what is forgotten."""
+        """Return the copies sent or started, minus the decayed part."""
         with self._lock:
-            self._forget(now)
-            return self._counted_bytes / self.size_bytes
+            self._decay(now)
+            return self._budgeted_bytes / self.size_bytes
 
     def begin(self, chunk_bytes, now):
-        """Take a place for an upload; returns False if there is none."""
+        """Reserve an upload of `chunk_bytes`; return whether it is allowed."""
         with self._lock:
-            self._forget(now)
+            self._decay(now)
             if self._uploads >= self.max_uploads:
                 return False
-            if self._exceeds(chunk_bytes):
+            if self._exceeds_budget(chunk_bytes):
                 return False
             self._uploads += 1
-            self._counted_bytes += chunk_bytes
+            self._budgeted_bytes += chunk_bytes
             self.sent_bytes += chunk_bytes
             return True
 
     def start_budget_decay(self, now):
-        """Begin to forget what was sent."""
+        """Start to reduce the count of bytes sent."""
         with self._lock:
-            if self._counted_at is None:
-                self._counted_at = now
+            if self._decayed_at is None:
+                self._decayed_at = now
 
     def end(self, unsent_bytes=0):
-        """Give the place back, and the bytes that were not sent."""
+        """Release an upload, and the reservation of its unsent bytes."""
         with self._lock:
             self._uploads -= 1
-            self._counted_bytes -= unsent_bytes
+            self._budgeted_bytes -= unsent_bytes
             self.sent_bytes -= unsent_bytes
 
-    def _exceeds(self, chunk_bytes):
+    def _exceeds_budget(self, chunk_bytes):
         if self.budget_copies is None:
             return False
         bound = self.budget_copies * self.size_bytes
-        return self._counted_bytes + chunk_bytes > bound
+        return self._budgeted_bytes + chunk_bytes > bound
 
-    def _forget(self, now):
-        since = self._counted_at
+    def _decay(self, now):
+        since = self._decayed_at
         if since is None:
             return
-        self._counted_at = now
-        forgotten = (now - since) / self.budget_decay_s * self.size_bytes
-        self._counted_bytes = max(0.0, self._counted_bytes - forgotten)
+        self._decayed_at = now
+        decayed_bytes = (now - since) / self.budget_decay_s * self.size_bytes
+        self._budgeted_bytes = max(0.0, self._budgeted_bytes - decayed_bytes)
--- a/catkinshunt/weights/tests/fleet.py
+++ b/catkinshunt/weights/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A few agents over real sockets in one process, for the tests."""
+"""Agents over real sockets in one process, for the tests."""
 
 import contextlib
 
@@ -14,13 +14,13 @@
 TIMEOUT_S = 30.0
 
 
-class Box:
-    """An agent with its server.
+class Instance:
+    """An agent with its HTTP server.
 
     Args:
         name: name of the instance.
         fleet: the `Fleet` that it belongs to.
-        wrap: function of the WSGI application that returns the one served.
+        wrap: wraps the WSGI application before it is served, or None.
     """
 
     def __init__(self, name, fleet, wrap=None):
@@ -41,21 +41,21 @@
         self.agent.start()
 
     def stop(self):
-        """End both, as when the instance dies."""
+        """Stop the server and the agent, as if the instance died."""
         self.server.stop()
         self.agent.stop()
 
 
 class Fleet(contextlib.ExitStack):
-    """An origin, and agents that know each other."""
+    """An origin and agents that list each other as members."""
 
     def __init__(self, store=None, origin_up=True, chunk_bytes=CHUNK_BYTES):
         super().__init__()
         self.origin = origin.Origin(chunk_bytes=chunk_bytes)
         self.origin.publish(MODEL, 'v1', SIZE_BYTES)
         self.origin.publish(MODEL, 'v2', SIZE_BYTES)
-        self.boxes = {}
-        self.ghosts = []
+        self.instances = {}
+        self.unserved_members = []
         server = self.serve(self.origin.app)
         self.origin_address = server
         if not origin_up:
@@ -65,46 +65,46 @@
             self.store_address = self.serve(store.app)
 
     def serve(self, app, port=0):
-        """Serve a stand-in; return its address."""
+        """Serve a WSGI application and return its address."""
         server = httpio.HttpServer(app, port=port, threads=8).start()
         self.origin_server = server
         self.callback(server.stop)
         return httpio.Address('127.0.0.1', server.port)
 
     def add(self, name, wrap=None):
-        """Start one more agent."""
-        box = self.boxes[name] = Box(name, self, wrap)
-        self.callback(box.stop)
-        return box
+        """Start another agent."""
+        instance = self.instances[name] = Instance(name, self, wrap)
+        self.callback(instance.stop)
+        return instance
 
-    def add_ghost(self, name, address):
-        """List an instance whose address nobody serves as an agent."""
-        self.ghosts.append(weights.Member(name, address=address))
+    def add_unserved_member(self, name, address):
+        """List a member at whose address no agent runs."""
+        self.unserved_members.append(weights.Member(name, address=address))
 
-    def list_members(self, wanted):
-        """Return the members, as the instance list would."""
+    def list_members(self, target):
+        """Return all members."""
         members = [
-            weights.Member(name, address=box.address)
-            for name, box in self.boxes.items()
+            weights.Member(name, address=instance.address)
+            for name, instance in self.instances.items()
         ]
-        return tuple(members + self.ghosts)
+        return tuple(members + self.unserved_members)
 
     def offer(self, version='v1', lean=0.0, names=None):
-        """Offer a version to some or all agents; return the wish."""
-        wanted = weights.TargetVersion(MODEL, version, lean)
-        for name in names or list(self.boxes):
-            self.boxes[name].agent.offer(wanted)
-        return wanted
-
-    def whole(self, wanted, names=None):
-        """Return the weights of each agent once whole; None for the rest."""
+        """Offer a version to some or all agents; return it."""
+        target = weights.TargetVersion(MODEL, version, lean)
+        for name in names or list(self.instances):
+            self.instances[name].agent.offer(target)
+        return target
+
+    def wait_for_weights(self, target, names=None):
+        """Return the weights by agent; None if not complete in time."""
         found = {}
-        for name in names or list(self.boxes):
-            agent = self.boxes[name].agent
-            transfer = agent.wait_complete(wanted, TIMEOUT_S)
+        for name in names or list(self.instances):
+            agent = self.instances[name].agent
+            transfer = agent.wait_complete(target, TIMEOUT_S)
             found[name] = transfer and b''.join(transfer.store.iter_chunks())
         return found
 
     def data(self, version):
-        """Return what the origin published."""
+        """Return the published weights of a version."""
         return self.origin._weights[MODEL, version]
--- a/catkinshunt/weights/tests/test_strategies.py
+++ b/catkinshunt/weights/tests/test_strategies.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of chunks, senders and drawers."""
+"""Tests of the choice of chunks, sources and owners."""
 
 import collections
 
@@ -13,8 +13,8 @@
 NAMES = tuple(one.name for one in MEMBERS)
 
 
-def make_view(me, members=MEMBERS):
-    return weights.TransferView(me, members, N_CHUNKS)
+def make_view(own_name, members=MEMBERS):
+    return weights.TransferView(own_name, members, N_CHUNKS)
 
 
 def make_swarm(**params):
@@ -58,24 +58,27 @@
 
 @pytest.mark.parametrize(('lean', 'copies'), [(0, 1), (0.5, 2.5), (1, 4)])
 def test_lean_sets_the_origin_copies(lean, copies):
-    drawn = collections.Counter()
+    copy_counts = collections.Counter()
     for name in NAMES:
         strategy = make_swarm(
             lean=lean, origin_copy_s=1e-6, max_pulls=N_CHUNKS
         )
         for pull in drain(strategy, make_view(name), 1.0):
             if pull.peer == weights.ORIGIN:
-                drawn[pull.chunk] += 1
-    assert len(drawn) == N_CHUNKS
-    assert sum(drawn.values()) / N_CHUNKS == pytest.approx(copies, abs=0.4)
-    assert max(drawn.values()) <= 4
+                copy_counts[pull.chunk] += 1
+    assert len(copy_counts) == N_CHUNKS
+    assert sum(copy_counts.values()) / N_CHUNKS == pytest.approx(
+        copies, abs=0.4
+    )
+    assert max(copy_counts.values()) <= 4
 
 
-def test_draws_are_spread_over_the_time_of_one_copy():
-    """All instances learn of a version at once.
+def test_origin_fetches_are_spread_over_the_time_of_one_copy():
+    """All instances start the transfer of a version at the same time.
 
-    If each drew its chunks at once, the origin would share its link among
-    all of them and nobody would have a whole chunk to pass on for long.
+    If each fetched its chunks at once, the origin's link would be shared
+    among all of them, and for long no instance would have a complete chunk to
+    send.
     """
     early = [
         pull
@@ -86,45 +89,45 @@
     assert 0 < len(early) <= N_CHUNKS * 0.3
 
 
-def home_of(chunk):
-    """Return the name that draws `chunk` first, and another one."""
+def find_owner(chunk):
+    """Return the name of the owner of `chunk`."""
     for name in NAMES:
         view = make_view(name)
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         pulls = drain(strategy, view, 1.0)
         if weights.Pull(chunk, weights.ORIGIN) in pulls:
             return name
-    raise AssertionError('nobody draws the chunk')
+    raise AssertionError('no instance fetches the chunk')
 
 
-def test_a_failed_drawer_is_taken_over_without_a_stampede():
-    """The instance that was to draw a chunk dies before it has it.
+def test_failed_owner_is_replaced_without_a_stampede():
+    """The owner of a chunk dies before it has fetched it.
 
-    Every other instance misses that chunk. They ask the drawers before
-    themselves, and only the first that lives goes to the origin; otherwise
-    the origin would send one copy to each of them.
+    All other instances miss that chunk. They try the owners that rank before
+    them, and only the first one alive uses the origin; otherwise the origin
+    would send one copy to each of them.
     """
-    drawer = home_of(3)
+    owner = find_owner(3)
     to_origin = []
     for name in NAMES:
-        if name == drawer:
+        if name == owner:
             continue
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(name)
-        everything = (1 << N_CHUNKS) - 1
-        view.bitmap = everything & ~(1 << 3)
-        view.avoid(drawer, 0.0, 1000.0)
+        all_chunks = (1 << N_CHUNKS) - 1
+        view.bitmap = all_chunks & ~(1 << 3)
+        view.avoid(owner, 0.0, 1000.0)
         pulls = drain(strategy, view, 15.0)
         if pulls == [weights.Pull(3, weights.ORIGIN)]:
             to_origin.append(name)
     assert len(to_origin) <= 2
 
 
-def test_a_chunk_that_a_peer_holds_is_not_drawn_again():
+def test_chunk_held_by_a_peer_is_not_fetched_from_the_origin():
     """A chunk is late at an instance only because its holders are busy.
 
-    Going to the origin for it would cost origin bytes exactly when all
-    links are full.
+    Fetching it from the origin would cost origin bytes exactly when all links
+    are full.
     """
     strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
     view = make_view('instance-0')
@@ -136,10 +139,10 @@
     assert drain(strategy, view, 1e6 + 1.0) == []
 
 
-def test_holders_that_never_have_a_place_do_not_block_for_ever():
-    """Peers say that they hold the last chunk, and are always busy.
+def test_permanently_busy_holders_do_not_block_a_transfer():
+    """Peers report that they have the last chunk, but are always busy.
 
-    An instance that went on waiting for them would never be whole.
+    An instance that kept waiting for them would never complete.
     """
     strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
     view = make_view('instance-0')
@@ -150,29 +153,29 @@
     assert weights.ORIGIN in sources
 
 
-def test_old_knowledge_of_a_dead_holder_does_not_stop_a_takeover():
-    """The first drawer dies just after it got a chunk, and a peer knew.
+def test_stale_state_of_a_dead_owner_does_not_stop_failover():
+    """The owner dies just after it fetched a chunk and reported it to a peer.
 
-    That peer no longer asks the dead one, so it believed that the chunk was
-    held, never drew it, and the last chunk never came.
+    The peer no longer queries the dead owner, so with its stale bitmap it
+    never fetched the chunk, and the transfer never completed.
     """
-    drawer = home_of(3)
+    owner = find_owner(3)
     for name in NAMES:
-        if name == drawer:
+        if name == owner:
             continue
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(name)
         view.bitmap = ((1 << N_CHUNKS) - 1) & ~(1 << 3)
-        view.observe(drawer, 1 << 3, 2.0, 1.0)
-        view.peer(drawer).busy_until = 0.0
+        view.observe(owner, 1 << 3, 2.0, 1.0)
+        view.peer(owner).busy_until = 0.0
         assert drain(strategy, view, 1e6) != []
 
 
 def test_ordered_strategies_skip_a_failed_parent():
-    """The one instance that another pulls from dies.
+    """The parent of an instance dies.
 
-    Its children must go on from the next ancestor, or all below would never
-    be whole.
+    Its children must continue with the next ancestor, or the subtree would
+    never complete.
     """
     for strategy in (
         weights.ChainStrategy(),
@@ -184,7 +187,7 @@
             for dead in strategy.neighbours(view, 0.0):
                 view.avoid(dead, 0.0, 1000.0)
             after = strategy.neighbours(view, 1.0)
-            assert all(view.usable(peer, 1.0) for peer in after)
+            assert all(view.is_usable(peer, 1.0) for peer in after)
 
 
 def test_stripes_have_disjoint_interiors():
@@ -198,24 +201,25 @@
     assert max(len(stripes) for stripes in interior.values()) == 1
 
 
-def test_a_new_list_keeps_what_is_known_of_peers():
+def test_new_member_list_keeps_peer_state():
     view = make_view('instance-0')
     view.observe('instance-1', 0b11, 0.5, 0.0)
     view.set_members(MEMBERS[:5])
     assert view.peer('instance-1').bitmap == 0b11
-    assert not view.usable('instance-9', 0.0)
+    assert not view.is_usable('instance-9', 0.0)
 
 
-def test_a_drawer_goes_on_asking_a_holder_elsewhere():
-    """A data centre's drawer asks an instance of another one for a chunk.
+def test_owner_retries_a_holder_in_another_data_centre():
+    """An owner requests a chunk from an instance of another data centre.
 
-    What that one replied once counted as held, so the drawer asked again
-    only when the knowledge was old, and its whole data centre waited.
+    If the reply made the chunk count as held by a neighbour, the owner would
+    request it again only when the reply was old, and its data centre would
+    wait.
     """
-    asked = 0
-    for me in NAMES:
+    n_retries = 0
+    for own_name in NAMES:
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
-        view = make_view(me)
+        view = make_view(own_name)
         for pull in drain(strategy, view, 1.0):
             if pull.peer == weights.ORIGIN:
                 continue
@@ -223,6 +227,6 @@
             view.postpone(pull, 2.0)
             again = drain(strategy, view, 2.0)
             assert pull.chunk in {one.chunk for one in again}
-            asked += 1
+            n_retries += 1
             break
-    assert asked
+    assert n_retries
