--- a/benchmarks/bench_capacity.py
+++ b/benchmarks/bench_capacity.py
@@ -231,7 +231,7 @@
     with contextlib.ExitStack() as stack:
         for _ in range(STREAMS):
             pool = httpio.ConnectionPool()
-            conn, _ = pool.take(deployment.entry.address)
+            conn, _ = pool.acquire(deployment.entry.address)
             stack.callback(conn.close)
             conn.request('POST', f'/{SERVICE}/generate', data)
             # Reading only the head leaves the stream waiting for us.
--- a/benchmarks/bench_logs.py
+++ b/benchmarks/bench_logs.py
@@ -70,10 +70,10 @@
         pool = httpio.ConnectionPool()
         begin = time.process_time()
         for _ in range(REQUESTS):
-            conn, _ = pool.take(address)
+            conn, _ = pool.acquire(address)
             conn.request('POST', '/', b'{}')
             conn.getresponse().read()
-            pool.give_back(address, conn)
+            pool.release(address, conn)
         taken = time.process_time() - begin
         pool.close()
     return taken / REQUESTS
--- a/benchmarks/bench_overhead.py
+++ b/benchmarks/bench_overhead.py
@@ -45,13 +45,13 @@
             }
         )
         begin = time.perf_counter()
-        conn, _ = self.pool.take(self.address)
+        conn, _ = self.pool.acquire(self.address)
         conn.request('POST', self.path, body, {headers.ACCOUNT: 'bench'})
         resp = conn.getresponse()
         count = 0
         while piece := resp.read1(65536):
             count += piece.count(b'\n')
-        self.pool.give_back(self.address, conn)
+        self.pool.release(self.address, conn)
         assert resp.status == 200 and count == pieces + 1, resp.status
         return time.perf_counter() - begin
 
--- a/benchmarks/bench_transfer.py
+++ b/benchmarks/bench_transfer.py
@@ -61,10 +61,10 @@
     taken = []
     while len(taken) < N_REQUESTS and not until():
         begin = time.perf_counter()
-        conn, _ = pool.take(box.address)
+        conn, _ = pool.acquire(box.address)
         conn.request('GET', '/live')
         conn.getresponse().read()
-        pool.give_back(box.address, conn)
+        pool.release(box.address, conn)
         taken.append(1000 * (time.perf_counter() - begin))
         time.sleep(PERIOD_S)
     pool.close()
--- a/catkinshunt/cli/_editing.py
+++ b/catkinshunt/cli/_editing.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from catkinshunt.cli import _announcing
+from catkinshunt.cli import _edit_push
 from catkinshunt import errors
 from catkinshunt import httpio
 from catkinshunt import settings
@@ -125,5 +125,5 @@
     return configuration.Editor(
         store,
         cfg.services or None,
-        announce=lambda accepted: _announcing.announce(cfg, accepted),
+        announce=lambda accepted: _edit_push.announce(cfg, accepted),
     )
--- a/catkinshunt/cli/_experiment.py
+++ b/catkinshunt/cli/_experiment.py
@@ -66,8 +66,8 @@
     """Find out what is wrong with `plot` before the long work."""
     if not plot.endswith('.svg'):
         raise errors.SettingsError(
-            f'--plot: got {settings.show(plot)}, allowed: a file that ends '
-            'with .svg'
+            f'--plot: got {settings.format_value(plot)}, allowed: a file that '
+            'ends with .svg'
         )
     folder = os.path.dirname(plot) or '.'
     if not os.path.isdir(folder):
--- a/catkinshunt/cli/_relaunch.py
+++ b/catkinshunt/cli/_relaunch.py
@@ -60,7 +60,7 @@
             raise ValueError(role)
         with os.fdopen(int(read_end), 'rb') as file:
             value = json.loads(file.read())
-        return settings.from_checked(role, value)
+        return settings.from_validated(role, value)
     except (OSError, ValueError, KeyError, TypeError) as exc:
         raise errors.SettingsError(
             f'{WORD} is for the process itself; use {role} SETTINGS'
--- a/catkinshunt/cli/_serve.py
+++ b/catkinshunt/cli/_serve.py
@@ -7,7 +7,7 @@
 import gc
 import linecache
 
-from catkinshunt.cli import _absent
+from catkinshunt.cli import _excluded_modules
 from catkinshunt.cli import _relaunch
 from catkinshunt.cli import _stop_signal
 
@@ -22,7 +22,7 @@
 
 def serve_checked(role, _path, read_end):
     """Run `role` with the settings handed over by `check_and_serve`."""
-    _absent.keep_out(role)
+    _excluded_modules.keep_out(role)
     cfg = _relaunch.read_settings(role, read_end)
     if role == 'entry':
         from catkinshunt import entry
--- a/catkinshunt/cli/tests/test_status.py
+++ b/catkinshunt/cli/tests/test_status.py
@@ -34,7 +34,7 @@
         httpio.HttpServer(service.app, threads=1) as store,
     ):
         apps = [
-            metrics.OperatorsApp(metrics.Registry(), bool, lambda s=state: s)
+            metrics.OperatorApp(metrics.Registry(), bool, lambda s=state: s)
             for state in states
         ]
         servers = [httpio.HttpServer(app, threads=1).start() for app in apps]
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from catkinshunt.cli import _announcing
+from catkinshunt.cli import _edit_push
 from catkinshunt import configuration
 from catkinshunt.configuration.tests import fakes as store_fakes
 from catkinshunt import control
@@ -171,7 +171,7 @@
     )
 
     def announce(accepted):
-        assert _announcing.announce(cfg, accepted) == 3
+        assert _edit_push.announce(cfg, accepted) == 3
 
     for plane in planes:
         plane._store_source.fetch = _fail
--- a/catkinshunt/entry/_process.py
+++ b/catkinshunt/entry/_process.py
@@ -39,13 +39,13 @@
         )
         registry = metrics.Registry()
         self._server = httpio.HttpServer(
-            metrics.MeasuredApp(self._app, registry),
+            metrics.InstrumentedApp(self._app, registry),
             self.cfg.host,
             self.cfg.port,
             self.cfg.threads,
         ).start()
         self._serving = True
-        self._operators = metrics.start_operators(
+        self._operators = metrics.start_operator_server(
             self.cfg, registry, lambda: self._serving, self.report
         )
         return self
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -125,7 +125,7 @@
         # On a kept connection a request can be lost without a sign whether
         # it ran; one that must not run twice could then not be retried.
         wait_s = self._head_wait_s(req, left_s)
-        conn, _ = self.pool.take(address, wait_s, fresh=not req.idempotent)
+        conn, _ = self.pool.acquire(address, wait_s, fresh=not req.idempotent)
         peer = str(address)
         try:
             if conn.sock is None:
@@ -165,8 +165,8 @@
         """
         resp = opened.resp
         try:
-            yield from httpio.iter_pieces(resp, opened.sock)
-        except httpio.BROKEN as exc:
+            yield from httpio.iter_body(resp, opened.sock)
+        except httpio.READ_ERRORS as exc:
             opened.close()
             raise _incomplete(opened, repr(exc)) from exc
         if resp.length:
@@ -176,7 +176,7 @@
         # last byte of a body with a length, and refuses the next request.
         resp.close()
         opened.returned = True
-        self.pool.give_back(opened.address, opened.conn)
+        self.pool.release(opened.address, opened.conn)
 
     def read_whole(self, opened):
         """Return the whole body.
--- a/catkinshunt/feed/_server.py
+++ b/catkinshunt/feed/_server.py
@@ -32,7 +32,9 @@
     def __init__(self, source, wall, clock):
         self.source = source
         self.wall = wall
-        self._listener = http1.Listener(http1.answer_with(self._answer), clock)
+        self._listener = http1.Listener(
+            http1.make_session(self._answer), clock
+        )
 
     async def start(self, host, port):
         """Listen on an address; returns self."""
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -358,7 +358,7 @@
             raise
         finally:
             if is_reusable:
-                pool.give_back(conn)
+                pool.release(conn)
             else:
                 conn.reset()
 
@@ -369,7 +369,7 @@
         # a new connection.
         fresh = not self.decision.serve.repeatable
         try:
-            return await pool.take(fresh=fresh)
+            return await pool.acquire(fresh=fresh)
         except errors.RefusedError:
             state.back_off(self.context.clock())
             raise
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -176,7 +176,7 @@
         pool = self.context.pool(candidate.upstream)
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
-                conn = await pool.take(fresh=True)
+                conn = await pool.acquire(fresh=True)
         except TimeoutError:
             self._add_note(candidate, 'connect timed out')
             return False
@@ -184,7 +184,7 @@
             self._add_note(candidate, str(exc))
             candidate.state.back_off(self.context.clock())
             return False
-        pool.give_back(conn)
+        pool.release(conn)
         self._add_note(candidate, 'accepted a connection')
         return True
 
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -75,7 +75,7 @@
             await self._relay_events(head)
         else:
             await self._relay_buffered(head)
-        return self.conn.sent_whole and not reply_info.closes_connection
+        return self.conn.is_fully_sent and not reply_info.closes_connection
 
     async def _read_reply_head(self):
         """Return the head of the reply to this request.
@@ -100,7 +100,7 @@
                 self._check_version()
                 self._check_responsive()
                 continue
-            if isinstance(part, http1.Broken):
+            if isinstance(part, http1.ConnectionLost):
                 raise ConnectionLostError(
                     part.reason, step='read-reply', peer=self.peer
                 )
@@ -181,7 +181,7 @@
         body = bytearray()
         while len(body) <= MAX_BUFFERED_BYTES:
             part = await self._next_part()
-            if isinstance(part, http1.End):
+            if isinstance(part, http1.EndOfReply):
                 self._send_buffered(head, bytes(body))
                 return
             body += part.data
@@ -198,7 +198,7 @@
             self.exchange.conn.write(http1.dump_chunk(data))
             await self.exchange.conn.drain()
             part = await self._next_part()
-            if isinstance(part, http1.End):
+            if isinstance(part, http1.EndOfReply):
                 self.exchange.conn.write(http1.LAST_CHUNK)
                 return
             data = part.data
@@ -207,7 +207,7 @@
         splitter = _events.EventSplitter()
         while True:
             part = await self._next_part()
-            if isinstance(part, http1.End):
+            if isinstance(part, http1.EndOfReply):
                 break
             unsent, gap = self._select_new(self._split(splitter, part.data))
             if unsent:
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -287,13 +287,13 @@
 def delay_connections(context, upstream, seconds):
     """Delay new connections to an upstream by `seconds`."""
     pool = context.pool(upstream.listed())
-    take = pool.take
+    take = pool.acquire
 
     async def take_slowly(fresh=False):
         await asyncio.sleep(seconds)
         return await take(fresh)
 
-    pool.take = take_slowly
+    pool.acquire = take_slowly
 
 
 def test_no_request_is_sent_over_a_saturated_link():
--- a/catkinshunt/http1/__init__.py
+++ b/catkinshunt/http1/__init__.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 on the event loop, for processes that hold many streams."""
 
-from catkinshunt.http1._client import Body
-from catkinshunt.http1._client import Broken
+from catkinshunt.http1._client import BodyPart
 from catkinshunt.http1._client import ClientConnection
-from catkinshunt.http1._client import End
+from catkinshunt.http1._client import ConnectionLost
+from catkinshunt.http1._client import EndOfReply
 from catkinshunt.http1._messages import dump_chunk
 from catkinshunt.http1._messages import dump_head
 from catkinshunt.http1._messages import dump_reply
@@ -14,8 +14,8 @@
 from catkinshunt.http1._messages import status_line
 from catkinshunt.http1._pool import exchange
 from catkinshunt.http1._pool import Pool
-from catkinshunt.http1._serve import answer_with
 from catkinshunt.http1._serve import Listener
+from catkinshunt.http1._serve import make_session
 from catkinshunt.http1._serve import Reply
 from catkinshunt.http1._server import BadRequestError
 from catkinshunt.http1._server import Limits
@@ -24,10 +24,10 @@
 
 __all__ = [
     'BadRequestError',
-    'Body',
-    'Broken',
+    'BodyPart',
     'ClientConnection',
-    'End',
+    'ConnectionLost',
+    'EndOfReply',
     'Headers',
     'LAST_CHUNK',
     'LINGER_S',
@@ -38,10 +38,10 @@
     'ReplyHead',
     'Request',
     'ServerConnection',
-    'answer_with',
     'dump_chunk',
     'dump_head',
     'dump_reply',
     'exchange',
+    'make_session',
     'status_line',
 ]
--- a/catkinshunt/http1/_client.py
+++ b/catkinshunt/http1/_client.py
@@ -18,19 +18,19 @@
 
 
 @attrs.frozen
-class Body:
+class BodyPart:
     """A part of a reply's body."""
 
     data: bytes
 
 
 @attrs.frozen
-class End:
+class EndOfReply:
     """The reply is whole."""
 
 
 @attrs.frozen
-class Broken:
+class ConnectionLost:
     """Nothing further can be read.
 
     Attributes:
@@ -45,8 +45,8 @@
 class ClientConnection(asyncio.Protocol):
     """Sends one request at a time and yields the parts of its reply.
 
-    The parts are a `ReplyHead`, any number of `Body` and an `End`, or a
-    `Broken` in the place of what is missing.
+    The parts are a `ReplyHead`, any number of `BodyPart` and an
+    `EndOfReply`; a `ConnectionLost` stands in place of the missing parts.
 
     Args:
         clock: gives seconds on the steady clock.
@@ -131,7 +131,7 @@
         self._held += len(data)
         if self._held > READ_AHEAD_BYTES:
             self.transport.pause_reading()
-        self._put(Body(data))
+        self._put(BodyPart(data))
 
     def on_message_complete(self):
         """Note that the reply is whole."""
@@ -139,7 +139,7 @@
         if 100 <= status < 200:
             return
         self._in_reply = False
-        self._put(End())
+        self._put(EndOfReply())
 
     # Used by the task of the exchange.
 
@@ -159,7 +159,7 @@
         self.transport.write(head + body)
 
     @property
-    def sent_whole(self):
+    def is_fully_sent(self):
         """Whether nothing of the request waits to be sent."""
         return self.transport.get_write_buffer_size() == 0
 
@@ -171,7 +171,7 @@
             self._arrived.clear()
             await self._arrived.wait()
         part = self._parts.popleft()
-        if isinstance(part, Body):
+        if isinstance(part, BodyPart):
             self._held -= len(part.data)
             if self._held <= READ_AHEAD_BYTES:
                 self.transport.resume_reading()
@@ -207,8 +207,8 @@
         if orderly and self._in_reply and self._until_close:
             # A reply without a length is whole when its connection ends in
             # order; a reset on the way leaves it unfinished.
-            self._put(End())
-        self._broken = Broken(reason, orderly)
+            self._put(EndOfReply())
+        self._broken = ConnectionLost(reason, orderly)
         self.reusable = False
         self._arrived.set()
         if self.transport is not None and not self.transport.is_closing():
--- a/catkinshunt/http1/_pool.py
+++ b/catkinshunt/http1/_pool.py
@@ -25,15 +25,15 @@
         port: its port.
         clock: gives seconds on the steady clock.
         connect_s: seconds within which a connection must be made.
-        most_idle: connections kept at most.
+        max_idle: connections kept at most.
     """
 
-    def __init__(self, host, port, clock, connect_s=0.6, most_idle=32):
+    def __init__(self, host, port, clock, connect_s=0.6, max_idle=32):
         self.host = host
         self.port = port
         self.clock = clock
         self.connect_s = connect_s
-        self.most_idle = most_idle
+        self.max_idle = max_idle
         self.opened = 0
         self._idle = []
 
@@ -42,7 +42,7 @@
         """The address as text."""
         return f'{self.host}:{self.port}'
 
-    async def take(self, fresh=False):
+    async def acquire(self, fresh=False):
         """Return a connection.
 
         Args:
@@ -58,11 +58,11 @@
             conn.close()
         return await self._open()
 
-    def give_back(self, conn):
+    def release(self, conn):
         """Keep `conn` for another request, or close it."""
         conn.idle_since = self.clock()
-        room = len(self._idle) < self.most_idle
-        if room and conn.is_open and conn.sent_whole:
+        room = len(self._idle) < self.max_idle
+        if room and conn.is_open and conn.is_fully_sent:
             self._idle.append(conn)
         else:
             conn.close()
@@ -116,7 +116,7 @@
         errors.RefusedError: no connection was made.
         errors.OutcomeUnknownError: the reply was lost or came too late.
     """
-    conn = await pool.take()
+    conn = await pool.acquire()
     head = _request_head(pool, method, target, items, body)
     try:
         conn.send(head, body)
@@ -129,7 +129,7 @@
     except BaseException:
         conn.close()
         raise
-    pool.give_back(conn)
+    pool.release(conn)
     return reply
 
 
@@ -146,13 +146,13 @@
     while True:
         async with asyncio.timeout(timeout_s):
             part = await conn.read_part()
-        if isinstance(part, _client.Broken):
+        if isinstance(part, _client.ConnectionLost):
             raise errors.OutcomeUnknownError(
                 part.reason, step='read-reply', peer=pool.peer
             )
-        if isinstance(part, _client.End):
+        if isinstance(part, _client.EndOfReply):
             return head, b''.join(parts)
-        if isinstance(part, _client.Body):
+        if isinstance(part, _client.BodyPart):
             parts.append(part.data)
         else:
             head = part
--- a/catkinshunt/http1/_serve.py
+++ b/catkinshunt/http1/_serve.py
@@ -83,7 +83,7 @@
             conn.close()
 
 
-def answer_with(handler):
+def make_session(handler):
     """Return a session that answers each request by `handler`.
 
     Args:
--- a/catkinshunt/http1/tests/test_client.py
+++ b/catkinshunt/http1/tests/test_client.py
@@ -41,12 +41,12 @@
     while True:
         part = await asyncio.wait_for(conn.read_part(), 5)
         parts.append(part)
-        if isinstance(part, (http1.End, http1.Broken)):
+        if isinstance(part, (http1.EndOfReply, http1.ConnectionLost)):
             return parts
 
 
 async def ask(pool):
-    conn = await pool.take()
+    conn = await pool.acquire()
     conn.send(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     return conn, await read_all(conn)
 
@@ -61,7 +61,7 @@
 
 
 def test_reads_a_whole_reply():
-    assert isinstance(last_part(REPLY), http1.End)
+    assert isinstance(last_part(REPLY), http1.EndOfReply)
 
 
 @pytest.mark.parametrize(
@@ -80,12 +80,12 @@
     Taken as the end of the answer, a caller would get half of it as if it
     were all; so each of these ends as broken.
     """
-    assert isinstance(last_part(reply), http1.Broken)
+    assert isinstance(last_part(reply), http1.ConnectionLost)
 
 
 def test_a_reply_without_length_is_whole_at_an_orderly_end():
     part = last_part(b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok')
-    assert isinstance(part, http1.End)
+    assert isinstance(part, http1.EndOfReply)
 
 
 def test_a_reply_without_length_is_broken_by_a_reset():
@@ -108,7 +108,7 @@
             _, parts = await ask(pool)
             return parts[-1]
 
-    assert isinstance(asyncio.run(main()), http1.Broken)
+    assert isinstance(asyncio.run(main()), http1.ConnectionLost)
 
 
 def test_a_connection_with_a_second_reply_is_not_used_again():
@@ -121,8 +121,8 @@
     async def main():
         async with upstream(replying(REPLY + REPLY)) as pool:
             conn, _ = await ask(pool)
-            pool.give_back(conn)
-            again = await pool.take()
+            pool.release(conn)
+            again = await pool.acquire()
             return conn, again
 
     conn, again = asyncio.run(main())
@@ -144,10 +144,10 @@
     async def main():
         async with upstream(handle) as pool:
             conn, _ = await ask(pool)
-            pool.give_back(conn)
+            pool.release(conn)
             while conn.is_open:
                 await asyncio.sleep(0.01)
-            return conn, await pool.take()
+            return conn, await pool.acquire()
 
     conn, again = asyncio.run(main())
     assert again is not conn
@@ -164,11 +164,11 @@
         async with upstream(replying(reply, reply)) as pool:
             pool.clock = lambda: now[0]
             conn, _ = await ask(pool)
-            pool.give_back(conn)
-            soon = await pool.take()
-            pool.give_back(soon)
+            pool.release(conn)
+            soon = await pool.acquire()
+            pool.release(soon)
             now[0] += 0.6
-            late = await pool.take()
+            late = await pool.acquire()
             return conn, soon, late
 
     conn, soon, late = asyncio.run(main())
@@ -183,7 +183,7 @@
         server.close()
         await server.wait_closed()
         pool = http1.Pool('127.0.0.1', port, lambda: 0.0)
-        await pool.take()
+        await pool.acquire()
 
     with pytest.raises(errors.RefusedError):
         asyncio.run(main())
--- a/catkinshunt/http1/tests/test_server.py
+++ b/catkinshunt/http1/tests/test_server.py
@@ -38,7 +38,7 @@
 
 def test_answers_requests_one_after_the_other():
     async def main():
-        async with serving(http1.answer_with(echo)) as connect:
+        async with serving(http1.make_session(echo)) as connect:
             reader, writer = await connect()
             writer.write(b'GET /a HTTP/1.1\r\nHost: x\r\n\r\n')
             writer.write(
@@ -56,7 +56,7 @@
 
 def test_reads_a_body_in_chunks():
     async def main():
-        async with serving(http1.answer_with(echo)) as connect:
+        async with serving(http1.make_session(echo)) as connect:
             return await talk(
                 connect,
                 b'POST /c HTTP/1.1\r\nHost: x\r\n'
@@ -75,7 +75,7 @@
     """
 
     async def main():
-        async with serving(http1.answer_with(echo)) as connect:
+        async with serving(http1.make_session(echo)) as connect:
             return await talk(
                 connect,
                 b'POST /d HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n'
@@ -97,7 +97,7 @@
         return http1.Limits(header_bytes=1000)
 
     async def main():
-        async with serving(http1.answer_with(echo), limits) as connect:
+        async with serving(http1.make_session(echo), limits) as connect:
             head = b'GET / HTTP/1.1\r\nHost: x\r\nX: ' + b'y' * 2000
             return await talk(connect, head)
 
@@ -111,7 +111,7 @@
         return http1.Limits(body_bytes=10)
 
     async def main():
-        async with serving(http1.answer_with(echo), limits) as connect:
+        async with serving(http1.make_session(echo), limits) as connect:
             return await talk(
                 connect,
                 b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n'
@@ -131,7 +131,7 @@
         return http1.Limits(header_s=0.1)
 
     async def main():
-        async with serving(http1.answer_with(echo), limits) as connect:
+        async with serving(http1.make_session(echo), limits) as connect:
             return await talk(connect, b'GET / HTTP/1.1\r\nHo')
 
     assert asyncio.run(main()).startswith(b'HTTP/1.1 408')
@@ -142,7 +142,7 @@
         return http1.Limits(idle_s=0.1)
 
     async def main():
-        async with serving(http1.answer_with(echo), limits) as connect:
+        async with serving(http1.make_session(echo), limits) as connect:
             reader, writer = await connect()
             found = await asyncio.wait_for(reader.read(), 5)
             writer.close()
@@ -168,7 +168,7 @@
             finally:
                 ended.set()
 
-        async with serving(http1.answer_with(slow)) as connect:
+        async with serving(http1.make_session(slow)) as connect:
             _, writer = await connect()
             writer.write(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
             await asyncio.wait_for(began.wait(), 5)
--- a/catkinshunt/httpio/__init__.py
+++ b/catkinshunt/httpio/__init__.py
@@ -1,13 +1,13 @@
 """HTTP between callers, our processes, upstreams and the platform."""
 
+from catkinshunt.httpio._body import iter_body
+from catkinshunt.httpio._body import PIECE_BYTES
+from catkinshunt.httpio._body import READ_ERRORS
 from catkinshunt.httpio._client import Address
 from catkinshunt.httpio._client import ConnectionPool
 from catkinshunt.httpio._client import exchange
 from catkinshunt.httpio._client import Reply
 from catkinshunt.httpio._errors import read_error
-from catkinshunt.httpio._pieces import BROKEN
-from catkinshunt.httpio._pieces import iter_pieces
-from catkinshunt.httpio._pieces import PIECE_BYTES
 from catkinshunt.httpio._server import HttpServer
 from catkinshunt.httpio._wsgi import error_response
 from catkinshunt.httpio._wsgi import make_target
@@ -17,19 +17,19 @@
 from catkinshunt.httpio import headers
 
 __all__ = [
-    'BROKEN',
-    'PIECE_BYTES',
     'Address',
     'ConnectionPool',
     'HttpServer',
+    'PIECE_BYTES',
+    'READ_ERRORS',
     'Reply',
     'Response',
     'error_response',
     'exchange',
     'headers',
+    'iter_body',
     'make_target',
-    'iter_pieces',
     'read_body',
-    'read_header',
     'read_error',
+    'read_header',
 ]
--- a/catkinshunt/httpio/_pieces.py
+++ b/catkinshunt/httpio/_body.py
@@ -9,10 +9,10 @@
 _MAX_FRAME_BYTES = 20
 
 #: What reading a body that breaks off can raise.
-BROKEN = (OSError, ValueError, http.client.HTTPException)
+READ_ERRORS = (OSError, ValueError, http.client.HTTPException)
 
 
-def iter_pieces(resp, sock):
+def iter_body(resp, sock):
     """Yield the body of a reply, without waiting for more than has come.
 
     Chunks that have come already are joined: where many streams compete for
@@ -37,7 +37,7 @@
             while size < PIECE_BYTES and _next_has_come(resp, sock):
                 parts.append(resp.read1(PIECE_BYTES))
                 size += len(parts[-1])
-        except BROKEN as exc:
+        except READ_ERRORS as exc:
             broken = exc
         yield b''.join(parts)
         if broken is not None:
--- a/catkinshunt/httpio/_client.py
+++ b/catkinshunt/httpio/_client.py
@@ -79,7 +79,7 @@
         self._idle = collections.defaultdict(list)
         self._lock = threading.Lock()
 
-    def take(self, address, timeout_s=None, fresh=False):
+    def acquire(self, address, timeout_s=None, fresh=False):
         """Return a connection and whether it was used before.
 
         Args:
@@ -108,7 +108,7 @@
             # request on it would be lost or get a wrong answer.
             conn.close()
 
-    def give_back(self, address, conn):
+    def release(self, address, conn):
         """Keep `conn`, whose exchange is complete, for a later request."""
         if conn.sock is None:
             return
--- a/catkinshunt/httpio/tests/test_pieces.py
+++ b/catkinshunt/httpio/tests/test_pieces.py
@@ -21,7 +21,7 @@
 def begin(near):
     resp = http.client.HTTPResponse(near)
     resp.begin()
-    return httpio.iter_pieces(resp, near)
+    return httpio.iter_body(resp, near)
 
 
 def chunk(data):
@@ -57,7 +57,7 @@
     far.close()
     pieces = begin(near)
     got = b''
-    with pytest.raises(httpio.BROKEN):
+    with pytest.raises(httpio.READ_ERRORS):
         for piece in pieces:
             got += piece
     assert got.startswith(b'onetwo')
--- a/catkinshunt/logs/_configure.py
+++ b/catkinshunt/logs/_configure.py
@@ -36,7 +36,7 @@
         level: name of the least severe level that is written.
         secrets: texts that are replaced wherever they turn up.
         stream: a text stream; standard error if None.
-        budget: `LineBudget` for lines below warnings; None for no bound.
+        budget: `LineRateLimiter` for lines below warnings; None for no bound.
 
     Examples:
         >>> import sys
--- a/catkinshunt/logs/_outage.py
+++ b/catkinshunt/logs/_outage.py
@@ -1,7 +1,7 @@
 """Tells of a lost dependency once, and once that it is back."""
 
 
-class Outage:
+class OutageLogger:
     """Writes one line when something is lost and one when it is back.
 
     Calls fail by the dozen in an outage; a line for each would hide the
--- a/catkinshunt/logs/_bounded.py
+++ b/catkinshunt/logs/_rate_limit.py
@@ -18,7 +18,7 @@
 GATHER_S = 0.05
 
 
-class LineBudget(base.ParamsMixin):
+class LineRateLimiter(base.ParamsMixin):
     """Allows lines up to a rate, and counts those that are left out.
 
     Args:
@@ -26,7 +26,7 @@
         burst: lines at once beyond that.
 
     Examples:
-        >>> budget = LineBudget(lines_per_s=1.0, burst=1.0)
+        >>> budget = LineRateLimiter(lines_per_s=1.0, burst=1.0)
         >>> [budget.allow('http', now=0.0) for _ in range(3)]
         [True, False, False]
         >>> budget.take_left_out()
--- a/catkinshunt/logs/tests/test_bounded.py
+++ b/catkinshunt/logs/tests/test_bounded.py
@@ -45,7 +45,7 @@
     Without a bound the lines would take the time that the requests need;
     what is left out is counted by part and told with the next line.
     """
-    budget = logs.LineBudget(lines_per_s=10.0, burst=5.0)
+    budget = logs.LineRateLimiter(lines_per_s=10.0, burst=5.0)
     allowed = sum(
         budget.allow('exchange', now=step / 100) for step in range(1000)
     )
@@ -56,7 +56,7 @@
 
 def test_the_count_of_left_out_lines_is_written():
     stream = io.StringIO()
-    budget = logs.LineBudget(lines_per_s=1e-9, burst=1.0)
+    budget = logs.LineRateLimiter(lines_per_s=1e-9, burst=1.0)
     logs.configure('json', stream=stream, budget=budget)
     try:
         log = logs.get_logger('exchange')
--- a/catkinshunt/logs/tests/test_outage.py
+++ b/catkinshunt/logs/tests/test_outage.py
@@ -15,7 +15,7 @@
 def test_a_loss_and_a_return_are_told_once():
     """Each of a dozen calls fails in an outage, and then all go well."""
     log = Log()
-    outage = logs.Outage(log, 'lost: {}', 'back')
+    outage = logs.OutageLogger(log, 'lost: {}', 'back')
     outage.end()
     outage.begin('no answer')
     outage.begin('refused')
--- a/catkinshunt/metrics/__init__.py
+++ b/catkinshunt/metrics/__init__.py
@@ -1,9 +1,9 @@
 """Metrics, health and status of one process."""
 
 from catkinshunt.metrics._exposition import expose
-from catkinshunt.metrics._measured import MeasuredApp
-from catkinshunt.metrics._operators import OperatorsApp
-from catkinshunt.metrics._operators import start_operators
+from catkinshunt.metrics._instrumented import InstrumentedApp
+from catkinshunt.metrics._operator_app import OperatorApp
+from catkinshunt.metrics._operator_app import start_operator_server
 from catkinshunt.metrics._recorders import Counter
 from catkinshunt.metrics._recorders import Recorder
 from catkinshunt.metrics._recorders import Summary
@@ -11,11 +11,11 @@
 
 __all__ = [
     'Counter',
-    'MeasuredApp',
-    'OperatorsApp',
+    'InstrumentedApp',
+    'OperatorApp',
     'Recorder',
     'Registry',
     'Summary',
     'expose',
-    'start_operators',
+    'start_operator_server',
 ]
--- a/catkinshunt/metrics/_measured.py
+++ b/catkinshunt/metrics/_instrumented.py
@@ -5,7 +5,7 @@
 from catkinshunt import base
 
 
-class MeasuredApp(base.ParamsMixin):
+class InstrumentedApp(base.ParamsMixin):
     """Passes requests to `app` and records status and duration.
 
     A streamed answer ends when its last piece has been handed over, so its
--- a/catkinshunt/metrics/_operators.py
+++ b/catkinshunt/metrics/_operator_app.py
@@ -10,21 +10,21 @@
 _NOT_NOW = 503
 
 
-def start_operators(cfg, registry, is_ready, status):
+def start_operator_server(cfg, registry, is_ready, status):
     """Serve the operators' port of a process; returns the server.
 
     Args:
         cfg: settings with ``host`` and ``operator_port``.
-        registry: as for `OperatorsApp`.
-        is_ready: as for `OperatorsApp`.
-        status: as for `OperatorsApp`.
+        registry: as for `OperatorApp`.
+        is_ready: as for `OperatorApp`.
+        status: as for `OperatorApp`.
     """
-    app = OperatorsApp(registry, is_ready, status)
+    app = OperatorApp(registry, is_ready, status)
     server = httpio.HttpServer(app, cfg.host, cfg.operator_port, threads=1)
     return server.start()
 
 
-class OperatorsApp(base.ParamsMixin):
+class OperatorApp(base.ParamsMixin):
     """A WSGI application for the operators' port.
 
     ``/metrics`` is for scrapers. ``/health`` says that the process works;
--- a/catkinshunt/metrics/tests/test_metrics.py
+++ b/catkinshunt/metrics/tests/test_metrics.py
@@ -96,7 +96,7 @@
 
 def test_pages_of_the_operators_port():
     ready = [True]
-    app = metrics.OperatorsApp(
+    app = metrics.OperatorApp(
         metrics.Registry(), lambda: ready[0], lambda: {'name': 'entry-1'}
     )
     with httpio.HttpServer(app, threads=1) as server:
@@ -134,7 +134,7 @@
         return body() if callable(body) else body
 
     registry = metrics.Registry()
-    measured = metrics.MeasuredApp(app, registry)
+    measured = metrics.InstrumentedApp(app, registry)
 
     def call(path):
         return list(measured({'PATH_INFO': path}, lambda *_: None))
--- a/catkinshunt/platform/__main__.py
+++ b/catkinshunt/platform/__main__.py
@@ -29,7 +29,7 @@
         print(f'catkinshunt: {exc}', file=sys.stderr)
         return USAGE_EXIT_CODE
     stream = logs.BackgroundStream()
-    logs.configure('json', stream=stream, budget=logs.LineBudget())
+    logs.configure('json', stream=stream, budget=logs.LineRateLimiter())
     # Objects loaded so far live until exit; exclude them from collections.
     gc.freeze()
     try:
--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -52,7 +52,7 @@
         self._min_revision = 0
         self._upstream_revisions = {}
         self._backoff_s = MIN_BACKOFF_S
-        self._outage = logs.Outage(
+        self._outage = logs.OutageLogger(
             _log,
             'The store is unreachable: {}.',
             'The store is reachable again.',
--- a/catkinshunt/platform/_deploy.py
+++ b/catkinshunt/platform/_deploy.py
@@ -31,7 +31,7 @@
     problems = []
 
     def add_problem(field, value, allowed):
-        shown = settings.show(value)
+        shown = settings.format_value(value)
         problems.append(settings.Problem(path, field, shown, allowed))
 
     if not isinstance(document.get('build'), str):
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -69,7 +69,7 @@
     server = await gateway.Gateway(context).start(*cfg.frontend_address)
     register_gauges(registry, server, context)
     readiness = http1.Listener(
-        http1.answer_with(_readiness_handler(server)), _clocks.monotonic
+        http1.make_session(_readiness_handler(server)), _clocks.monotonic
     )
     await readiness.start(*cfg.ready_address)
     await _process.serve_metrics(cfg, registry)
--- a/catkinshunt/platform/_origin_publisher.py
+++ b/catkinshunt/platform/_origin_publisher.py
@@ -39,7 +39,7 @@
 
     async def run(self):
         """Keep the key up to date until cancelled."""
-        outage = logs.Outage(
+        outage = logs.OutageLogger(
             _log,
             'Publishing the origin failed: {}.',
             'The origin is published.',
--- a/catkinshunt/platform/_process.py
+++ b/catkinshunt/platform/_process.py
@@ -31,7 +31,7 @@
 async def serve_metrics(cfg, registry):
     """Serve the metrics of `registry` on the first port of the range."""
     listener = http1.Listener(
-        http1.answer_with(metrics_handler(registry)), _clocks.monotonic
+        http1.make_session(metrics_handler(registry)), _clocks.monotonic
     )
     await listener.start(cfg.ip, cfg.port_range[0])
 
--- a/catkinshunt/platform/_quarantine_publisher.py
+++ b/catkinshunt/platform/_quarantine_publisher.py
@@ -42,7 +42,7 @@
 
     async def run(self):
         """Write keys until cancelled."""
-        outage = logs.Outage(
+        outage = logs.OutageLogger(
             _log,
             'Publishing the quarantined requests failed: {}.',
             'The quarantined requests are published.',
--- a/catkinshunt/platform/_registration.py
+++ b/catkinshunt/platform/_registration.py
@@ -41,7 +41,7 @@
 
     async def run(self):
         """Keep the entry registered until `deregister` is called."""
-        outage = logs.Outage(
+        outage = logs.OutageLogger(
             _log, 'Renewing the lease failed: {}.', 'The lease is renewed.'
         )
         while not self._is_deregistered:
--- a/catkinshunt/platform/_settings.py
+++ b/catkinshunt/platform/_settings.py
@@ -100,7 +100,7 @@
             return None
 
     def _add_problem(self, name, value, wanted):
-        shown = settings.show(value)
+        shown = settings.format_value(value)
         self.problems.append(settings.Problem(self.path, name, shown, wanted))
 
 
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -49,13 +49,13 @@
         self._revision = None
         self._origin = None
         self._origin_read_at = -math.inf
-        self._origin_outage = logs.Outage(
+        self._origin_outage = logs.OutageLogger(
             _log,
             'Reading the origin failed, using the cached one: {}.',
             'The origin can be read again.',
         )
         self._members_read_at = None
-        self._members_outage = logs.Outage(
+        self._members_outage = logs.OutageLogger(
             _log,
             'Reading the members failed, using the cached ones: {}.',
             'The members can be read again.',
@@ -63,7 +63,7 @@
 
     async def run(self):
         """Watch the named versions until cancelled."""
-        outage = logs.Outage(
+        outage = logs.OutageLogger(
             _log,
             'The store is unreachable: {}.',
             'The store is reachable again.',
--- a/catkinshunt/settings/_fields.py
+++ b/catkinshunt/settings/_fields.py
@@ -66,7 +66,7 @@
     return addr.port <= MAX_PORT
 
 
-def above_zero(unit, default=attrs.NOTHING):
+def positive_number(unit, default=attrs.NOTHING):
     """Return a field for a number of `unit` above 0."""
     return make_field(
         f'a number of {unit} above 0',
--- a/catkinshunt/settings/_load.py
+++ b/catkinshunt/settings/_load.py
@@ -232,7 +232,7 @@
 
 def _of_value(exc, field, path, secret):
     given = getattr(exc, 'given', None)
-    shown = '(a secret)' if secret else _problem.show(given)
+    shown = '(a secret)' if secret else _problem.format_value(given)
     allowed = getattr(exc, 'allowed', str(exc))
     return _problem.Problem(path, field or _WHOLE_FILE, shown, allowed)
 
--- a/catkinshunt/settings/_model.py
+++ b/catkinshunt/settings/_model.py
@@ -23,7 +23,7 @@
     instance_list: str = _fields.address()
     origin: str = _fields.optional_address()
     weight_store: str = _fields.optional_address()
-    instance_list_period_s: float = _fields.above_zero('seconds', 1.0)
+    instance_list_period_s: float = _fields.positive_number('seconds', 1.0)
 
 
 @attrs.frozen(kw_only=True)
@@ -58,7 +58,7 @@
     control_port: int = _fields.port(0)
     operator_port: int = _fields.port(0)
     threads: int = _fields.count(1, 10_000, default=64)
-    stop_timeout_s: float = _fields.above_zero('seconds', 60.0)
+    stop_timeout_s: float = _fields.positive_number('seconds', 60.0)
     log_format: str = _fields.choice('plain', 'json', default='plain')
     log_level: str = _fields.choice(
         'DEBUG', 'INFO', 'WARNING', 'ERROR', default='INFO'
@@ -87,10 +87,10 @@
     """
 
     shards: int = _fields.count(1, 65536, default=32)
-    retention_s: float = _fields.above_zero('seconds', 21600.0)
-    answer_kept_s: float = _fields.above_zero('seconds', 600.0)
-    commit_timeout_s: float = _fields.above_zero('seconds', 2.0)
-    writes_per_s: float = _fields.above_zero('writes/s', 100.0)
+    retention_s: float = _fields.positive_number('seconds', 21600.0)
+    answer_kept_s: float = _fields.positive_number('seconds', 600.0)
+    commit_timeout_s: float = _fields.positive_number('seconds', 2.0)
+    writes_per_s: float = _fields.positive_number('writes/s', 100.0)
 
 
 @attrs.frozen(kw_only=True)
@@ -102,7 +102,7 @@
         claims: how requests with an idempotency key are recorded.
     """
 
-    default_deadline_s: float = _fields.above_zero('seconds', 30.0)
+    default_deadline_s: float = _fields.positive_number('seconds', 30.0)
     claims: ClaimSettings = attrs.field(factory=ClaimSettings)
 
 
@@ -122,7 +122,7 @@
     upstream: str = _fields.address()
     is_engine: bool = False
     concurrency: int = _fields.count(1, 10_000, default=8)
-    link_bytes_per_s: float = _fields.above_zero(
+    link_bytes_per_s: float = _fields.positive_number(
         'bytes/s', DEFAULT_LINK_BYTES_PER_S
     )
 
@@ -156,7 +156,7 @@
     platform: PlatformSettings
     operator_port: int = _fields.port(9400)
     services: list[str] = _fields.names()
-    timeout_s: float = _fields.above_zero('seconds', 2.0)
+    timeout_s: float = _fields.positive_number('seconds', 2.0)
     deployment_key: str = _fields.optional_secret()
 
 
@@ -164,7 +164,7 @@
 ROLES = {'entry': EntrySettings, 'sidecar': SidecarSettings}
 
 
-def from_checked(role, value):
+def from_validated(role, value):
     """Return the settings of a process from `attrs.asdict` of them.
 
     The values were checked when they were read from their file.
--- a/catkinshunt/settings/_problem.py
+++ b/catkinshunt/settings/_problem.py
@@ -33,7 +33,7 @@
         )
 
 
-def show(value):
+def format_value(value):
     """Return `value` as a short text on one line."""
     shown = repr(value)
     if len(shown) > MAX_SHOWN_CHARS:
--- a/catkinshunt/settings/tests/test_load.py
+++ b/catkinshunt/settings/tests/test_load.py
@@ -182,4 +182,4 @@
 def test_checked_settings_are_handed_over_whole(role, base):
     cfg = read(settings.ROLES[role], base, threads=7)
     value = json.loads(json.dumps(attrs.asdict(cfg)))
-    assert settings.from_checked(role, value) == cfg
+    assert settings.from_validated(role, value) == cfg
--- a/catkinshunt/sidecar/_forward.py
+++ b/catkinshunt/sidecar/_forward.py
@@ -81,7 +81,7 @@
         Raises:
             errors.RefusedError: there is none; nothing was run.
         """
-        conn, kept = self._pool.take(self._upstream, timeout_s, fresh)
+        conn, kept = self._pool.acquire(self._upstream, timeout_s, fresh)
         if kept:
             return conn, True
         try:
@@ -95,9 +95,9 @@
             ) from exc
         return conn, False
 
-    def give_back(self, conn):
+    def release(self, conn):
         """Keep a connection whose exchange is complete."""
-        self._pool.give_back(self._upstream, conn)
+        self._pool.release(self._upstream, conn)
 
     def cancel(self, engine_request_id):
         """Tell the engine that nobody waits for an answer any more."""
@@ -238,14 +238,14 @@
         """
         whole = False
         try:
-            yield from httpio.iter_pieces(resp, sock)
+            yield from httpio.iter_body(resp, sock)
             whole = not resp.length
-        except httpio.BROKEN as exc:
+        except httpio.READ_ERRORS as exc:
             raise self._incomplete(repr(exc)) from exc
         finally:
             resp.close()
             if whole:
-                self.forwarder.give_back(conn)
+                self.forwarder.release(conn)
             else:
                 self._break_off(conn)
         if not whole:
--- a/catkinshunt/sidecar/_process.py
+++ b/catkinshunt/sidecar/_process.py
@@ -32,7 +32,7 @@
         )
         app = weights.LiveTrafficApp(app, self._placement.observe)
         self._server = httpio.HttpServer(
-            metrics.MeasuredApp(app, registry),
+            metrics.InstrumentedApp(app, registry),
             self.cfg.host,
             self.cfg.port,
             self.cfg.threads,
@@ -42,7 +42,7 @@
         if self.cfg.is_engine:
             self._placement.port = self._server.port
             self._placement.start()
-        self._operators = metrics.start_operators(
+        self._operators = metrics.start_operator_server(
             self.cfg, registry, lambda: self._serving, self.report
         )
         return self
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -89,7 +89,7 @@
         self._loader = _loader.Loader(
             engine, cluster_view, admission, clock, self._staging_lock
         )
-        self._outage = logs.Outage(
+        self._outage = logs.OutageLogger(
             _log, 'Engine unreachable: {}.', 'Engine reachable again.'
         )
 
--- a/catkinshunt/weights/_sources.py
+++ b/catkinshunt/weights/_sources.py
@@ -183,7 +183,7 @@
     Raises:
         TransferError: no connection, silence, or a reply cut short.
     """
-    conn, _ = pool.take(address)
+    conn, _ = pool.acquire(address)
     try:
         conn.request('GET', path, headers=fields)
         resp = conn.getresponse()
@@ -198,7 +198,7 @@
         conn.close()
         raise
     if read_whole:
-        pool.give_back(address, conn)
+        pool.release(address, conn)
     else:
         conn.close()
 
--- a/standins/experiment/_settings.py
+++ b/standins/experiment/_settings.py
@@ -48,7 +48,7 @@
     from_s: float = settings.make_field(
         'a number of seconds, 0 or above', lambda value: value >= 0
     )
-    to_s: float = settings.above_zero('seconds')
+    to_s: float = settings.positive_number('seconds')
 
     def count(self, engines):
         """Return how many of `engines` are slow."""
--- a/standins/soak/_callers.py
+++ b/standins/soak/_callers.py
@@ -75,7 +75,7 @@
     async def _exchange(self, answer):
         pool = self.random.choice(self.pools)
         try:
-            conn = await pool.take()
+            conn = await pool.acquire()
         except Exception:
             answer.again_s = 0.2
             return
@@ -85,7 +85,7 @@
             whole = await _read(conn, answer)
         finally:
             if whole:
-                pool.give_back(conn)
+                pool.release(conn)
             else:
                 conn.close()
 
@@ -133,14 +133,14 @@
     head = None
     while True:
         part = await conn.read_part()
-        if isinstance(part, http1.Broken):
+        if isinstance(part, http1.ConnectionLost):
             return False
-        if isinstance(part, http1.End):
+        if isinstance(part, http1.EndOfReply):
             answer.body = body
             again = head.headers.get('Retry-After')
             answer.again_s = float(again) if again else None
             return True
-        if isinstance(part, http1.Body):
+        if isinstance(part, http1.BodyPart):
             body += part.data
         else:
             head = part
--- a/standins/soak/_platform.py
+++ b/standins/soak/_platform.py
@@ -33,7 +33,7 @@
 
 async def listen(handler, host, port, clock):
     """Serve `handler` on an address; returns the listener."""
-    session = http1.answer_with(handler)
+    session = http1.make_session(handler)
     return await http1.Listener(session, clock).start(host, port)
 
 
