--- a/catkinshunt/http1/_client.py
+++ b/catkinshunt/http1/_client.py
@@ -61,10 +61,10 @@
         self.used = False
         self._parts = collections.deque()
         self._arrived = asyncio.Event()
-        self._held = 0
-        self._broken = None
+        self._buffered_bytes = 0
+        self._lost = None
         self._in_reply = False
-        self._until_close = False
+        self._ends_at_close = False
         self._parser = httptools.HttpResponseParser(self)
         self._items = []
 
@@ -88,7 +88,7 @@
 
     def data_received(self, data):
         """See `asyncio.Protocol`."""
-        if self._broken is not None:
+        if self._lost is not None:
             return
         if not self.used:
             self._end_input('bytes came before any request')
@@ -106,7 +106,7 @@
         """Begin a reply."""
         self._items = []
         self._in_reply = True
-        self._until_close = False
+        self._ends_at_close = False
 
     def on_header(self, name, value):
         """Take one header field."""
@@ -120,7 +120,7 @@
         headers = _messages.Headers(self._items)
         bodiless = status in (204, 304)
         framed = bodiless or self._is_framed(headers)
-        self._until_close = not framed
+        self._ends_at_close = not framed
         if not self._parser.should_keep_alive() or not framed:
             self.reusable = False
         self.idle_limit_s = _idle_limit_s(headers)
@@ -128,8 +128,8 @@
 
     def on_body(self, data):
         """Take a part of the body."""
-        self._held += len(data)
-        if self._held > READ_AHEAD_BYTES:
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > READ_AHEAD_BYTES:
             self.transport.pause_reading()
         self._put(BodyPart(data))
 
@@ -147,7 +147,7 @@
     def is_open(self):
         """Whether another request can be sent."""
         return (
-            self._broken is None
+            self._lost is None
             and self.reusable
             and not self._parts
             and not self.transport.is_closing()
@@ -166,14 +166,14 @@
     async def read_part(self):
         """Return the next part of the reply."""
         while not self._parts:
-            if self._broken is not None:
-                return self._broken
+            if self._lost is not None:
+                return self._lost
             self._arrived.clear()
             await self._arrived.wait()
         part = self._parts.popleft()
         if isinstance(part, BodyPart):
-            self._held -= len(part.data)
-            if self._held <= READ_AHEAD_BYTES:
+            self._buffered_bytes -= len(part.data)
+            if self._buffered_bytes <= READ_AHEAD_BYTES:
                 self.transport.resume_reading()
         return part
 
@@ -202,13 +202,13 @@
         self._arrived.set()
 
     def _end_input(self, reason, orderly=False):
-        if self._broken is not None:
+        if self._lost is not None:
             return
-        if orderly and self._in_reply and self._until_close:
+        if orderly and self._in_reply and self._ends_at_close:
             # A reply without a length is whole when its connection ends in
             # order; a reset on the way leaves it unfinished.
             self._put(EndOfReply())
-        self._broken = ConnectionLost(reason, orderly)
+        self._lost = ConnectionLost(reason, orderly)
         self.reusable = False
         self._arrived.set()
         if self.transport is not None and not self.transport.is_closing():
--- a/catkinshunt/http1/_messages.py
+++ b/catkinshunt/http1/_messages.py
@@ -3,7 +3,7 @@
 import attrs
 
 #: Headers that concern one connection only; they are never passed on.
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     [
         'connection',
         'keep-alive',
@@ -17,9 +17,9 @@
     ]
 )
 #: Headers that tell where a message ends; the sender writes its own.
-FRAMING = frozenset(['content-length', 'expect'])
+FRAMING_HEADERS = frozenset(['content-length', 'expect'])
 
-REASONS = {
+REASON_PHRASES = {
     200: 'OK',
     400: 'Bad Request',
     401: 'Unauthorized',
@@ -71,21 +71,21 @@
         Args:
             without: further names to leave out, in lower case.
         """
-        named = set()
+        hop_names = set()
         for value in self.get_all('connection'):
-            named.update(word.strip().lower() for word in value.split(','))
+            hop_names.update(word.strip().lower() for word in value.split(','))
         return [
             (key, value)
             for key, value in self.items
-            if not _stays(key.lower(), named, without)
+            if not _is_excluded(key.lower(), hop_names, without)
         ]
 
 
-def _stays(name, named, without):
+def _is_excluded(name, hop_names, without):
     return (
-        name in HOP_BY_HOP
-        or name in FRAMING
-        or name in named
+        name in HOP_BY_HOP_HEADERS
+        or name in FRAMING_HEADERS
+        or name in hop_names
         or name in without
     )
 
@@ -150,7 +150,7 @@
 
 def status_line(status):
     """Return the status line of `status`."""
-    return f'HTTP/1.1 {status} {REASONS.get(status, "Status")}'
+    return f'HTTP/1.1 {status} {REASON_PHRASES.get(status, "Status")}'
 
 
 def dump_chunk(data):
--- a/catkinshunt/http1/_pool.py
+++ b/catkinshunt/http1/_pool.py
@@ -9,12 +9,12 @@
 
 #: Share of the peer's idle limit for which a connection is used again; it
 #: leaves room for the time that a request takes to get there.
-IDLE_SHARE = 0.5
+IDLE_FRACTION = 0.5
 #: Idle limit assumed of a peer that names none, in seconds.
-UNKNOWN_IDLE_S = 2.0
+DEFAULT_IDLE_S = 2.0
 #: Milliseconds after which unacknowledged bytes end a connection. Without
 #: it a peer that lost its power would hold a connection for minutes.
-USER_TIMEOUT_MS = 3000
+UNACKNOWLEDGED_TIMEOUT_MS = 3000
 
 
 class Pool:
@@ -53,7 +53,7 @@
         """
         while self._idle and not fresh:
             conn = self._idle.pop()
-            if self._usable(conn):
+            if self._is_usable(conn):
                 return conn
             conn.close()
         return await self._open()
@@ -73,12 +73,12 @@
             conn.close()
         self._idle.clear()
 
-    def _usable(self, conn):
+    def _is_usable(self, conn):
         limit_s = conn.idle_limit_s
         if limit_s is None:
-            limit_s = UNKNOWN_IDLE_S
+            limit_s = DEFAULT_IDLE_S
         idle_s = self.clock() - conn.idle_since
-        return conn.is_open and idle_s < limit_s * IDLE_SHARE
+        return conn.is_open and idle_s < limit_s * IDLE_FRACTION
 
     async def _open(self):
         loop = asyncio.get_running_loop()
@@ -99,7 +99,9 @@
         self.opened += 1
         sock = conn.transport.get_extra_info('socket')
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            UNACKNOWLEDGED_TIMEOUT_MS,
         )
         return conn
 
@@ -120,7 +122,7 @@
     head = _request_head(pool, method, target, items, body)
     try:
         conn.send(head, body)
-        reply = await _read_whole(conn, pool, timeout_s)
+        reply = await _read_reply(conn, pool, timeout_s)
     except TimeoutError as exc:
         conn.close()
         raise errors.OutcomeUnknownError(
@@ -140,7 +142,7 @@
     return _messages.dump_head(f'{method} {target} HTTP/1.1', items)
 
 
-async def _read_whole(conn, pool, timeout_s):
+async def _read_reply(conn, pool, timeout_s):
     head = None
     parts = []
     while True:
--- a/catkinshunt/http1/_serve.py
+++ b/catkinshunt/http1/_serve.py
@@ -96,10 +96,10 @@
             if req is None:
                 return
             if isinstance(req, _server.BadRequestError):
-                conn.write(_messages.dump_reply(req.status, [_CLOSE]))
+                conn.write(_messages.dump_reply(req.status, [_CLOSE_HEADER]))
                 return
             reply = await handler(req)
-            keep = [] if req.keep_alive else [_CLOSE]
+            keep = [] if req.keep_alive else [_CLOSE_HEADER]
             conn.write(
                 _messages.dump_reply(
                     reply.status, [*reply.items, *keep], reply.body
@@ -113,4 +113,4 @@
     return session
 
 
-_CLOSE = ('Connection', 'close')
+_CLOSE_HEADER = ('Connection', 'close')
--- a/catkinshunt/http1/_server.py
+++ b/catkinshunt/http1/_server.py
@@ -14,7 +14,7 @@
 #: that the refusal is not lost to the reset which unread bytes cause.
 LINGER_S = 0.2
 #: Longest wait before the limits in force are looked at again.
-LONGEST_WAIT_S = 5.0
+MAX_WAIT_S = 5.0
 
 
 @attrs.define
@@ -63,7 +63,7 @@
         self._parser = httptools.HttpRequestParser(self)
         self._writable = asyncio.Event()
         self._writable.set()
-        self._begin()
+        self._begin_request()
 
     # asyncio.Protocol
 
@@ -75,11 +75,11 @@
 
     def connection_lost(self, exc):
         """See `asyncio.Protocol`."""
-        self._finish()
+        self._mark_closed()
 
     def eof_received(self):
         """See `asyncio.Protocol`; a caller that ends its side has left."""
-        self._finish()
+        self._mark_closed()
         return False
 
     def pause_writing(self):
@@ -95,7 +95,7 @@
         if self.reading_since is None:
             self.reading_since = self.clock()
             self._arrived.set()
-        self._unread += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
             self._check_sizes()
@@ -122,7 +122,7 @@
 
     def on_headers_complete(self):
         """Note that the head is whole; invite the body if asked to."""
-        self._head_whole = True
+        self._head_complete = True
         headers = _messages.Headers(self._items)
         if (headers.get('expect') or '').lower() == '100-continue':
             self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
@@ -143,7 +143,7 @@
             self.clock(),
             self._parser.should_keep_alive(),
         )
-        self._begin()
+        self._begin_request()
         self._requests.append(req)
         self._arrived.set()
 
@@ -175,7 +175,7 @@
     async def _await_input(self, wait_s):
         self._arrived.clear()
         try:
-            async with asyncio.timeout(min(wait_s, LONGEST_WAIT_S)):
+            async with asyncio.timeout(min(wait_s, MAX_WAIT_S)):
                 await self._arrived.wait()
         except TimeoutError:
             # The caller looks at the time and the limits in force again.
@@ -212,19 +212,19 @@
 
     # Internals.
 
-    def _begin(self):
+    def _begin_request(self):
         self._target = b''
         self._items = []
         self._body = bytearray()
-        self._head_whole = False
-        self._unread = 0
+        self._head_complete = False
+        self._received_bytes = 0
         self.reading_since = None
         self.idle_since = self.clock()
 
     def _check_sizes(self):
-        if self.reading_since is None or self._head_whole:
+        if self.reading_since is None or self._head_complete:
             return
-        if self._unread > self.limits().header_bytes:
+        if self._received_bytes > self.limits().header_bytes:
             raise BadRequestError(431, 'the head is too long')
 
     def _reject(self, status, message):
@@ -232,7 +232,7 @@
         self._arrived.set()
         self.transport.pause_reading()
 
-    def _finish(self):
+    def _mark_closed(self):
         self._writable.set()
         self._arrived.set()
         if not self.closed.done():
