--- a/catkinshunt/httpio/_body.py
+++ b/catkinshunt/httpio/_body.py
@@ -32,19 +32,19 @@
             yield piece
             continue
         parts, size = [piece], len(piece)
-        broken = None
+        error = None
         try:
-            while size < PIECE_BYTES and _next_has_come(resp, sock):
+            while size < PIECE_BYTES and _is_next_chunk_buffered(resp, sock):
                 parts.append(resp.read1(PIECE_BYTES))
                 size += len(parts[-1])
         except READ_ERRORS as exc:
-            broken = exc
+            error = exc
         yield b''.join(parts)
-        if broken is not None:
-            raise broken
+        if error is not None:
+            raise error
 
 
-def _next_has_come(resp, sock):
+def _is_next_chunk_buffered(resp, sock):
     """Return whether reading on would not wait for the next chunk.
 
     What ends a chunk comes with it, so only the next one's first line tells;
--- a/catkinshunt/httpio/_channel.py
+++ b/catkinshunt/httpio/_channel.py
@@ -27,12 +27,12 @@
             super().write(data)
             return
         channel = self.channel
-        self.channel = held = _HeldChannel(channel)
+        self.channel = buffer = _BufferingChannel(channel)
         try:
             super().write(data)
         finally:
             self.channel = channel
-        channel.write_soon(b''.join(held.parts))
+        channel.write_soon(b''.join(buffer.parts))
 
 
 class Channel(waitress.channel.HTTPChannel):
@@ -58,7 +58,7 @@
         return size
 
 
-class _HeldChannel:
+class _BufferingChannel:
     """Collects what a task writes."""
 
     def __init__(self, channel):
--- a/catkinshunt/httpio/_client.py
+++ b/catkinshunt/httpio/_client.py
@@ -89,7 +89,7 @@
                 had closed a kept one cannot happen.
         """
         timeout_s = timeout_s or self.timeout_s
-        conn = None if fresh else self._take_idle(address)
+        conn = None if fresh else self._pop_idle(address)
         if conn is not None:
             conn.timeout = timeout_s
             conn.sock.settimeout(timeout_s)
@@ -97,7 +97,7 @@
         conn = _Connection(address.host, address.port, timeout=timeout_s)
         return conn, False
 
-    def _take_idle(self, address):
+    def _pop_idle(self, address):
         while True:
             with self._lock:
                 idle = self._idle[address]
--- a/catkinshunt/httpio/_errors.py
+++ b/catkinshunt/httpio/_errors.py
@@ -18,7 +18,7 @@
     """
     try:
         given = checks.load_json(body)['error']
-        kind = _find_kind(given['code'], given['ran'])
+        kind = _find_error_class(given['code'], given['ran'])
         message = str(given.get('message', given['code']))
         step = str(given.get('step', ''))
         retry_after_s = given.get('retry_after_s')
@@ -31,7 +31,7 @@
     return kind(message, step=step, peer=peer, retry_after_s=retry_after_s)
 
 
-def _find_kind(code, ran):
+def _find_error_class(code, ran):
     """Return the class for a code; its `ran` must be the one given."""
     kinds = [errors.RequestError]
     while kinds:
--- a/catkinshunt/httpio/_server.py
+++ b/catkinshunt/httpio/_server.py
@@ -11,12 +11,12 @@
 #: Largest request body taken; also keeps bodies out of temporary files.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 #: Bytes that may wait for a slow reader before its writer is held up.
-OUTPUT_HIGH_WATERMARK = 4 * 1024 * 1024
+OUTPUT_HIGH_WATERMARK_BYTES = 4 * 1024 * 1024
 #: Above any buffered amount: waitress would spill to a file, and instances
 #: have no disks.
-NEVER_OVERFLOW = 1 << 40
+NO_OVERFLOW_BYTES = 1 << 40
 #: Seconds for which the loop waits until it has been woken.
-_PULL_S = 1.0
+_TRIGGER_WAIT_S = 1.0
 _JOIN_PERIOD_S = 0.02
 
 
@@ -59,9 +59,9 @@
             send_bytes=1,
             channel_request_lookahead=1,
             max_request_body_size=self.max_body_bytes,
-            inbuf_overflow=NEVER_OVERFLOW,
-            outbuf_overflow=NEVER_OVERFLOW,
-            outbuf_high_watermark=OUTPUT_HIGH_WATERMARK,
+            inbuf_overflow=NO_OVERFLOW_BYTES,
+            outbuf_overflow=NO_OVERFLOW_BYTES,
+            outbuf_high_watermark=OUTPUT_HIGH_WATERMARK_BYTES,
             clear_untrusted_proxy_headers=True,
             connection_limit=4096,
             asyncore_use_poll=True,
@@ -109,18 +109,18 @@
         server.task_dispatcher.shutdown(cancel_pending=True, timeout=1)
         # The loop thread owns the sockets; closing them from here would
         # leave it polling until its time-out.
-        pulled = threading.Event()
+        triggered = threading.Event()
 
         def close():
             # A task that ends can wake the loop before the trigger is pulled
             # here, which would then write to a closed descriptor.
-            pulled.wait(_PULL_S)
+            triggered.wait(_TRIGGER_WAIT_S)
             _close(server)
 
         try:
             server.trigger.pull_trigger(close)
         finally:
-            pulled.set()
+            triggered.set()
         self._thread.join(timeout=2)
 
 
--- a/catkinshunt/httpio/_wsgi.py
+++ b/catkinshunt/httpio/_wsgi.py
@@ -9,7 +9,7 @@
 
 from catkinshunt import errors
 
-_JSON = 'application/json'
+_JSON_CONTENT_TYPE = 'application/json'
 #: Characters of a path, and of a query, that need no escape.
 _PATH_CHARS = "/:@!$&'()*+,;=~-._"
 _QUERY_CHARS = _PATH_CHARS + '?%[]{}|^`"\\<>'
@@ -34,7 +34,7 @@
         """Make a response whose body is `value` as JSON."""
         body = json.dumps(value).encode()
         length = ('Content-Length', str(len(body)))
-        kind = ('Content-Type', _JSON)
+        kind = ('Content-Type', _JSON_CONTENT_TYPE)
         return cls(status, [body], (length, kind, *headers))
 
     def with_headers(self, *pairs):
