--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -405,7 +405,7 @@
     Mutation(
         'store-unknown-told-apart',
         'catkinshunt/kvstore/_http.py',
-        '            if not sure:\n'
+        '            if not outcome_known:\n'
         '                kind = errors.StoreUnknownError\n',
         '',
     ),
--- a/catkinshunt/kvstore/_http.py
+++ b/catkinshunt/kvstore/_http.py
@@ -10,8 +10,8 @@
 
 #: Added to a watch's own time before the connection is given up.
 WATCH_MARGIN_S = 2.0
-_REVISION = 'Revision'
-_NOT_DONE = 503
+_REVISION_HEADER = 'Revision'
+_STATUS_NOT_APPLIED = 503
 
 
 class HttpKeyValueStore(kv_base.BaseKeyValueStore, base.ParamsMixin):
@@ -28,24 +28,24 @@
 
     def get(self, key):
         """Return the `Entry` at `key`, or None."""
-        reply = self._call('GET', _path(key), read_only=True)
+        reply = self._call('GET', _make_path(key), read_only=True)
         if reply.status == 404:
             return None
-        return _entry(reply)
+        return _read_entry(reply)
 
     def put(self, key, value, expected_revision, lease=None):
         """Write `value` if the key is still at `expected_revision`."""
         query = {'expected': expected_revision}
         if lease is not None:
             query['lease'] = lease
-        reply = self._call('PUT', _path(key, query), value)
+        reply = self._call('PUT', _make_path(key, query), value)
         _check_conflict(reply, key)
-        return _revision(reply, errors.StoreUnknownError)
+        return _read_revision(reply, errors.StoreUnknownError)
 
     def delete(self, key, expected_revision):
         """Delete `key` if it is still at `expected_revision`."""
         query = {'expected': expected_revision}
-        reply = self._call('DELETE', _path(key, query))
+        reply = self._call('DELETE', _make_path(key, query))
         _check_conflict(reply, key)
 
     def watch(self, key, after_revision, timeout_s):
@@ -53,13 +53,13 @@
         query = {'after': after_revision, 'timeout_s': timeout_s}
         reply = self._call(
             'GET',
-            _path(key, query),
+            _make_path(key, query),
             timeout_s=timeout_s + WATCH_MARGIN_S,
             read_only=True,
         )
         if reply.status == 204:
             return None
-        return _entry(reply)
+        return _read_entry(reply)
 
     def grant_lease(self, ttl_s):
         """Return the id of a new lease of `ttl_s` seconds."""
@@ -96,9 +96,9 @@
         if reply.status >= 500:
             # Only 503 says that nothing was done; after any other failure
             # the write may be in force.
-            sure = read_only or reply.status == _NOT_DONE
+            outcome_known = read_only or reply.status == _STATUS_NOT_APPLIED
             kind = errors.StoreUnavailableError
-            if not sure:
+            if not outcome_known:
                 kind = errors.StoreUnknownError
             raise kind(
                 f'the key-value service answered {reply.status}',
@@ -108,20 +108,20 @@
         return reply
 
 
-def _path(key, query=None):
+def _make_path(key, query=None):
     path = '/kv/' + urllib.parse.quote(key)
     if query:
         path += '?' + urllib.parse.urlencode(query)
     return path
 
 
-def _entry(reply):
-    return kv_base.Entry(reply.body, _revision(reply, errors.StoreError))
+def _read_entry(reply):
+    return kv_base.Entry(reply.body, _read_revision(reply, errors.StoreError))
 
 
-def _revision(reply, kind):
+def _read_revision(reply, kind):
     """Return the reply's revision; raise `kind` where it has none."""
-    text = reply.headers.get(_REVISION, '')
+    text = reply.headers.get(_REVISION_HEADER, '')
     if reply.status != 200 or not text.isdigit():
         # Something else answers at the address, a proxy for instance.
         raise kind(f'status {reply.status}, no revision', step='read-reply')
