--- a/catkinshunt/logs/_configure.py
+++ b/catkinshunt/logs/_configure.py
@@ -12,15 +12,15 @@
 
 #: Longer messages are cut; a caller's text may have got into one.
 MAX_MESSAGE_CHARS = 2000
-_HIDDEN = '(hidden)'
+_REDACTED = '(hidden)'
 #: Severity from which lines are always written; they are few.
-_WARNING = 30
+_WARNING_LEVEL = 30
 #: Fields that would carry a caller's words or a key. They are never
 #: written, whoever passes them.
-_HIDDEN_FIELDS = frozenset(
+_REDACTED_FIELDS = frozenset(
     ['prompt', 'body', 'text', 'payload', 'deployment_key']
 )
-_OWN_FIELDS = frozenset(['prefix', 'request_id'])
+_FIXED_FIELDS = frozenset(['prefix', 'request_id'])
 #: A line break in a value from outside would forge a log line.
 _ESCAPES = {code: f'\\x{code:02x}' for code in (*range(32), 127)}
 _ESCAPES |= {code: f'\\u{code:04x}' for code in (0x85, 0x2028, 0x2029)}
@@ -83,11 +83,11 @@
 
     def _allows(self, record):
         prefix = record['extra'].get('prefix', 'main')
-        if record['level'].no >= _WARNING:
+        if record['level'].no >= _WARNING_LEVEL:
             return True
         if not self.budget.allow(prefix, record['time'].timestamp()):
             return False
-        left_out = self.budget.take_left_out()
+        left_out = self.budget.pop_dropped()
         if left_out:
             record['extra']['left_out'] = left_out
         return True
@@ -95,7 +95,7 @@
     def _write(self, record):
         line = self.compose(record)
         for secret in self.secrets:
-            line = line.replace(secret, _HIDDEN)
+            line = line.replace(secret, _REDACTED)
         self.stream.write(line + '\n')
         self.stream.flush()
 
@@ -103,10 +103,10 @@
 def _compose_plain(record):
     extra = record['extra']
     request_id = extra.get('request_id')
-    mark = f'[{_clean(str(request_id))}] ' if request_id else ''
+    request_tag = f'[{_clean(str(request_id))}] ' if request_id else ''
     return (
         f'{_time(record)} {record["level"].name} '
-        f'{extra.get("prefix", "main")}: {mark}{_message(record)}'
+        f'{extra.get("prefix", "main")}: {request_tag}{_message(record)}'
     )
 
 
@@ -120,8 +120,8 @@
         'message': _message(record),
     }
     for name, field in extra.items():
-        if name not in _OWN_FIELDS:
-            value[name] = _HIDDEN if name in _HIDDEN_FIELDS else field
+        if name not in _FIXED_FIELDS:
+            value[name] = _REDACTED if name in _REDACTED_FIELDS else field
     return json.dumps(value, default=str)
 
 
@@ -141,7 +141,7 @@
 def _message(record):
     message = _clean(record['message'])
     if record['exception'] is not None:
-        message += f' ({_clean(_cause(record["exception"]))})'
+        message += f' ({_clean(_format_exception(record["exception"]))})'
     return message
 
 
@@ -151,11 +151,11 @@
     return message if message.isprintable() else message.translate(_ESCAPES)
 
 
-def _cause(exception):
+def _format_exception(exception):
     """Return an exception and the places it passed, innermost first."""
     frames = traceback.extract_tb(exception.traceback)[::-1]
-    places = ' < '.join(
+    locations = ' < '.join(
         f'{frame.filename.rpartition("/")[2]}:{frame.lineno}'
         for frame in frames
     )
-    return f'{exception.type.__name__}: {exception.value} at {places}'
+    return f'{exception.type.__name__}: {exception.value} at {locations}'
--- a/catkinshunt/logs/_libraries.py
+++ b/catkinshunt/logs/_libraries.py
@@ -6,7 +6,7 @@
 
 #: waitress warns of every request that waits for a thread; under a burst
 #: that is each one, and the sidecar's own queue says it already.
-_MUTED = ('waitress.queue',)
+_SILENCED_LOGGERS = ('waitress.queue',)
 
 
 class _Bridge(logging.Handler):
@@ -28,5 +28,5 @@
     root = logging.getLogger()
     root.handlers = [_Bridge()]
     root.setLevel(logging.WARNING)
-    for name in _MUTED:
+    for name in _SILENCED_LOGGERS:
         logging.getLogger(name).setLevel(logging.ERROR)
--- a/catkinshunt/logs/_outage.py
+++ b/catkinshunt/logs/_outage.py
@@ -13,20 +13,20 @@
         back: text of the line on the return.
     """
 
-    def __init__(self, log, lost, back):
+    def __init__(self, log, lost_text, recovered_text):
         self.log = log
-        self.lost = lost
-        self.back = back
-        self._lasts = False
+        self.lost_text = lost_text
+        self.recovered_text = recovered_text
+        self._is_ongoing = False
 
     def begin(self, exc):
         """Note that a call failed with `exc`."""
-        if not self._lasts:
-            self._lasts = True
-            self.log.warning(self.lost, exc)
+        if not self._is_ongoing:
+            self._is_ongoing = True
+            self.log.warning(self.lost_text, exc)
 
     def end(self, **fields):
         """Note that a call went well; `fields` are added to the line."""
-        if self._lasts:
-            self._lasts = False
-            self.log.info(self.back, **fields)
+        if self._is_ongoing:
+            self._is_ongoing = False
+            self.log.info(self.recovered_text, **fields)
--- a/catkinshunt/logs/_rate_limit.py
+++ b/catkinshunt/logs/_rate_limit.py
@@ -8,14 +8,14 @@
 
 #: Lines that wait for a slow reader; beyond them lines are left out. At 400
 #: bytes a line this holds less than a megabyte.
-MOST_WAITING = 2000
+MAX_QUEUED_LINES = 2000
 #: Lines a second that are written in the long run. One line of a request
 #: takes about 60 us of processor time, so this is 1.2 % of a core.
 LINES_PER_S = 200.0
 #: Lines that may come at once beyond that rate.
 BURST_LINES = 600.0
 #: Seconds for which lines are gathered before they are written together.
-GATHER_S = 0.05
+BATCH_DELAY_S = 0.05
 
 
 class LineRateLimiter(base.ParamsMixin):
@@ -29,37 +29,37 @@
         >>> budget = LineRateLimiter(lines_per_s=1.0, burst=1.0)
         >>> [budget.allow('http', now=0.0) for _ in range(3)]
         [True, False, False]
-        >>> budget.take_left_out()
+        >>> budget.pop_dropped()
         {'http': 2}
     """
 
     def __init__(self, lines_per_s=LINES_PER_S, burst=BURST_LINES):
         self.lines_per_s = lines_per_s
         self.burst = burst
-        self._held = burst
-        self._held_at = None
-        self._left_out = collections.Counter()
+        self._tokens = burst
+        self._refilled_at = None
+        self._dropped = collections.Counter()
 
     def allow(self, kind, now):
         """Return whether a line of this kind is written at `now`."""
-        if self._held_at is not None:
-            earned = (now - self._held_at) * self.lines_per_s
-            self._held = min(self.burst, self._held + earned)
-        self._held_at = now
-        if self._held >= 1:
-            self._held -= 1
+        if self._refilled_at is not None:
+            refill = (now - self._refilled_at) * self.lines_per_s
+            self._tokens = min(self.burst, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens >= 1:
+            self._tokens -= 1
             return True
-        self.leave_out(kind)
+        self.count_dropped(kind)
         return False
 
-    def leave_out(self, kind):
+    def count_dropped(self, kind):
         """Count one line of this kind that is not written."""
-        self._left_out[kind] += 1
+        self._dropped[kind] += 1
 
-    def take_left_out(self):
+    def pop_dropped(self):
         """Return the lines left out since the last call, by kind."""
-        found = dict(self._left_out)
-        self._left_out.clear()
+        found = dict(self._dropped)
+        self._dropped.clear()
         return found
 
 
@@ -75,9 +75,9 @@
 
     def __init__(self, stream=None):
         self.stream = stream or sys.stdout
-        self.left_out = 0
+        self.dropped_lines = 0
         self._lines = collections.deque()
-        self._filled = threading.Event()
+        self._has_lines = threading.Event()
         self._closed = False
         self._thread = threading.Thread(
             target=self._run, name='log-writer', daemon=True
@@ -86,12 +86,12 @@
 
     def write(self, text):
         """Hand over `text`, or leave it out where too much waits."""
-        if len(self._lines) >= MOST_WAITING:
-            self.left_out += 1
+        if len(self._lines) >= MAX_QUEUED_LINES:
+            self.dropped_lines += 1
             return
         self._lines.append(text)
-        if not self._filled.is_set():
-            self._filled.set()
+        if not self._has_lines.is_set():
+            self._has_lines.set()
 
     def flush(self):
         """Do nothing; the thread flushes what it writes."""
@@ -99,25 +99,25 @@
     def close(self, timeout_s=0.5):
         """Write what waits, for at most `timeout_s` seconds."""
         self._closed = True
-        self._filled.set()
+        self._has_lines.set()
         self._thread.join(timeout_s)
 
     def _run(self):
         pause = threading.Event()
         while not self._closed:
-            self._filled.wait()
+            self._has_lines.wait()
             if not self._closed:
-                pause.wait(GATHER_S)
-            self._filled.clear()
-            self._write_waiting()
-        self._write_waiting()
+                pause.wait(BATCH_DELAY_S)
+            self._has_lines.clear()
+            self._write_queued()
+        self._write_queued()
 
-    def _write_waiting(self):
+    def _write_queued(self):
         lines = []
         while self._lines:
             lines.append(self._lines.popleft())
-        if self.left_out:
-            count, self.left_out = self.left_out, 0
+        if self.dropped_lines:
+            count, self.dropped_lines = self.dropped_lines, 0
             lines.append(
                 f'{{"prefix": "logs", "message": "Left out {count} lines: '
                 'the reader is slow."}\n'
--- a/catkinshunt/logs/tests/test_bounded.py
+++ b/catkinshunt/logs/tests/test_bounded.py
@@ -50,8 +50,8 @@
         budget.allow('exchange', now=step / 100) for step in range(1000)
     )
     assert 95 <= allowed <= 110
-    assert budget.take_left_out() == {'exchange': 1000 - allowed}
-    assert budget.take_left_out() == {}
+    assert budget.pop_dropped() == {'exchange': 1000 - allowed}
+    assert budget.pop_dropped() == {}
 
 
 def test_the_count_of_left_out_lines_is_written():
@@ -63,7 +63,7 @@
         for _ in range(3):
             log.info('One.')
         log.warning('Always.')
-        budget.burst = budget._held = 1.0
+        budget.burst = budget._tokens = 1.0
         log.info('Again.')
     finally:
         logs.configure()
