--- a/catkinshunt/metrics/_client.py
+++ b/catkinshunt/metrics/_client.py
@@ -13,14 +13,14 @@
 
 def load():
     """Return the package ``prometheus_client``."""
-    kept_out = sys.modules.get('ssl', types) is None
-    with _tls_names() if kept_out else contextlib.nullcontext():
+    ssl_excluded = sys.modules.get('ssl', types) is None
+    with _tls_placeholders() if ssl_excluded else contextlib.nullcontext():
         import prometheus_client
     return prometheus_client
 
 
 @contextlib.contextmanager
-def _tls_names():
+def _tls_placeholders():
     import urllib.request
 
     module = types.ModuleType('ssl')
--- a/catkinshunt/metrics/_exposition.py
+++ b/catkinshunt/metrics/_exposition.py
@@ -18,9 +18,9 @@
         now: seconds on the monotonic clock.
     """
     prometheus_client = _client.load()
-    shown = prometheus_client.CollectorRegistry(auto_describe=False)
-    shown.register(_Collector(registry, now))
-    text = prometheus_client.generate_latest(shown)
+    library_registry = prometheus_client.CollectorRegistry(auto_describe=False)
+    library_registry.register(_Collector(registry, now))
+    text = prometheus_client.generate_latest(library_registry)
     return prometheus_client.CONTENT_TYPE_LATEST, text
 
 
--- a/catkinshunt/metrics/_instrumented.py
+++ b/catkinshunt/metrics/_instrumented.py
@@ -28,18 +28,18 @@
         self._requests = registry.counter(
             'requests', 'Requests by HTTP status.', ('status',)
         )
-        self._broken = registry.counter(
+        self._cut_off = registry.counter(
             'answers_cut_off', 'Answers that did not come to their end.'
         )
 
     def __call__(self, environ, start_response):
         begin = time.monotonic()
 
-        def note(status, headers, exc_info=None):
+        def record_status(status, headers, exc_info=None):
             self._requests.add(status[:3])
             return start_response(status, headers, exc_info)
 
-        body = self.app(environ, note)
+        body = self.app(environ, record_status)
         if isinstance(body, (list, tuple)):
             # Whole already: the server reads its length off a list and can
             # keep the connection, which it can't do for other iterables.
@@ -51,16 +51,16 @@
 
     def _measure(self, body, begin):
         """Yield the pieces of `body`; record when it ends."""
-        waiting = True
+        is_first = True
         try:
             for piece in body:
-                if waiting:
+                if is_first:
                     self._first_bytes.observe(time.monotonic() - begin)
-                    waiting = False
+                    is_first = False
                 yield piece
             self._durations.observe(time.monotonic() - begin)
         except Exception:
-            self._broken.add()
+            self._cut_off.add()
             raise
         finally:
             if hasattr(body, 'close'):
--- a/catkinshunt/metrics/_operator_app.py
+++ b/catkinshunt/metrics/_operator_app.py
@@ -7,7 +7,7 @@
 from catkinshunt.metrics import _exposition
 
 _OK = 200
-_NOT_NOW = 503
+_UNAVAILABLE = 503
 
 
 def start_operator_server(cfg, registry, is_ready, status):
@@ -59,7 +59,7 @@
             return httpio.Response.of_json(_OK, {'healthy': True})
         if path == '/ready':
             ready = bool(self.is_ready())
-            status = _OK if ready else _NOT_NOW
+            status = _OK if ready else _UNAVAILABLE
             return httpio.Response.of_json(status, {'ready': ready})
         if path == '/status':
             return httpio.Response.of_json(_OK, self.status())
--- a/catkinshunt/metrics/_recorders.py
+++ b/catkinshunt/metrics/_recorders.py
@@ -10,13 +10,13 @@
 
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 #: Two digits keep a recorder at about 26 kB and its error below 1 %.
-_DIGITS = 2
-_MICROSECONDS = 1_000_000
-_HIGHEST_US = 3600 * _MICROSECONDS
+_SIGNIFICANT_DIGITS = 2
+_US_PER_S = 1_000_000
+_MAX_DURATION_US = 3600 * _US_PER_S
 #: A label from outside, such as an account, could take any number of
 #: values; from here on they are counted together.
 MAX_LABEL_SETS = 200
-OTHER = 'other'
+OTHER_LABEL = 'other'
 
 
 @attrs.frozen
@@ -56,12 +56,12 @@
         self._count = 0
         self._sum_s = 0.0
         self._histogram = _make_histogram()
-        self._window_began = None
-        self._whole_window = None
+        self._window_start = None
+        self._last_quantiles = None
 
     def observe(self, duration_s):
         """Add one duration in seconds."""
-        value = max(1, min(_HIGHEST_US, round(duration_s * _MICROSECONDS)))
+        value = max(1, min(_MAX_DURATION_US, round(duration_s * _US_PER_S)))
         with self._lock:
             self._count += 1
             self._sum_s += duration_s
@@ -70,27 +70,27 @@
     def report(self, now):
         """Return the `Summary` at `now`."""
         with self._lock:
-            if self._window_began is None:
-                self._window_began = now
-            elif now - self._window_began >= self.window_s:
-                self._whole_window = _quantiles(self._histogram)
+            if self._window_start is None:
+                self._window_start = now
+            elif now - self._window_start >= self.window_s:
+                self._last_quantiles = _quantiles(self._histogram)
                 self._histogram.reset()
-                self._window_began = now
-            quantiles = self._whole_window
+                self._window_start = now
+            quantiles = self._last_quantiles
             if quantiles is None:
                 quantiles = _quantiles(self._histogram)
             return Summary(self._count, self._sum_s, quantiles)
 
 
 def _make_histogram():
-    return histogram.HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    return histogram.HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
 
 
 def _quantiles(hist):
     if not hist.get_total_count():
         return ()
     return tuple(
-        (q, hist.get_value_at_percentile(q * 100) / _MICROSECONDS)
+        (q, hist.get_value_at_percentile(q * 100) / _US_PER_S)
         for q in QUANTILES
     )
 
@@ -118,7 +118,7 @@
         with self._lock:
             full = len(self._counts) >= MAX_LABEL_SETS
             if full and values not in self._counts:
-                values = (OTHER,) * len(self.labels)
+                values = (OTHER_LABEL,) * len(self.labels)
             self._counts[values] += amount
 
     def report(self):
