--- a/catkinshunt/settings/_fields.py
+++ b/catkinshunt/settings/_fields.py
@@ -75,11 +75,11 @@
     )
 
 
-def count(least=1, most=100_000, default=attrs.NOTHING):
-    """Return a field for a whole number from `least` to `most`."""
+def count(minimum=1, maximum=100_000, default=attrs.NOTHING):
+    """Return a field for a whole number from `minimum` to `maximum`."""
     return make_field(
-        f'a whole number from {least} to {most}',
-        lambda value: least <= value <= most,
+        f'a whole number from {minimum} to {maximum}',
+        lambda value: minimum <= value <= maximum,
         default,
     )
 
--- a/catkinshunt/settings/_load.py
+++ b/catkinshunt/settings/_load.py
@@ -100,13 +100,13 @@
     try:
         value = _make_converter().structure(raw, cls)
     except (cattrs.BaseValidationError, _InvalidValueError) as exc:
-        problems = list(_walk(exc, '', path, cls))
+        problems = list(_iter_problems(exc, '', path, cls))
         _raise(problems)
-    _check_whole(value, path)
+    _check_consistency(value, path)
     return value
 
 
-def _check_whole(value, path):
+def _check_consistency(value, path):
     """Ask the settings themselves about fields that must fit together."""
     if not hasattr(value, 'check'):
         return
@@ -176,13 +176,13 @@
     def hook(value, _type):
         try:
             _check_container(value, field.type)
-            made = conv.structure(value, field.type)
+            structured = conv.structure(value, field.type)
         except _InvalidValueError as exc:
             given = exc.given if exc.given is not value else value
             raise _InvalidValueError(given, allowed or exc.allowed) from exc
-        if check is not None and not check(made):
+        if check is not None and not check(structured):
             raise _InvalidValueError(value, allowed)
-        return made
+        return structured
 
     return hook
 
@@ -200,7 +200,7 @@
         raise _InvalidValueError(value, 'an object {...}')
 
 
-def _walk(exc, field, path, cls):
+def _iter_problems(exc, field, path, cls):
     """Yield a `Problem` for each leaf of a tree of cattrs errors."""
     import cattrs
 
@@ -209,44 +209,46 @@
         for sub, note in named:
             name = f'{field}.{note.name}' if field else note.name
             attr = getattr(attrs.fields(exc.cl), note.name)
-            yield from _leaf(sub, name, path, attr)
+            yield from _field_problems(sub, name, path, attr)
         for sub in rest:
-            yield from _unknown_fields(sub, field, path, exc.cl)
+            yield from _unknown_field_problems(sub, field, path, exc.cl)
     elif isinstance(exc, cattrs.IterableValidationError):
         for sub, note in exc.group_exceptions()[0]:
-            yield from _walk(sub, f'{field}[{note.index}]', path, cls)
+            yield from _iter_problems(sub, f'{field}[{note.index}]', path, cls)
     else:
-        yield _of_value(exc, field, path, secret=False)
+        yield _value_problem(exc, field, path, secret=False)
 
 
-def _leaf(exc, name, path, attr):
+def _field_problems(exc, name, path, attr):
     if isinstance(exc, KeyError):
         allowed = attr.metadata.get(_fields.ALLOWED) or _type_name(attr.type)
         yield _problem.Problem(path, name, _MISSING, allowed)
     elif isinstance(exc, _InvalidValueError):
         secret = attr.metadata.get(_fields.SECRET, False)
-        yield _of_value(exc, name, path, secret)
+        yield _value_problem(exc, name, path, secret)
     else:
-        yield from _walk(exc, name, path, attr.type)
+        yield from _iter_problems(exc, name, path, attr.type)
 
 
-def _of_value(exc, field, path, secret):
+def _value_problem(exc, field, path, secret):
     given = getattr(exc, 'given', None)
     shown = '(a secret)' if secret else _problem.format_value(given)
     allowed = getattr(exc, 'allowed', str(exc))
     return _problem.Problem(path, field or _WHOLE_FILE, shown, allowed)
 
 
-def _unknown_fields(exc, field, path, cls):
+def _unknown_field_problems(exc, field, path, cls):
     import cattrs
 
     if not isinstance(exc, cattrs.ForbiddenExtraKeysError):
-        yield _of_value(exc, field, path, secret=False)
+        yield _value_problem(exc, field, path, secret=False)
         return
     known = [attr.name for attr in attrs.fields(cls)]
     for extra in sorted(exc.extra_fields, key=str):
-        near = difflib.get_close_matches(str(extra), known, n=1)
-        allowed = f'{near[0]!r}?' if near else 'one of ' + ', '.join(known)
+        matches = difflib.get_close_matches(str(extra), known, n=1)
+        allowed = (
+            f'{matches[0]!r}?' if matches else 'one of ' + ', '.join(known)
+        )
         name = f'{field}.{extra}' if field else str(extra)
         yield _problem.Problem(path, name, 'an unknown field', allowed)
 
