--- a/catkinshunt/cli/_experiment.py
+++ b/catkinshunt/cli/_experiment.py
@@ -27,9 +27,9 @@
         errors.SettingsError: the scenario or `plot` cannot be used, or the
             model is missing.
     """
-    model = _import('standins.experiment')
+    model = _import_from_sources('standins.experiment')
     if plot is not None:
-        _check_plot(plot)
+        _validate_plot(plot)
     cfg = settings.load_settings(path, model.ExperimentSettings)
     progress = _progress.Progress(
         cfg.name,
@@ -49,7 +49,7 @@
         model.plot(_curves(results), plot, cfg.name)
 
 
-def _import(name):
+def _import_from_sources(name):
     """Return a module that only a checkout of the sources has."""
     try:
         return importlib.import_module(name)
@@ -62,7 +62,7 @@
         ) from exc
 
 
-def _check_plot(plot):
+def _validate_plot(plot):
     """Find out what is wrong with `plot` before the long work."""
     if not plot.endswith('.svg'):
         raise errors.SettingsError(
@@ -72,7 +72,7 @@
     folder = os.path.dirname(plot) or '.'
     if not os.path.isdir(folder):
         raise errors.SettingsError(f'--plot: there is no folder {folder}')
-    _import('pygal')
+    _import_from_sources('pygal')
 
 
 def _document(cfg, results):
--- a/catkinshunt/cli/_explain.py
+++ b/catkinshunt/cli/_explain.py
@@ -37,7 +37,7 @@
         for text in lines:
             if request_id not in text:
                 continue
-            fields = _read(text)
+            fields = _parse_line(text)
             if fields is None:
                 continue
             if request_id in (fields.get('request'), fields.get('request_id')):
@@ -45,7 +45,7 @@
     return sorted(found, key=lambda line: line.time)
 
 
-def _read(text):
+def _parse_line(text):
     begin = text.find('{')
     if begin < 0:
         return None
--- a/catkinshunt/cli/_main.py
+++ b/catkinshunt/cli/_main.py
@@ -56,13 +56,13 @@
 
 
 def _run(argv):
-    if argv[:1] == [_relaunch.WORD]:
+    if argv[:1] == [_relaunch.RESTART_COMMAND]:
         return _serve_checked(argv[1:])
     if argv[:1] == ['--version']:
         argv = ['version']
     if not argv:
         argv = ['--help']
-    found = _read(argv)
+    found = _parse_arguments(argv)
     if isinstance(found, _action.Action):
         return found.act() or OK
     return OK
@@ -74,12 +74,12 @@
     try:
         role, path, read_end = words
     except ValueError as exc:
-        text = f'{_relaunch.WORD} is for the process itself'
+        text = f'{_relaunch.RESTART_COMMAND} is for the process itself'
         raise errors.SettingsError(text) from exc
     return _serve.serve_checked(role, path, read_end) or OK
 
 
-def _read(argv):
+def _parse_arguments(argv):
     """Return what fire makes of `argv`: an `Action`, or None after help."""
     import fire
     from fire import core
--- a/catkinshunt/cli/_progress.py
+++ b/catkinshunt/cli/_progress.py
@@ -1,12 +1,12 @@
 """Shows how far long work has come."""
 
 #: Seconds after which work counts as long.
-_LONG_S = 1.0
+_DISPLAY_DELAY_S = 1.0
 #: Seconds between two lines in a file or pipe, and two looks at a terminal.
 _LINE_PERIOD_S = 5.0
-_LOOK_PERIOD_S = 0.2
+_REFRESH_PERIOD_S = 0.2
 #: Characters of the bar.
-_WIDTH = 30
+_BAR_CHARS = 30
 
 
 class Progress:
@@ -34,20 +34,20 @@
         self.total = total
         self.stream = stream
         self._done = 0
-        self._next = now + _LONG_S
+        self._next_write_at = now + _DISPLAY_DELAY_S
         self._shown = False
 
     def advance(self, now):
         """Count one step as done."""
         self._done += 1
-        if now < self._next:
+        if now < self._next_write_at:
             return
         self._shown = True
         if self.stream.isatty():
-            self._next = now + _LOOK_PERIOD_S
+            self._next_write_at = now + _REFRESH_PERIOD_S
             self._write('\r', '')
         else:
-            self._next = now + _LINE_PERIOD_S
+            self._next_write_at = now + _LINE_PERIOD_S
             self._write('', '\n')
 
     def end(self):
@@ -56,8 +56,8 @@
             self._write('\r', '\n')
 
     def _write(self, before, after):
-        marks = _WIDTH * self._done // self.total
-        bar = ('#' * marks).ljust(_WIDTH, '.')
+        marks = _BAR_CHARS * self._done // self.total
+        bar = ('#' * marks).ljust(_BAR_CHARS, '.')
         self.stream.write(
             f'{before}{self.name}: [{bar}] {self._done} of {self.total}{after}'
         )
--- a/catkinshunt/cli/_relaunch.py
+++ b/catkinshunt/cli/_relaunch.py
@@ -14,9 +14,9 @@
 from catkinshunt import errors
 
 #: First argument of the process after it has replaced itself.
-WORD = 'run-checked'
+RESTART_COMMAND = 'run-checked'
 #: What a pipe surely takes before somebody reads it.
-_MAX_BYTES = 32 * 1024
+_MAX_SETTINGS_BYTES = 32 * 1024
 
 
 def replace_process(role, path, cfg):
@@ -30,10 +30,10 @@
     import attrs
 
     content = json.dumps(attrs.asdict(cfg)).encode()
-    if len(content) > _MAX_BYTES:
+    if len(content) > _MAX_SETTINGS_BYTES:
         raise errors.SettingsError(
             f'{path}: settings take {len(content)} bytes, '
-            f'allowed: {_MAX_BYTES}'
+            f'allowed: {_MAX_SETTINGS_BYTES}'
         )
     read_end, write_end = os.pipe()
     os.write(write_end, content)
@@ -41,7 +41,7 @@
     os.set_inheritable(read_end, True)
     given = len(sys.argv) - 1
     start = sys.orig_argv[: len(sys.orig_argv) - given]
-    words = [*start, WORD, role, path, str(read_end)]
+    words = [*start, RESTART_COMMAND, role, path, str(read_end)]
     sys.stdout.flush()
     sys.stderr.flush()
     os.execv(sys.executable, words)
@@ -51,7 +51,8 @@
     """Return the settings that `replace_process` has put into the pipe.
 
     Raises:
-        errors.SettingsError: there are none; somebody else has used `WORD`.
+        errors.SettingsError: there are none; `RESTART_COMMAND` was used by
+            something other than this process.
     """
     from catkinshunt import settings
 
@@ -63,5 +64,5 @@
         return settings.from_validated(role, value)
     except (OSError, ValueError, KeyError, TypeError) as exc:
         raise errors.SettingsError(
-            f'{WORD} is for the process itself; use {role} SETTINGS'
+            f'{RESTART_COMMAND} is for the process itself; use {role} SETTINGS'
         ) from exc
--- a/catkinshunt/cli/_status.py
+++ b/catkinshunt/cli/_status.py
@@ -12,7 +12,7 @@
 from catkinshunt import httpio
 from catkinshunt import settings
 
-_PARALLEL = 32
+_MAX_WORKERS = 32
 _UNKNOWN = '-'
 
 
@@ -47,8 +47,8 @@
         rows = read_rows(cfg)
         for line in table(rows):
             print(line)
-        done = _show_revision(rows, accepted)
-        done = _show_progress(rows) and done
+        done = _print_revision(rows, accepted)
+        done = _print_progress(rows) and done
         sys.stdout.flush()
         if done or not watch:
             return 0
@@ -83,7 +83,7 @@
             f'status {reply.status}', step='list instances', peer=str(address)
         )
     listed = json.loads(reply.body)['instances']
-    with concurrent.futures.ThreadPoolExecutor(_PARALLEL) as executor:
+    with concurrent.futures.ThreadPoolExecutor(_MAX_WORKERS) as executor:
         rows = executor.map(lambda item: _row(cfg, item), listed)
         return sorted(rows, key=lambda row: (row.service, row.name))
 
@@ -155,7 +155,7 @@
     )
 
 
-def _show_revision(rows, accepted):
+def _print_revision(rows, accepted):
     """Print where the accepted revision is in force; return if everywhere.
 
     Where it is not, what an instance wants and serves may still be what the
@@ -170,7 +170,7 @@
     return count == len(known)
 
 
-def _show_progress(rows):
+def _print_progress(rows):
     """Print replicas done of wanted; return whether none is missing."""
     wanted = collections.Counter()
     done = collections.Counter()
@@ -179,7 +179,7 @@
         done.update(set(row.wanted) & set(row.served))
     for pair, count in sorted(wanted.items()):
         print(f'{pair[0]}@{pair[1]}: {done[pair]} of {count} replicas serve')
-    silent = sum(row.revision is None for row in rows)
-    if silent:
-        print(f'{silent} of {len(rows)} instances gave no answer')
-    return not silent and done == wanted
+    unresponsive = sum(row.revision is None for row in rows)
+    if unresponsive:
+        print(f'{unresponsive} of {len(rows)} instances gave no answer')
+    return not unresponsive and done == wanted
