--- a/catkinshunt/http1/__init__.py
+++ b/catkinshunt/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on the event loop, for processes that hold many streams."""
+"""HTTP/1.1 on asyncio, for processes with many concurrent streams."""
 
 from catkinshunt.http1._client import BodyPart
 from catkinshunt.http1._client import ClientConnection
--- a/catkinshunt/http1/_client.py
+++ b/catkinshunt/http1/_client.py
@@ -1,4 +1,4 @@
-"""The side of a connection that sends requests and reads replies."""
+"""Client side of an HTTP/1.1 connection."""
 
 import asyncio
 import collections
@@ -10,32 +10,33 @@
 
 from catkinshunt.http1 import _messages
 
-#: Bytes read ahead of the task that relays a reply.
+#: Bytes buffered ahead of the task that relays a reply; beyond them reading
+#: is paused.
 READ_AHEAD_BYTES = 256 * 1024
-#: Value of the option to linger with which closing a socket resets it: on,
-#: for no time.
+#: Value of SO_LINGER (on, 0 s) with which closing a socket resets the
+#: connection.
 RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 
 
 @attrs.frozen
 class BodyPart:
-    """A part of a reply's body."""
+    """A part of a reply body."""
 
     data: bytes
 
 
 @attrs.frozen
 class EndOfReply:
-    """The reply is whole."""
+    """The reply is complete."""
 
 
 @attrs.frozen
 class ConnectionLost:
-    """Nothing further can be read.
+    """The connection ended; nothing further can be read.
 
     Attributes:
-        reason: what ended the connection.
-        orderly: the peer closed it without a reset.
+        reason: why the connection ended.
+        orderly: whether the peer closed it without a reset.
     """
 
     reason: str
@@ -46,10 +47,10 @@
     """Sends one request at a time and yields the parts of its reply.
 
     The parts are a `ReplyHead`, any number of `BodyPart` and an
-    `EndOfReply`; a `ConnectionLost` stands in place of the missing parts.
+    `EndOfReply`; a `ConnectionLost` replaces the parts that are missing.
 
     Args:
-        clock: gives seconds on the steady clock.
+        clock: function that returns seconds on the monotonic clock.
     """
 
     def __init__(self, clock):
@@ -91,29 +92,29 @@
         if self._lost is not None:
             return
         if not self.used:
-            self._end_input('bytes came before any request')
+            self._end_input('data was received before any request')
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._end_input('the peer changed the protocol')
+            self._end_input('the peer switched protocols')
         except httptools.HttpParserError as exc:
-            self._end_input(f'not a reply: {exc}')
+            self._end_input(f'malformed reply: {exc}')
 
     # httptools
 
     def on_message_begin(self):
-        """Begin a reply."""
+        """Start a reply."""
         self._items = []
         self._in_reply = True
         self._ends_at_close = False
 
     def on_header(self, name, value):
-        """Take one header field."""
+        """Add one header field."""
         self._items.append((name.decode('latin-1'), value.decode('latin-1')))
 
     def on_headers_complete(self):
-        """Hand over the head."""
+        """Pass on the head, except that of an interim (1xx) reply."""
         status = self._parser.get_status_code()
         if 100 <= status < 200:
             return
@@ -127,21 +128,21 @@
         self._put(_messages.ReplyHead(status, headers, bodiless))
 
     def on_body(self, data):
-        """Take a part of the body."""
+        """Pass on a part of the body; pause reading at the limit."""
         self._buffered_bytes += len(data)
         if self._buffered_bytes > READ_AHEAD_BYTES:
             self.transport.pause_reading()
         self._put(BodyPart(data))
 
     def on_message_complete(self):
-        """Note that the reply is whole."""
+        """Pass on the end of the reply."""
         status = self._parser.get_status_code()
         if 100 <= status < 200:
             return
         self._in_reply = False
         self._put(EndOfReply())
 
-    # Used by the task of the exchange.
+    # Called by the task that sends the request.
 
     @property
     def is_open(self):
@@ -154,13 +155,13 @@
         )
 
     def send(self, head, body=b''):
-        """Send a request; its reply is read by `read_part`."""
+        """Send a request; `read_part` returns its reply."""
         self.used = True
         self.transport.write(head + body)
 
     @property
     def is_fully_sent(self):
-        """Whether nothing of the request waits to be sent."""
+        """Whether no byte of the request is still buffered."""
         return self.transport.get_write_buffer_size() == 0
 
     async def read_part(self):
@@ -178,17 +179,17 @@
         return part
 
     def close(self):
-        """Close at once; unread replies are left."""
+        """Close at once; unread replies are discarded."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def reset(self):
-        """Close at once, so that what is still on its way is dropped.
+        """Reset the connection, so that undelivered bytes are discarded.
 
-        Bytes sent to an instance that stands still, or behind a cut, arrive
-        when it is over, though the caller has long left; after an orderly
-        close the upstream would work on them for nobody.
+        Bytes sent to a paused instance, or over a partitioned network, are
+        delivered on recovery, after the caller has gone. With an orderly
+        close the upstream would execute a request that nobody waits for.
         """
         sock = self.transport.get_extra_info('socket')
         if sock is not None and not self.transport.is_closing():
@@ -205,8 +206,8 @@
         if self._lost is not None:
             return
         if orderly and self._in_reply and self._ends_at_close:
-            # A reply without a length is whole when its connection ends in
-            # order; a reset on the way leaves it unfinished.
+            # A reply without a length is complete when its connection is
+            # closed in order; a reset leaves it incomplete.
             self._put(EndOfReply())
         self._lost = ConnectionLost(reason, orderly)
         self.reusable = False
@@ -222,7 +223,7 @@
 
 
 def _idle_limit_s(headers):
-    """Return the seconds for which the peer keeps the connection, or None."""
+    """Return the timeout in the peer's Keep-Alive header, or None."""
     for word in (headers.get('keep-alive') or '').split(','):
         name, _, value = word.strip().partition('=')
         if name.lower() == 'timeout' and value.strip().isdigit():
--- a/catkinshunt/http1/_messages.py
+++ b/catkinshunt/http1/_messages.py
@@ -1,8 +1,8 @@
-"""Heads and bodies of HTTP/1.1 messages."""
+"""Data structures and encoding of HTTP/1.1 messages."""
 
 import attrs
 
-#: Headers that concern one connection only; they are never passed on.
+#: Headers that apply to one connection only; they are never forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     [
         'connection',
@@ -16,7 +16,7 @@
         'upgrade',
     ]
 )
-#: Headers that tell where a message ends; the sender writes its own.
+#: Headers for the framing of a message; each sender sets its own.
 FRAMING_HEADERS = frozenset(['content-length', 'expect'])
 
 REASON_PHRASES = {
@@ -37,7 +37,7 @@
 
 
 class Headers:
-    """Header fields in the order of arrival; names ignore case.
+    """Header fields in order of arrival, with case-insensitive names.
 
     Examples:
         >>> headers = Headers([('Host', 'a'), ('Connection', 'X-Hop, close')])
@@ -61,15 +61,15 @@
         return default
 
     def get_all(self, name):
-        """Return all values of `name` in order."""
+        """Return all values of `name` in order of arrival."""
         name = name.lower()
         return [value for key, value in self.items if key.lower() == name]
 
     def end_to_end(self, without=frozenset()):
-        """Return the fields that are passed on.
+        """Return the fields to forward, as pairs of name and value.
 
         Args:
-            without: further names to leave out, in lower case.
+            without: further names to exclude, in lower case.
         """
         hop_names = set()
         for value in self.get_all('connection'):
@@ -92,11 +92,12 @@
 
 @attrs.define
 class Request:
-    """A request that was read whole.
+    """A request that was read completely.
 
     Attributes:
-        received_at: seconds on the steady clock when its last byte came.
-        keep_alive: whether the caller keeps the connection for another.
+        received_at: arrival of its last byte, in seconds on the monotonic
+            clock.
+        keep_alive: whether the caller keeps the connection open.
     """
 
     method: str
@@ -108,7 +109,7 @@
 
     @property
     def path(self):
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition('?')[0]
 
 
@@ -117,7 +118,8 @@
     """Status and header fields of a reply.
 
     Attributes:
-        bodiless: the reply has no body whatever its headers say.
+        bodiless: whether the status rules out a body, whatever the headers
+            say.
     """
 
     status: int
@@ -126,7 +128,7 @@
 
 
 def dump_head(first_line, items):
-    """Return the bytes of a message's head.
+    """Return the encoded head of a message.
 
     Args:
         first_line: the request line or status line.
@@ -142,7 +144,7 @@
 
 
 def dump_reply(status, items, body=b''):
-    """Return the bytes of a whole reply of known length."""
+    """Return an encoded reply with a Content-Length."""
     head = status_line(status)
     items = [*items, ('Content-Length', str(len(body)))]
     return dump_head(head, items) + body
@@ -154,7 +156,7 @@
 
 
 def dump_chunk(data):
-    """Return `data` as one chunk of a body without a known length."""
+    """Return `data` as one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(data), data)
 
 
--- a/catkinshunt/http1/_pool.py
+++ b/catkinshunt/http1/_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one peer that are used again."""
+"""Connection pool for one peer."""
 
 import asyncio
 import socket
@@ -7,25 +7,25 @@
 from catkinshunt.http1 import _client
 from catkinshunt.http1 import _messages
 
-#: Share of the peer's idle limit for which a connection is used again; it
-#: leaves room for the time that a request takes to get there.
+#: Fraction of the peer's idle timeout during which a connection is reused.
+#: The rest allows for the time that a request takes to reach the peer.
 IDLE_FRACTION = 0.5
-#: Idle limit assumed of a peer that names none, in seconds.
+#: Idle timeout assumed for a peer that announces none.
 DEFAULT_IDLE_S = 2.0
-#: Milliseconds after which unacknowledged bytes end a connection. Without
-#: it a peer that lost its power would hold a connection for minutes.
+#: TCP_USER_TIMEOUT: a connection whose data stays unacknowledged for this
+#: long is closed. Otherwise a peer without power would block it for minutes.
 UNACKNOWLEDGED_TIMEOUT_MS = 3000
 
 
 class Pool:
-    """Opens connections to one address and keeps those that lie idle.
+    """Opens connections to one address and reuses idle ones.
 
     Args:
         host: IP address of the peer.
         port: its port.
-        clock: gives seconds on the steady clock.
-        connect_s: seconds within which a connection must be made.
-        max_idle: connections kept at most.
+        clock: function that returns seconds on the monotonic clock.
+        connect_s: connect timeout in seconds.
+        max_idle: maximum number of idle connections.
     """
 
     def __init__(self, host, port, clock, connect_s=0.6, max_idle=32):
@@ -39,17 +39,17 @@
 
     @property
     def peer(self):
-        """The address as text."""
+        """The address as ``host:port``."""
         return f'{self.host}:{self.port}'
 
     async def acquire(self, fresh=False):
         """Return a connection.
 
         Args:
-            fresh: open a new one even where one lies idle.
+            fresh: open a new one even if an idle one is available.
 
         Raises:
-            errors.RefusedError: no connection could be made.
+            errors.RefusedError: the connection could not be opened.
         """
         while self._idle and not fresh:
             conn = self._idle.pop()
@@ -59,7 +59,7 @@
         return await self._open()
 
     def release(self, conn):
-        """Keep `conn` for another request, or close it."""
+        """Return `conn` to the pool, or close it if it cannot be reused."""
         conn.idle_since = self.clock()
         room = len(self._idle) < self.max_idle
         if room and conn.is_open and conn.is_fully_sent:
@@ -68,7 +68,7 @@
             conn.close()
 
     def close_idle(self):
-        """Close the connections that lie idle."""
+        """Close all idle connections."""
         for conn in self._idle:
             conn.close()
         self._idle.clear()
@@ -90,7 +90,7 @@
                     self.port,
                 )
         except OSError as exc:
-            # TimeoutError is one of them: nothing was sent in any case.
+            # Includes TimeoutError. Nothing was sent in any of these cases.
             raise errors.RefusedError(
                 f'no connection: {type(exc).__name__}',
                 step='connect',
@@ -109,14 +109,15 @@
 async def exchange(pool, method, target, items=(), body=b'', timeout_s=1.0):
     """Send one request and return its (`ReplyHead`, body).
 
-    The reply must begin within `timeout_s`, and then go on: a large one may
-    take longer than that in all. A configuration of 1,480 routes takes over
-    two seconds where five instances read it over one link; with one bound
-    for the whole it was begun again and again, and never read.
+    `timeout_s` bounds the wait for each part of the reply, not the whole
+    exchange, since a large reply may take longer. A configuration of 1,480
+    routes takes over two seconds when five instances read it over one link;
+    with a limit on the whole exchange it was restarted again and again, and
+    never completed.
 
     Raises:
-        errors.RefusedError: no connection was made.
-        errors.OutcomeUnknownError: the reply was lost or came too late.
+        errors.RefusedError: the connection could not be opened.
+        errors.OutcomeUnknownError: the reply was lost or timed out.
     """
     conn = await pool.acquire()
     head = _request_head(pool, method, target, items, body)
@@ -126,7 +127,7 @@
     except TimeoutError as exc:
         conn.close()
         raise errors.OutcomeUnknownError(
-            f'nothing came for {timeout_s:g} s', step=method, peer=pool.peer
+            f'no data for {timeout_s:g} s', step=method, peer=pool.peer
         ) from exc
     except BaseException:
         conn.close()
--- a/catkinshunt/http1/_serve.py
+++ b/catkinshunt/http1/_serve.py
@@ -1,4 +1,4 @@
-"""A small server for replies that are made at once."""
+"""Listener, and sessions whose replies are not streamed."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from catkinshunt.http1 import _server
 from catkinshunt import logs
 
-#: Connections that may wait to be accepted.
+#: Length of the queue of connections that are not accepted yet.
 BACKLOG = 1024
 
 _log = logs.get_logger('http')
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Reply:
-    """A whole reply."""
+    """A complete reply; `items` are its header fields."""
 
     status: int
     body: bytes = b''
@@ -27,10 +27,10 @@
     """Accepts connections and runs one task for each.
 
     Args:
-        session: coroutine function of one `ServerConnection`; the
-            connection is closed when it returns, and it is cancelled when
-            the caller leaves.
-        clock: gives seconds on the steady clock.
+        session: coroutine function of one `ServerConnection`. The
+            connection is closed when it returns; it is cancelled when the
+            caller disconnects.
+        clock: function that returns seconds on the monotonic clock.
         limits: function that returns the `Limits` in force.
     """
 
@@ -51,11 +51,11 @@
 
     @property
     def port(self):
-        """The port that is listened on."""
+        """The bound port."""
         return self._server.sockets[0].getsockname()[1]
 
     def close(self):
-        """Accept no further connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
@@ -74,17 +74,17 @@
         try:
             await self.session(conn)
         except asyncio.CancelledError:
-            # The caller has left; whoever worked for it was told.
+            # The caller disconnected; the session was cancelled for that.
             conn.abort()
         except Exception:
-            _log.exception('A connection ended by an error.')
+            _log.exception('Connection handler failed.')
             conn.abort()
         else:
             conn.close()
 
 
 def make_session(handler):
-    """Return a session that answers each request by `handler`.
+    """Return a session that answers each request with `handler`.
 
     Args:
         handler: coroutine function of a `Request` that returns a `Reply`.
--- a/catkinshunt/http1/_server.py
+++ b/catkinshunt/http1/_server.py
@@ -1,4 +1,4 @@
-"""The side of a connection that reads requests and writes replies."""
+"""Server side of an HTTP/1.1 connection."""
 
 import asyncio
 import collections
@@ -8,24 +8,24 @@
 
 from catkinshunt.http1 import _messages
 
-#: Bytes a caller may leave unread before the relay waits for it.
+#: Bytes that may be buffered for a slow caller before `drain` waits.
 HIGH_WATER_BYTES = 64 * 1024
-#: Pause before a connection is closed whose request was refused unread, so
-#: that the refusal is not lost to the reset which unread bytes cause.
+#: Delay before closing a connection whose request was rejected unread.
+#: Unread bytes cause a reset, by which the caller could lose the rejection.
 LINGER_S = 0.2
-#: Longest wait before the limits in force are looked at again.
+#: Longest wait before the limits in force are read again.
 MAX_WAIT_S = 5.0
 
 
 @attrs.define
 class Limits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of requests.
 
     Attributes:
-        header_bytes: most bytes of a request's head.
-        body_bytes: most bytes of a request's body.
-        header_s: seconds within which a head must have come.
-        idle_s: seconds for which a connection may lie unused.
+        header_bytes: maximum size of a request head.
+        body_bytes: maximum size of a request body.
+        header_s: seconds within which a request must be received.
+        idle_s: idle timeout of a connection, in seconds.
     """
 
     header_bytes: int = 64 * 1024
@@ -35,7 +35,7 @@
 
 
 class BadRequestError(Exception):
-    """A request that cannot be read; carries the status to answer."""
+    """A malformed request; `status` is the status of the reply."""
 
     def __init__(self, status, message):
         super().__init__(message)
@@ -43,12 +43,12 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Reads requests of one caller, one at a time.
+    """Reads the requests of one caller, one at a time.
 
     Args:
-        clock: gives seconds on the steady clock.
+        clock: function that returns seconds on the monotonic clock.
         limits: function that returns the `Limits` in force.
-        on_connected: called with the connection once it is made.
+        on_connected: called with the connection once it is open.
     """
 
     def __init__(self, clock, limits, on_connected):
@@ -78,7 +78,7 @@
         self._mark_closed()
 
     def eof_received(self):
-        """See `asyncio.Protocol`; a caller that ends its side has left."""
+        """See `asyncio.Protocol`; a half-closed connection is closed."""
         self._mark_closed()
         return False
 
@@ -113,28 +113,28 @@
     # httptools
 
     def on_url(self, url):
-        """Take a part of the request's target."""
+        """Add a part of the request target."""
         self._target += url
 
     def on_header(self, name, value):
-        """Take one header field."""
+        """Add one header field."""
         self._items.append((name.decode('latin-1'), value.decode('latin-1')))
 
     def on_headers_complete(self):
-        """Note that the head is whole; invite the body if asked to."""
+        """Send 100 Continue if the caller expects it."""
         self._head_complete = True
         headers = _messages.Headers(self._items)
         if (headers.get('expect') or '').lower() == '100-continue':
             self.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, data):
-        """Take a part of the body."""
+        """Add a part of the body; reject a body over the limit."""
         self._body += data
         if len(self._body) > self.limits().body_bytes:
             raise BadRequestError(413, 'the body is too long')
 
     def on_message_complete(self):
-        """Hand over the request and begin the next."""
+        """Enqueue the request and start the next."""
         req = _messages.Request(
             self._parser.get_method().decode('latin-1'),
             self._target.decode('latin-1'),
@@ -147,13 +147,14 @@
         self._requests.append(req)
         self._arrived.set()
 
-    # Used by the task of the connection.
+    # Called by the task of the connection.
 
     async def read_request(self):
         """Return the next `Request`, a `BadRequestError`, or None at the end.
 
-        An idle connection ends after the limit; a head that takes too long
-        is returned as an error with status 408.
+        An idle connection ends after `Limits.idle_s`; a request that takes
+        longer than `Limits.header_s` is returned as an error with status
+        408.
         """
         while not self._requests:
             wait_s = self._wait_s()
@@ -178,35 +179,35 @@
             async with asyncio.timeout(min(wait_s, MAX_WAIT_S)):
                 await self._arrived.wait()
         except TimeoutError:
-            # The caller looks at the time and the limits in force again.
+            # `read_request` checks the time and the limits in force again.
             return
 
     @property
     def is_idle(self):
-        """Whether no part of a request has come since the last reply."""
+        """Whether no part of a request arrived since the last reply."""
         return self.reading_since is None and not self._requests
 
     def begin_idle(self):
-        """Note that a reply was sent; the connection lies idle from now."""
+        """Start the idle timeout, after a reply was sent."""
         self.idle_since = self.clock()
 
     def write(self, data):
-        """Send `data` unless the caller has left."""
+        """Send `data` unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
     async def drain(self):
-        """Wait until the caller has taken most of what was written."""
+        """Wait until the write buffer is below its limit."""
         if not self._writable.is_set():
             await self._writable.wait()
 
     def close(self):
-        """Close after all that was written."""
+        """Close after sending what was written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self):
-        """Close at once, so that an unfinished reply looks unfinished."""
+        """Close at once, so that the caller sees a reply as incomplete."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/catkinshunt/http1/tests/test_client.py
+++ b/catkinshunt/http1/tests/test_client.py
@@ -60,7 +60,7 @@
     return asyncio.run(main())
 
 
-def test_reads_a_whole_reply():
+def test_reads_a_complete_reply():
     assert isinstance(last_part(REPLY), http1.EndOfReply)
 
 
@@ -74,22 +74,22 @@
         b'',
     ],
 )
-def test_a_reply_that_breaks_off_is_never_whole(reply):
-    """An upstream that dies in the middle of an answer ends its connection.
+def test_a_truncated_reply_is_never_complete(reply):
+    """An upstream crashes while it sends a reply.
 
-    Taken as the end of the answer, a caller would get half of it as if it
-    were all; so each of these ends as broken.
+    If the close of the connection counted as the end of the reply, a caller
+    would get a truncated reply as a complete one.
     """
     assert isinstance(last_part(reply), http1.ConnectionLost)
 
 
-def test_a_reply_without_length_is_whole_at_an_orderly_end():
+def test_a_reply_without_length_is_complete_at_an_orderly_close():
     part = last_part(b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok')
     assert isinstance(part, http1.EndOfReply)
 
 
-def test_a_reply_without_length_is_broken_by_a_reset():
-    """Without a length, only the manner of the end tells whole from half."""
+def test_a_reply_without_length_is_incomplete_after_a_reset():
+    """Without a length, only the kind of close shows if it is complete."""
 
     async def handle(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
@@ -97,7 +97,7 @@
         await writer.drain()
         await asyncio.sleep(0.05)
         sock = writer.get_extra_info('socket')
-        # With this, closing the socket resets the connection.
+        # Closing the socket resets the connection.
         sock.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
         )
@@ -111,11 +111,11 @@
     assert isinstance(asyncio.run(main()), http1.ConnectionLost)
 
 
-def test_a_connection_with_a_second_reply_is_not_used_again():
-    """A faulty upstream answers one request twice.
+def test_a_connection_with_a_second_reply_is_not_reused():
+    """A faulty upstream sends two replies to one request.
 
-    The second answer would be read as that of the next request, and its
-    caller would get somebody else's answer.
+    The second would be read as the reply to the next request, and its
+    caller would get the reply to another caller's request.
     """
 
     async def main():
@@ -129,8 +129,8 @@
     assert again is not conn
 
 
-def test_a_connection_with_unasked_bytes_is_not_used_again():
-    """An extra answer can come later, while the connection lies idle."""
+def test_a_connection_with_unexpected_data_is_not_reused():
+    """A second reply can arrive later, while the connection is idle."""
 
     async def handle(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
@@ -153,7 +153,7 @@
     assert again is not conn
 
 
-def test_an_idle_connection_is_used_again_within_its_limit():
+def test_an_idle_connection_is_reused_within_its_limit():
     reply = (
         b'HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\n'
         b'Content-Length: 2\r\n\r\nok'
@@ -176,7 +176,7 @@
     assert late is not conn
 
 
-def test_no_connection_means_not_run():
+def test_a_failed_connect_means_not_executed():
     async def main():
         server = await asyncio.start_server(lambda r, w: None, '127.0.0.1', 0)
         port = server.sockets[0].getsockname()[1]
@@ -189,7 +189,7 @@
         asyncio.run(main())
 
 
-def test_a_lost_reply_of_a_small_call_is_unknown():
+def test_a_lost_reply_has_an_unknown_outcome():
     async def main():
         async with upstream(replying(b'')) as pool:
             await http1.exchange(pool, 'POST', '/order', body=b'{}')
@@ -198,11 +198,12 @@
         asyncio.run(main())
 
 
-def test_a_reply_that_goes_on_is_read_however_long_it_takes():
-    """A large configuration comes over a link that many share.
+def test_a_slow_reply_is_read_while_data_arrives():
+    """A large configuration is read over a shared link.
 
-    It takes longer than the time-out; given up while bytes still come, it
-    would be begun again and again, and the process would never serve.
+    It takes longer than the timeout. If the exchange were aborted while data
+    still arrives, it would be restarted again and again, and the process
+    would never serve.
     """
 
     async def handle(reader, writer):
@@ -220,7 +221,7 @@
     assert asyncio.run(main())[1] == b'x' * 8
 
 
-def test_a_small_call_is_given_up_in_time():
+def test_an_exchange_without_a_reply_times_out():
     async def handle(reader, writer):
         await reader.read()
 
--- a/catkinshunt/http1/tests/test_server.py
+++ b/catkinshunt/http1/tests/test_server.py
@@ -27,7 +27,7 @@
 
 
 async def talk(connect, data):
-    """Send `data`, end the side, and return all that comes back."""
+    """Send `data` and return what is received."""
     reader, writer = await connect()
     writer.write(data)
     await writer.drain()
@@ -36,7 +36,7 @@
     return found
 
 
-def test_answers_requests_one_after_the_other():
+def test_answers_requests_in_order():
     async def main():
         async with serving(http1.make_session(echo)) as connect:
             reader, writer = await connect()
@@ -54,7 +54,7 @@
     assert found.index(b'GET /a ') < found.index(b'POST /b hi')
 
 
-def test_reads_a_body_in_chunks():
+def test_reads_a_chunked_body():
     async def main():
         async with serving(http1.make_session(echo)) as connect:
             return await talk(
@@ -67,11 +67,11 @@
     assert b'POST /c abcde' in asyncio.run(main())
 
 
-def test_refuses_a_body_with_two_lengths():
-    """A request that gives a length and chunks can hide a second request.
+def test_rejects_a_body_with_two_lengths():
+    """Content-Length together with chunks allows request smuggling.
 
-    A front that believes the one and an upstream that believes the other
-    would run the hidden request as somebody else's. The caller sees a 400.
+    If a proxy used one and an upstream the other, the upstream would execute
+    a hidden request as another caller's. The reply is a 400.
     """
 
     async def main():
@@ -87,10 +87,10 @@
     assert b'/e' not in found
 
 
-def test_refuses_a_head_that_is_too_long():
-    """A caller that sends headers without end would fill the memory.
+def test_rejects_a_head_that_is_too_long():
+    """Endless headers would exhaust the memory.
 
-    It gets a 431, and the connection ends.
+    The reply is a 431, and the connection ends.
     """
 
     def limits():
@@ -104,8 +104,8 @@
     assert asyncio.run(main()).startswith(b'HTTP/1.1 431')
 
 
-def test_refuses_a_body_that_is_too_long():
-    """A body past the limit would fill the memory; the caller gets a 413."""
+def test_rejects_a_body_that_is_too_long():
+    """A body over the limit would exhaust the memory; the reply is a 413."""
 
     def limits():
         return http1.Limits(body_bytes=10)
@@ -121,10 +121,10 @@
     assert asyncio.run(main()).startswith(b'HTTP/1.1 413')
 
 
-def test_gives_up_a_head_that_does_not_end():
-    """A caller that sends half a head and stops would hold a connection.
+def test_times_out_an_incomplete_head():
+    """A caller that stops in the middle of a head would block a connection.
 
-    After the limit it gets a 408.
+    The reply after the limit is a 408.
     """
 
     def limits():
@@ -151,8 +151,8 @@
     assert asyncio.run(main()) == b''
 
 
-def test_a_caller_that_leaves_ends_the_work_for_it():
-    """Work for a caller that has gone is lost, and takes the place of others.
+def test_a_disconnect_cancels_the_session():
+    """Work for a disconnected caller is wasted and delays other requests.
 
     The task of the connection is cancelled as soon as the close arrives.
     """
