--- a/catkinshunt/httpio/__init__.py
+++ b/catkinshunt/httpio/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP between callers, our processes, upstreams and the platform."""
+"""Blocking HTTP client and server, headers and WSGI helpers."""
 
 from catkinshunt.httpio._body import iter_body
 from catkinshunt.httpio._body import PIECE_BYTES
--- a/catkinshunt/httpio/_body.py
+++ b/catkinshunt/httpio/_body.py
@@ -1,31 +1,32 @@
-"""Reads a body as it comes."""
+"""Reads a streamed body."""
 
 import http.client
 
-#: Most bytes handed on at once.
+#: Maximum size of a yielded piece.
 PIECE_BYTES = 64 * 1024
 
-#: Bytes in which the end of a chunk and the first line of the next one lie.
+#: Upper bound of the length of the end of one chunk and the first line of
+#: the next.
 _MAX_FRAME_BYTES = 20
 
-#: What reading a body that breaks off can raise.
+#: Exceptions that reading a truncated body can raise.
 READ_ERRORS = (OSError, ValueError, http.client.HTTPException)
 
 
 def iter_body(resp, sock):
-    """Yield the body of a reply, without waiting for more than has come.
+    """Yield the body of a reply in pieces, as soon as data arrives.
 
-    Chunks that have come already are joined: where many streams compete for
-    the processor they pile up, and handing on each by itself would make the
-    pile grow.
+    Chunks that are already buffered are joined. When many streams compete
+    for the processor, chunks queue up, and yielding each one separately
+    would make the queue grow.
 
     Args:
         resp: an `http.client.HTTPResponse`.
-        sock: the socket it is read from, in timeout mode.
+        sock: the socket it is read from, with a timeout set.
 
     Raises:
-        OSError, ValueError, http.client.HTTPException: it broke off; what
-            came before has been yielded.
+        OSError, ValueError, http.client.HTTPException: the body was
+            truncated; all data before that has been yielded.
     """
     while piece := resp.read1(PIECE_BYTES):
         if not resp.chunked:
@@ -45,10 +46,11 @@
 
 
 def _is_next_chunk_buffered(resp, sock):
-    """Return whether reading on would not wait for the next chunk.
+    """Return whether the next chunk can be read without waiting.
 
-    What ends a chunk comes with it, so only the next one's first line tells;
-    to read on before that would hold back a piece that is already here.
+    The end of a chunk arrives with it, so only the first line of the next
+    chunk shows that. Reading on without it would delay a piece that is
+    already available.
     """
     if resp.isclosed() or resp.chunk_left:
         return False
--- a/catkinshunt/httpio/_channel.py
+++ b/catkinshunt/httpio/_channel.py
@@ -1,4 +1,4 @@
-"""Changes to waitress's handling of one connection."""
+"""Subclasses of the task and channel classes of waitress."""
 
 import time
 
@@ -7,22 +7,22 @@
 
 
 class Task(waitress.task.WSGITask):
-    """One request; keeps the connection after a stream.
+    """One request; keeps the connection alive after a chunked reply.
 
-    waitress closes the connection after each chunked reply, though the last
-    chunk tells where the reply ends. Each streamed answer then cost a new
-    connection at each of our processes.
+    waitress closes the connection after each chunked reply, although the
+    last chunk marks its end. Each streamed reply would then cost a new
+    connection at each process.
     """
 
     def set_close_on_finish(self):
-        """Close only if the client asks, or if nothing marks the end."""
+        """Close unless the reply is chunked and the client keeps alive."""
         asked = self.request.headers.get('CONNECTION', '').lower() == 'close'
         if self.chunked_response and not asked:
             return
         super().set_close_on_finish()
 
     def write(self, data):
-        """Send the head and the first piece together."""
+        """Send the head together with the first part of the body."""
         if self.wrote_header or not data:
             super().write(data)
             return
@@ -41,10 +41,10 @@
     task_class = Task
 
     def write_soon(self, data):
-        """Send at once what the socket takes; buffer only the rest.
+        """Send what the socket accepts at once; buffer only the rest.
 
-        Buffered bytes make the loop's thread poll for a socket that this
-        thread is about to write to, again and again until it has done so.
+        While bytes are buffered, the event loop thread polls the socket in a
+        busy loop until this thread has written to it.
         """
         if not isinstance(data, bytes):
             return super().write_soon(data)
@@ -59,7 +59,7 @@
 
 
 class _BufferingChannel:
-    """Collects what a task writes."""
+    """Buffers what a task writes."""
 
     def __init__(self, channel):
         self.server = channel.server
--- a/catkinshunt/httpio/_client.py
+++ b/catkinshunt/httpio/_client.py
@@ -1,4 +1,4 @@
-"""HTTP client over `http.client` with kept connections."""
+"""HTTP client on `http.client` with a connection pool."""
 
 import collections
 import contextlib
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Address:
-    """Host and port of a listening process.
+    """Host and port of a server.
 
     Examples:
         >>> str(Address.parse('127.0.0.1:80'))
@@ -29,7 +29,7 @@
 
     @classmethod
     def parse(cls, text):
-        """Read ``host:port``.
+        """Parse ``host:port``.
 
         Raises:
             ValueError: `text` is not of that form.
@@ -45,12 +45,12 @@
 
 @attrs.frozen
 class Reply:
-    """A whole HTTP reply.
+    """A complete HTTP reply.
 
     Attributes:
         status: HTTP status code.
-        headers: message headers, looked up without regard to case.
-        body: the whole body.
+        headers: message headers with case-insensitive lookup.
+        body: the complete body.
     """
 
     status: int
@@ -59,7 +59,7 @@
 
 
 class _Connection(http.client.HTTPConnection):
-    """A connection without Nagle's delay; small messages leave at once."""
+    """A connection with TCP_NODELAY; small messages are not delayed."""
 
     def connect(self):
         super().connect()
@@ -67,11 +67,12 @@
 
 
 class ConnectionPool:
-    """Keeps idle connections by peer.
+    """Pools idle connections by peer.
 
-    A connection goes back only when its exchange has been read to the end.
-    Otherwise a late answer could be read as the answer to the next request
-    on that connection, and a caller would get somebody else's answer.
+    A connection may be released only when its reply has been read
+    completely. Otherwise a late reply could be read as the reply to the next
+    request on that connection, and a caller would get another caller's
+    reply.
     """
 
     def __init__(self, timeout_s=DEFAULT_TIMEOUT_S):
@@ -80,13 +81,13 @@
         self._lock = threading.Lock()
 
     def acquire(self, address, timeout_s=None, fresh=False):
-        """Return a connection and whether it was used before.
+        """Return a connection and whether it is a reused one.
 
         Args:
             address: `Address` of the peer.
-            timeout_s: longest wait for each step on the connection.
-            fresh: return a new one, so that a request lost because the peer
-                had closed a kept one cannot happen.
+            timeout_s: socket timeout in seconds.
+            fresh: return a new one, so that no request is lost because the
+                peer closed an idle connection.
         """
         timeout_s = timeout_s or self.timeout_s
         conn = None if fresh else self._pop_idle(address)
@@ -104,12 +105,12 @@
                 conn = idle.pop() if idle else None
             if conn is None or not _is_readable(conn.sock):
                 return conn
-            # The peer has closed it, or sent what nobody asked for; a
-            # request on it would be lost or get a wrong answer.
+            # The peer closed it or sent unexpected data; a request on it
+            # would be lost or get the wrong reply.
             conn.close()
 
     def release(self, address, conn):
-        """Keep `conn`, whose exchange is complete, for a later request."""
+        """Return `conn`, whose reply was read completely, to the pool."""
         if conn.sock is None:
             return
         with self._lock:
@@ -136,11 +137,13 @@
 def exchange(
     address, method, path, body=None, headers=None, timeout_s=DEFAULT_TIMEOUT_S
 ):
-    """Send one request on a connection of its own; return its `Reply`.
+    """Send one request on a new connection; return its `Reply`.
 
     Raises:
-        errors.RefusedError: the connection could not be made; not run.
-        errors.OutcomeUnknownError: it was sent, and no whole reply came.
+        errors.RefusedError: the connection could not be opened; the request
+            was not executed.
+        errors.OutcomeUnknownError: the request was sent, but no complete
+            reply arrived.
     """
     conn = _Connection(address.host, address.port, timeout=timeout_s)
     with contextlib.closing(conn):
@@ -156,5 +159,7 @@
             return Reply(resp.status, resp.headers, resp.read())
         except (OSError, http.client.HTTPException) as exc:
             raise errors.OutcomeUnknownError(
-                f'no whole reply: {exc!r}', step='exchange', peer=str(address)
+                f'incomplete reply: {exc!r}',
+                step='exchange',
+                peer=str(address),
             ) from exc
--- a/catkinshunt/httpio/_errors.py
+++ b/catkinshunt/httpio/_errors.py
@@ -1,14 +1,14 @@
-"""Reads the JSON errors that our processes send each other."""
+"""Decodes the JSON errors that processes of the system return."""
 
 from catkinshunt import checks
 from catkinshunt import errors
 
 
 def read_error(body, peer):
-    """Return the `errors.RequestError` that a reply's body tells of.
+    """Return the `errors.RequestError` that a reply body describes.
 
     Args:
-        body: the whole body.
+        body: the complete body.
         peer: address of the sender.
 
     Examples:
@@ -32,7 +32,7 @@
 
 
 def _find_error_class(code, ran):
-    """Return the class for a code; its `ran` must be the one given."""
+    """Return the error class with this `code` and `ran`."""
     kinds = [errors.RequestError]
     while kinds:
         kind = kinds.pop()
--- a/catkinshunt/httpio/_server.py
+++ b/catkinshunt/httpio/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server by waitress, run in a thread of its own."""
+"""HTTP server on waitress, run in a background thread."""
 
 import threading
 import time
@@ -8,14 +8,14 @@
 from catkinshunt import base
 from catkinshunt.httpio import _channel
 
-#: Largest request body taken; also keeps bodies out of temporary files.
+#: Maximum size of a request body; also keeps bodies out of temporary files.
 MAX_BODY_BYTES = 8 * 1024 * 1024
-#: Bytes that may wait for a slow reader before its writer is held up.
+#: Bytes that may be buffered for a slow reader before writes block.
 OUTPUT_HIGH_WATERMARK_BYTES = 4 * 1024 * 1024
-#: Above any buffered amount: waitress would spill to a file, and instances
-#: have no disks.
+#: Larger than any buffer: above this size waitress buffers in a file, and
+#: instances have no disks.
 NO_OVERFLOW_BYTES = 1 << 40
-#: Seconds for which the loop waits until it has been woken.
+#: Longest wait of the event loop until the trigger has been pulled.
 _TRIGGER_WAIT_S = 1.0
 _JOIN_PERIOD_S = 0.02
 
@@ -26,9 +26,9 @@
     Args:
         app: the WSGI application.
         host: address to listen on.
-        port: port to listen on; 0 takes a free one.
-        threads: requests served at a time.
-        max_body_bytes: larger bodies are refused with status 413.
+        port: port to listen on; 0 selects a free one.
+        threads: number of requests served concurrently.
+        max_body_bytes: larger bodies are rejected with status 413.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
             port=self.port,
             threads=self.threads,
             ident=None,
-            # Each streamed piece leaves at once.
+            # Sends each streamed piece at once.
             send_bytes=1,
             channel_request_lookahead=1,
             max_request_body_size=self.max_body_bytes,
@@ -75,12 +75,12 @@
         return self
 
     def join(self, timeout_s):
-        """Wait until no request is in progress and all answers are sent.
+        """Wait until no request is in progress and all replies are sent.
 
-        The application should refuse new requests by then.
+        The application should reject new requests before this is called.
 
         Returns:
-            Whether that came about within `timeout_s`.
+            Whether this was reached within `timeout_s` seconds.
         """
         deadline = time.monotonic() + timeout_s
         pause = threading.Event()
@@ -94,26 +94,26 @@
         if self._server is None:
             return False
         channels = list(self._server.active_channels.values())
-        # An answer is handed over whole before its last bytes are sent; to
-        # close then would cut it off.
+        # A reply is buffered completely before its last bytes are sent;
+        # closing the channel then would truncate it.
         return any(
             channel.requests or channel.total_outbufs_len
             for channel in channels
         )
 
     def stop(self):
-        """Stop listening and end the serving threads."""
+        """Stop listening and end the server threads."""
         if self._server is None:
             return
         server, self._server = self._server, None
         server.task_dispatcher.shutdown(cancel_pending=True, timeout=1)
-        # The loop thread owns the sockets; closing them from here would
-        # leave it polling until its time-out.
+        # The loop thread owns the sockets; if they were closed here, it would
+        # poll until its timeout.
         triggered = threading.Event()
 
         def close():
-            # A task that ends can wake the loop before the trigger is pulled
-            # here, which would then write to a closed descriptor.
+            # A finished task can wake the loop before the trigger is pulled
+            # below, which would then write to a closed descriptor.
             triggered.wait(_TRIGGER_WAIT_S)
             _close(server)
 
--- a/catkinshunt/httpio/_wsgi.py
+++ b/catkinshunt/httpio/_wsgi.py
@@ -1,4 +1,4 @@
-"""Small helpers for WSGI applications."""
+"""Helpers for WSGI applications."""
 
 import http
 import json
@@ -10,18 +10,18 @@
 from catkinshunt import errors
 
 _JSON_CONTENT_TYPE = 'application/json'
-#: Characters of a path, and of a query, that need no escape.
+#: Characters of a path, and of a query, that are not escaped.
 _PATH_CHARS = "/:@!$&'()*+,;=~-._"
 _QUERY_CHARS = _PATH_CHARS + '?%[]{}|^`"\\<>'
 
 
 @attrs.frozen
 class Response:
-    """What a handler answers with.
+    """Response of a WSGI handler.
 
     Attributes:
         status: HTTP status code.
-        body: an iterable of bytes; a stream ends when it does.
+        body: an iterable of bytes; a streamed response ends with it.
         headers: pairs of name and value.
     """
 
@@ -31,18 +31,18 @@
 
     @classmethod
     def of_json(cls, status, value, headers=()):
-        """Make a response whose body is `value` as JSON."""
+        """Return a response whose body is `value` as JSON."""
         body = json.dumps(value).encode()
         length = ('Content-Length', str(len(body)))
         kind = ('Content-Type', _JSON_CONTENT_TYPE)
         return cls(status, [body], (length, kind, *headers))
 
     def with_headers(self, *pairs):
-        """Return the same response with more headers."""
+        """Return a copy of the response with additional headers."""
         return attrs.evolve(self, headers=(*self.headers, *pairs))
 
     def send(self, start_response):
-        """Begin the response and return its body."""
+        """Call `start_response` and return the body."""
         try:
             phrase = http.HTTPStatus(self.status).phrase
         except ValueError:
@@ -52,12 +52,12 @@
 
 
 def error_response(exc, request_id='', headers=()):
-    """Return the JSON response that tells a caller of `exc`.
+    """Return the JSON response that reports `exc` to the caller.
 
     Args:
         exc: an `errors.RequestError`.
-        request_id: id of the request, so that logs can be found.
-        headers: further pairs of name and value.
+        request_id: id of the request, for finding its log lines.
+        headers: additional pairs of name and value.
     """
     extra = list(headers)
     if exc.retry_after_s is not None:
@@ -75,18 +75,18 @@
 
 
 def make_target(path, query=''):
-    """Return the request target for a path that the server has decoded.
+    """Return the request target for a path that the server decoded.
 
     Args:
         path: decoded path, each character one byte.
-        query: query as it came, or empty.
+        query: query string as received, or empty.
 
     Examples:
         >>> make_target('/a b\\r\\n', 'q=1')
         '/a%20b%0D%0A?q=1'
     """
-    # A blank or a line end in the path would end the request line, and the
-    # next process would read the rest as a header or as another request.
+    # A space or line break in the path would end the request line, and the
+    # next process would parse the rest as a header or as another request.
     target = urllib.parse.quote(path.encode('latin-1'), _PATH_CHARS)
     if query:
         escaped = urllib.parse.quote(query.encode('latin-1'), _QUERY_CHARS)
@@ -95,20 +95,22 @@
 
 
 def read_body(environ):
-    """Return the request's whole body.
+    """Return the complete request body.
 
     Raises:
-        errors.InvalidRequestError: the body ended before its length.
+        errors.InvalidRequestError: the body is shorter than its length.
     """
     length = int(environ.get('CONTENT_LENGTH') or 0)
     body = environ['wsgi.input'].read(length)
     if len(body) != length:
-        raise errors.InvalidRequestError('body cut short', step='read')
+        raise errors.InvalidRequestError(
+            'request body is truncated', step='read'
+        )
     return body
 
 
 def read_header(environ, name):
-    """Return a request's header, or an empty text.
+    """Return a request header, or an empty string.
 
     Examples:
         >>> read_header({'HTTP_IDEMPOTENCY_KEY': 'k'}, 'Idempotency-Key')
--- a/catkinshunt/httpio/headers.py
+++ b/catkinshunt/httpio/headers.py
@@ -1,30 +1,31 @@
-"""Names of the HTTP headers that callers and our processes use."""
+"""Names of the HTTP headers of callers and of the system."""
 
 import urllib.parse
 
-#: Given by the caller; who the request is for.
+#: Set by the caller; the account of the request.
 ACCOUNT = 'Catkinshunt-Account'
-#: Given by the caller; one key for all tries of one operation.
+#: Set by the caller; one key for all retries of one operation.
 IDEMPOTENCY_KEY = 'Idempotency-Key'
-#: Milliseconds left to the deadline when the message was sent.
+#: Milliseconds left until the deadline when the message was sent.
 DEADLINE_MS = 'Catkinshunt-Deadline-Ms'
-#: One id for a request over all processes, echoed in each reply.
+#: Id of a request, the same in all processes; echoed in each reply.
 REQUEST_ID = 'Catkinshunt-Request-Id'
-#: One id for each try of a request at an upstream.
+#: Id of one attempt of a request at an upstream.
 ATTEMPT_ID = 'Catkinshunt-Attempt-Id'
 #: Seconds since the epoch after which the attempt must not be dispatched;
-#: given with attempts at requests that are not idempotent.
+#: set for requests that are not idempotent.
 NOT_AFTER = 'Catkinshunt-Not-After'
-#: One id for each exchange between our processes, echoed in the reply; a
-#: reply without it is not the answer to this request.
+#: Id of one exchange between processes of the system, echoed in the reply;
+#: a reply without it does not belong to this request.
 EXCHANGE_ID = 'Catkinshunt-Exchange-Id'
-#: Marks a reply that the sending process itself made of an error; its code.
+#: Code of an error that the sending process itself reports.
 ERROR = 'Catkinshunt-Error'
-#: Share of the request's account when accounts compete.
+#: Weight of the request's account when accounts compete.
 WEIGHT = 'Catkinshunt-Weight'
-#: Priority in the engine's queue; higher goes first.
+#: Priority in the engine's queue; higher values go first.
 PRIORITY = 'Catkinshunt-Priority'
-#: Model versions served by the replying sidecar: model/version, by commas.
+#: Model versions served by the replying sidecar: model/version, separated
+#: by commas.
 SERVED = 'Catkinshunt-Served'
 #: The model and version that the request was routed for.
 MODEL = 'Catkinshunt-Model'
@@ -35,17 +36,17 @@
 STATE = 'Catkinshunt-State'
 #: Requests in flight and queued at the replying sidecar.
 LOAD = 'Catkinshunt-Load'
-#: The deployment's key; only our own processes hold it.
+#: Shared key of the processes of a deployment.
 DEPLOYMENT_KEY = 'Catkinshunt-Key'
-#: The model version an engine answered from.
+#: The model version that an engine replied with.
 ENGINE_MODEL_VERSION = 'Model-Version'
 
 
 def encode_text(text):
-    """Return `text` as a header value may hold it.
+    """Return `text` escaped for a header value.
 
-    Headers carry Latin-1 only, and operators name models in any language;
-    separators of lists are escaped too.
+    Headers are limited to Latin-1, and operators name models in any
+    language. List separators are escaped too.
 
     Examples:
         >>> encode_text('a/b,c')
@@ -57,5 +58,5 @@
 
 
 def decode_text(value):
-    """Return the text that `encode_text` put in a header."""
+    """Return the text that `encode_text` escaped."""
     return urllib.parse.unquote(value)
--- a/catkinshunt/httpio/tests/test_pieces.py
+++ b/catkinshunt/httpio/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Tests of reading a body as it comes."""
+"""Tests of reading a streamed body."""
 
 import http.client
 import socket
@@ -29,11 +29,11 @@
 
 
 @pytest.mark.parametrize('cut', [0, 1])
-def test_piece_is_not_held_back_for_the_next(ends, cut):
-    """The next piece is slow, or only its first bytes have come.
+def test_piece_is_not_delayed_until_the_next(ends, cut):
+    """The next piece is slow, or only its first bytes have arrived.
 
-    A caller would get each piece one piece late, and the first one of an
-    answer late by the time between tokens.
+    Waiting for it would delay every piece by one, and the first piece of a
+    reply by the time between tokens.
     """
     near, far = ends
     later = chunk(b'two') + b'0\r\n\r\n'
@@ -44,14 +44,14 @@
     assert b''.join(pieces) == b'two'
 
 
-def test_pieces_that_have_come_are_joined(ends):
+def test_buffered_pieces_are_joined(ends):
     near, far = ends
     far.sendall(HEAD + chunk(b'one') + chunk(b'two') + b'0\r\n\r\n')
     assert list(begin(near)) == [b'onetwo']
 
 
-def test_what_came_before_a_break_is_handed_on(ends):
-    """A process dies after two pieces that came together."""
+def test_data_before_a_truncation_is_yielded(ends):
+    """A process crashes after two pieces that arrived together."""
     near, far = ends
     far.sendall(HEAD + chunk(b'one') + chunk(b'two') + b'5\r\nth')
     far.close()
--- a/catkinshunt/httpio/tests/test_server.py
+++ b/catkinshunt/httpio/tests/test_server.py
@@ -2,7 +2,7 @@
 
 from catkinshunt import httpio
 
-#: Seconds that the loop is given to run what it was woken for.
+#: Seconds for the loop to run what it was woken for.
 LOOP_S = 0.2
 
 
@@ -11,8 +11,11 @@
     return [b'']
 
 
-def test_a_stop_does_not_meet_a_loop_that_was_woken_by_another(monkeypatch):
-    """A task that ends as the server stops wakes its loop first."""
+def test_stop_while_a_task_wakes_the_loop(monkeypatch):
+    """A task that ends while the server stops wakes the loop first.
+
+    The loop must not close the trigger before `stop` has written to it.
+    """
     server = httpio.HttpServer(answer).start()
     trigger = server._server.trigger
     pull = trigger._physical_pull
