--- a/catkinshunt/kvstore/__init__.py
+++ b/catkinshunt/kvstore/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value service."""
+"""Client for the key-value service of the platform."""
 
 from catkinshunt.kvstore._http import HttpKeyValueStore
 from catkinshunt.kvstore.base import BaseKeyValueStore
--- a/catkinshunt/kvstore/_http.py
+++ b/catkinshunt/kvstore/_http.py
@@ -1,4 +1,4 @@
-"""The key-value service over HTTP."""
+"""HTTP client for the key-value service."""
 
 import json
 import urllib.parse
@@ -8,18 +8,18 @@
 from catkinshunt import httpio
 from catkinshunt.kvstore import base as kv_base
 
-#: Added to a watch's own time before the connection is given up.
+#: Added to the timeout of a watch for the timeout of its connection.
 WATCH_MARGIN_S = 2.0
 _REVISION_HEADER = 'Revision'
 _STATUS_NOT_APPLIED = 503
 
 
 class HttpKeyValueStore(kv_base.BaseKeyValueStore, base.ParamsMixin):
-    """Speaks to the service with one connection per call.
+    """HTTP client that opens one connection per call.
 
     Args:
         address: `httpio.Address` of the service.
-        timeout_s: seconds after which a call is given up.
+        timeout_s: timeout of a call in seconds.
     """
 
     def __init__(self, address, timeout_s=2.0):
@@ -68,7 +68,7 @@
         return json.loads(reply.body)['lease']
 
     def renew_lease(self, lease):
-        """Extend `lease` by its whole time."""
+        """Extend `lease` by its full duration."""
         reply = self._call('POST', f'/leases/{lease}/renew')
         _check_conflict(reply, f'lease {lease}')
 
@@ -87,21 +87,21 @@
                 exc.message, step='connect', peer=peer
             ) from exc
         except errors.OutcomeUnknownError as exc:
-            # The write may be in force although its answer was lost. A
-            # reader has nothing to undo, so only a writer is told so.
+            # The write may be in force although its reply was lost. A read
+            # changes nothing, so its failure is reported as unavailable.
             lost = errors.StoreUnknownError
             if read_only:
                 lost = errors.StoreUnavailableError
             raise lost(exc.message, step=method, peer=peer) from exc
         if reply.status >= 500:
-            # Only 503 says that nothing was done; after any other failure
+            # Only 503 means that nothing was written; after any other failure
             # the write may be in force.
             outcome_known = read_only or reply.status == _STATUS_NOT_APPLIED
             kind = errors.StoreUnavailableError
             if not outcome_known:
                 kind = errors.StoreUnknownError
             raise kind(
-                f'the key-value service answered {reply.status}',
+                f'the key-value service replied with status {reply.status}',
                 step=method,
                 peer=peer,
             )
@@ -120,10 +120,10 @@
 
 
 def _read_revision(reply, kind):
-    """Return the reply's revision; raise `kind` where it has none."""
+    """Return the revision of the reply; raise `kind` if it has none."""
     text = reply.headers.get(_REVISION_HEADER, '')
     if reply.status != 200 or not text.isdigit():
-        # Something else answers at the address, a proxy for instance.
+        # Another server replies at this address, such as a proxy.
         raise kind(f'status {reply.status}, no revision', step='read-reply')
     return int(text)
 
--- a/catkinshunt/kvstore/base.py
+++ b/catkinshunt/kvstore/base.py
@@ -1,20 +1,20 @@
-"""What the system asks of the platform's key-value service."""
+"""Interface of the platform's key-value service."""
 
 import abc
 
 import attrs
 
-#: `expected_revision` of a key that must not exist yet.
+#: `expected_revision` for a key that must not exist yet.
 ABSENT = 0
 
 
 @attrs.frozen
 class Entry:
-    """A value with the service's revision of it.
+    """A value and its revision.
 
     Attributes:
-        value: the stored bytes, at most a megabyte.
-        revision: grows with each write to the key.
+        value: the stored bytes, at most one megabyte.
+        revision: increases with each write to the key.
     """
 
     value: bytes
@@ -24,9 +24,9 @@
 class BaseKeyValueStore(abc.ABC):
     """Compare-and-swap, leases and watches.
 
-    All calls raise `errors.StoreUnavailableError` where the service was not
-    reached, and writes raise `errors.StoreUnknownError` where the answer was
-    lost, since the write may have taken effect.
+    All calls raise `errors.StoreUnavailableError` if the service cannot be
+    reached. Writes raise `errors.StoreUnknownError` if the reply was lost,
+    since the write may have taken effect.
     """
 
     @abc.abstractmethod
@@ -40,8 +40,9 @@
         Args:
             key: the key.
             value: bytes to store.
-            expected_revision: revision last read; `ABSENT` to create.
-            lease: id of a lease; the key goes when the lease lapses.
+            expected_revision: revision last read; `ABSENT` to create the
+                key.
+            lease: id of a lease; the key is deleted when it expires.
 
         Returns:
             The new revision.
@@ -72,8 +73,8 @@
 
     @abc.abstractmethod
     def renew_lease(self, lease):
-        """Extend `lease` by its whole time.
+        """Extend `lease` by its full duration.
 
         Raises:
-            errors.ConflictError: the lease has lapsed.
+            errors.ConflictError: the lease has expired.
         """
--- a/catkinshunt/kvstore/tests/test_http.py
+++ b/catkinshunt/kvstore/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the client of the key-value service."""
+"""Tests of the client for the key-value service."""
 
 import pytest
 
@@ -36,10 +36,11 @@
     assert store.watch('rules', revision, 0.01) is None
 
 
-def test_lost_answer_is_told_as_unknown(store, service):
-    """The service stores the value and its answer is lost on the way.
+def test_lost_reply_is_reported_as_unknown(store, service):
+    """The service stores the value, but its reply is lost.
 
-    A writer told "failed" would write again over somebody else's edit.
+    If this were reported as a failure, the writer would write again and
+    could overwrite another edit.
     """
     service.faults = key_value.Faults(lose_answers=1)
     with pytest.raises(errors.StoreUnknownError):
@@ -47,25 +48,25 @@
     assert store.get('rules').value == b'a'
 
 
-def test_outage_is_told_as_not_done(store, service):
-    """The service is down, and the operator's edit must not seem accepted."""
+def test_outage_is_reported_as_unavailable(store, service):
+    """The service is down; an edit must not be reported as accepted."""
     service.faults = key_value.Faults(down=True)
     with pytest.raises(errors.StoreUnavailableError):
         store.put('rules', b'a', 0)
 
 
-def test_key_of_a_lapsed_lease_is_gone(store):
+def test_expired_lease_cannot_be_renewed(store):
     lease = store.grant_lease(0.000001)
     with pytest.raises(errors.ConflictError):
         store.renew_lease(lease)
 
 
 @pytest.mark.parametrize('status', [200, 302, 404])
-def test_an_answer_of_another_server_is_an_error(status):
-    """Another server answers at the address, for instance a proxy.
+def test_a_reply_of_another_server_is_an_error(status):
+    """Another server replies at the address, such as a proxy.
 
-    Reading its reply as the service's ended the thread that watched, and
-    new revisions came no more.
+    Its reply, taken for one of the service, ended the thread of the watch,
+    and no further revisions were received.
     """
 
     def app(environ, start_response):
