--- a/catkinshunt/logs/__init__.py
+++ b/catkinshunt/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Log lines: short sentences with a fixed prefix for each part."""
+"""Logging: short sentences with a fixed prefix per component."""
 
 from catkinshunt.logs._configure import configure
 from catkinshunt.logs._logger import get_logger
--- a/catkinshunt/logs/_configure.py
+++ b/catkinshunt/logs/_configure.py
@@ -1,4 +1,4 @@
-"""Where log lines go, and what they look like."""
+"""Configures the destination and format of log lines."""
 
 import functools
 import json
@@ -10,18 +10,18 @@
 
 from catkinshunt.logs import _libraries
 
-#: Longer messages are cut; a caller's text may have got into one.
+#: Longer messages are truncated; a message may contain text of a caller.
 MAX_MESSAGE_CHARS = 2000
 _REDACTED = '(hidden)'
-#: Severity from which lines are always written; they are few.
+#: Lines of this severity or above are few and always written.
 _WARNING_LEVEL = 30
-#: Fields that would carry a caller's words or a key. They are never
-#: written, whoever passes them.
+#: Fields that could contain a caller's text or a key; their values are never
+#: written.
 _REDACTED_FIELDS = frozenset(
     ['prompt', 'body', 'text', 'payload', 'deployment_key']
 )
 _FIXED_FIELDS = frozenset(['prefix', 'request_id'])
-#: A line break in a value from outside would forge a log line.
+#: Line breaks in untrusted values would allow forged log lines.
 _ESCAPES = {code: f'\\x{code:02x}' for code in (*range(32), 127)}
 _ESCAPES |= {code: f'\\u{code:04x}' for code in (0x85, 0x2028, 0x2029)}
 
@@ -29,14 +29,15 @@
 def configure(
     log_format='plain', level='INFO', secrets=(), stream=None, budget=None
 ):
-    """Send the lines of all loggers to one stream.
+    """Write the lines of all loggers to one stream.
 
     Args:
         log_format: ``'plain'``, or ``'json'`` for one object a line.
         level: name of the least severe level that is written.
-        secrets: texts that are replaced wherever they turn up.
+        secrets: strings that are redacted in every line.
         stream: a text stream; standard error if None.
-        budget: `LineRateLimiter` for lines below warnings; None for no bound.
+        budget: `LineRateLimiter` for lines below warnings; None for no
+            limit.
 
     Examples:
         >>> import sys
@@ -51,7 +52,7 @@
     secrets = tuple(filter(None, secrets))
     sink = _Sink(compose, secrets, stream or sys.stderr, budget)
     loguru.logger.remove()
-    # `diagnose` would write the values of variables, keys among them.
+    # `diagnose` would write the values of variables, including keys.
     loguru.logger.add(
         sink,
         level=level,
@@ -63,7 +64,7 @@
 
 
 def _message_only(_record):
-    """Keep the library from formatting what `_Sink` formats itself."""
+    """Return a minimal format, since `_Sink` formats the record."""
     return '{message}'
 
 
@@ -126,7 +127,7 @@
 
 
 def _time(record):
-    """Return the record's time in UTC, to the millisecond."""
+    """Return the time of the record in UTC with milliseconds."""
     stamp = record['time'].timestamp()
     whole = int(stamp)
     return f'{_date(whole)}.{int((stamp - whole) * 1000):03d}Z'
@@ -134,7 +135,7 @@
 
 @functools.lru_cache(maxsize=2)
 def _date(seconds):
-    """Return `seconds` as a date; all lines of a second share one."""
+    """Return `seconds` as date and time, cached for lines of a second."""
     return time.strftime('%Y-%m-%dT%H:%M:%S', time.gmtime(seconds))
 
 
@@ -152,7 +153,7 @@
 
 
 def _format_exception(exception):
-    """Return an exception and the places it passed, innermost first."""
+    """Return an exception with its traceback, innermost frame first."""
     frames = traceback.extract_tb(exception.traceback)[::-1]
     locations = ' < '.join(
         f'{frame.filename.rpartition("/")[2]}:{frame.lineno}'
--- a/catkinshunt/logs/_libraries.py
+++ b/catkinshunt/logs/_libraries.py
@@ -1,29 +1,29 @@
-"""Log lines of libraries, brought into the form of our own."""
+"""Forwards log records of libraries to the configured format."""
 
 import logging
 
 import loguru
 
-#: waitress warns of every request that waits for a thread; under a burst
-#: that is each one, and the sidecar's own queue says it already.
+#: waitress logs a warning for every request that waits for a thread. In a
+#: burst this is every request, and the sidecar already reports its queue.
 _SILENCED_LOGGERS = ('waitress.queue',)
 
 
 class _Bridge(logging.Handler):
-    """Passes the standard library's records on to loguru."""
+    """Forwards records of the standard library to loguru."""
 
     def emit(self, record):
-        """Write `record` with the library's name as its prefix."""
+        """Write `record` with the name of the library as prefix."""
         library = record.name.partition('.')[0]
         log = loguru.logger.bind(prefix=library).opt(exception=record.exc_info)
         log.log(record.levelname, '{}', record.getMessage())
 
 
 def bridge_libraries():
-    """Take over the lines that libraries write through `logging`.
+    """Forward records that libraries write through `logging`.
 
-    Without it they reach standard error in another form, and without the
-    replacement of keys.
+    Without this they are written to standard error in another format, and
+    keys are not redacted.
     """
     root = logging.getLogger()
     root.handlers = [_Bridge()]
--- a/catkinshunt/logs/_logger.py
+++ b/catkinshunt/logs/_logger.py
@@ -1,4 +1,4 @@
-"""Loggers bound to the prefix of one part of the system."""
+"""Loggers with the prefix of one component."""
 
 import loguru
 
@@ -7,15 +7,15 @@
     """Return a logger whose lines carry `prefix`.
 
     Args:
-        prefix: the part that speaks, such as ``'routing'``.
+        prefix: name of the component, such as ``'routing'``.
     """
     return loguru.logger.bind(prefix=prefix)
 
 
 def request(request_id):
-    """Return a context in which all lines of this thread name a request.
+    """Return a context that adds the request id to lines of this thread.
 
     Args:
-        request_id: the id that the request has in all processes.
+        request_id: id of the request, the same in all processes.
     """
     return loguru.logger.contextualize(request_id=request_id)
--- a/catkinshunt/logs/_outage.py
+++ b/catkinshunt/logs/_outage.py
@@ -1,16 +1,16 @@
-"""Tells of a lost dependency once, and once that it is back."""
+"""Logs the start and the end of an outage once each."""
 
 
 class OutageLogger:
-    """Writes one line when something is lost and one when it is back.
+    """Logs the loss of a dependency once, and its recovery once.
 
-    Calls fail by the dozen in an outage; a line for each would hide the
-    rest of the log.
+    Many calls fail in an outage; a line for each would hide the rest of the
+    log.
 
     Args:
-        log: logger of the part that depends on it.
-        lost: text of the line on the loss, with a place for the error.
-        back: text of the line on the return.
+        log: logger of the dependent component.
+        lost_text: message for the loss, with a placeholder for the error.
+        recovered_text: message for the recovery.
     """
 
     def __init__(self, log, lost_text, recovered_text):
@@ -20,13 +20,13 @@
         self._is_ongoing = False
 
     def begin(self, exc):
-        """Note that a call failed with `exc`."""
+        """Record that a call failed with `exc`."""
         if not self._is_ongoing:
             self._is_ongoing = True
             self.log.warning(self.lost_text, exc)
 
     def end(self, **fields):
-        """Note that a call went well; `fields` are added to the line."""
+        """Record a successful call; `fields` are added to the line."""
         if self._is_ongoing:
             self._is_ongoing = False
             self.log.info(self.recovered_text, **fields)
--- a/catkinshunt/logs/_rate_limit.py
+++ b/catkinshunt/logs/_rate_limit.py
@@ -1,4 +1,4 @@
-"""Keeps the volume of log lines bounded, and writes without blocking."""
+"""Rate limit for log lines, and a stream that does not block."""
 
 import collections
 import sys
@@ -6,24 +6,24 @@
 
 from catkinshunt import base
 
-#: Lines that wait for a slow reader; beyond them lines are left out. At 400
-#: bytes a line this holds less than a megabyte.
+#: Lines queued for a slow reader; further lines are dropped. At 400 bytes a
+#: line the queue takes less than a megabyte.
 MAX_QUEUED_LINES = 2000
-#: Lines a second that are written in the long run. One line of a request
-#: takes about 60 us of processor time, so this is 1.2 % of a core.
+#: Sustained rate of lines. One line takes about 60 us of processor time, so
+#: this is 1.2 % of a core.
 LINES_PER_S = 200.0
-#: Lines that may come at once beyond that rate.
+#: Lines allowed at once above that rate.
 BURST_LINES = 600.0
-#: Seconds for which lines are gathered before they are written together.
+#: Lines are collected for this long and written in one batch.
 BATCH_DELAY_S = 0.05
 
 
 class LineRateLimiter(base.ParamsMixin):
-    """Allows lines up to a rate, and counts those that are left out.
+    """Token bucket for log lines; counts dropped lines by kind.
 
     Args:
-        lines_per_s: lines a second in the long run.
-        burst: lines at once beyond that.
+        lines_per_s: sustained rate.
+        burst: capacity of the bucket in lines.
 
     Examples:
         >>> budget = LineRateLimiter(lines_per_s=1.0, burst=1.0)
@@ -41,7 +41,7 @@
         self._dropped = collections.Counter()
 
     def allow(self, kind, now):
-        """Return whether a line of this kind is written at `now`."""
+        """Return whether a line of this kind may be written at `now`."""
         if self._refilled_at is not None:
             refill = (now - self._refilled_at) * self.lines_per_s
             self._tokens = min(self.burst, self._tokens + refill)
@@ -53,24 +53,25 @@
         return False
 
     def count_dropped(self, kind):
-        """Count one line of this kind that is not written."""
+        """Count one dropped line of this kind."""
         self._dropped[kind] += 1
 
     def pop_dropped(self):
-        """Return the lines left out since the last call, by kind."""
+        """Return and reset the number of dropped lines by kind."""
         found = dict(self._dropped)
         self._dropped.clear()
         return found
 
 
 class BackgroundStream:
-    """A text stream whose writes never wait for the reader.
+    """A text stream whose writes never block.
 
-    A reader that stops reading would otherwise stop the process at its next
+    Otherwise a reader that stops reading would block the process at its next
     log line, and with it all requests.
 
     Args:
-        stream: the stream that is written to by a thread of its own.
+        stream: the stream that a background thread writes to; standard
+            output if None.
     """
 
     def __init__(self, stream=None):
@@ -85,7 +86,7 @@
         self._thread.start()
 
     def write(self, text):
-        """Hand over `text`, or leave it out where too much waits."""
+        """Enqueue `text`, or drop it if the queue is full."""
         if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped_lines += 1
             return
@@ -94,10 +95,10 @@
             self._has_lines.set()
 
     def flush(self):
-        """Do nothing; the thread flushes what it writes."""
+        """Do nothing; the background thread flushes."""
 
     def close(self, timeout_s=0.5):
-        """Write what waits, for at most `timeout_s` seconds."""
+        """Write queued lines, for at most `timeout_s` seconds."""
         self._closed = True
         self._has_lines.set()
         self._thread.join(timeout_s)
--- a/catkinshunt/logs/tests/test_logs.py
+++ b/catkinshunt/logs/tests/test_logs.py
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def written():
-    """Give a function that configures logs and one that reads the lines."""
+    """Return a function that configures logs and returns a line reader."""
     stream = io.StringIO()
 
     def start(log_format='plain', **params):
@@ -32,9 +32,9 @@
 
 @pytest.mark.parametrize('log_format', ['plain', 'json'])
 def test_key_and_prompt_are_not_written(written, log_format):
-    """An error from a library quotes the message that it failed on.
+    """An error of a library quotes the message that it failed on.
 
-    The line would show the deployment's key, or a caller's words, to
+    The line would expose the deployment key, or text of a caller, to
     everybody who reads logs.
     """
     lines = written(log_format, secrets=[KEY])
@@ -52,9 +52,9 @@
 
 @pytest.mark.parametrize('log_format', ['plain', 'json'])
 def test_line_break_cannot_forge_a_line(written, log_format):
-    """A caller puts a line break into a name that ends up in a line.
+    """A caller puts a line break into a name that is logged.
 
-    The reader of the log would take the rest for a line of the system.
+    The rest of the name would look like a log line of the system.
     """
     lines = written(log_format)
     log = logs.get_logger('entry')
@@ -99,10 +99,10 @@
     assert len(lines()[0]) < 2100
 
 
-def test_lines_of_libraries_take_our_form(written):
-    """waitress warns through the standard library's logging.
+def test_records_of_libraries_are_formatted_and_redacted(written):
+    """waitress logs warnings through the standard library.
 
-    Its lines would stand among ours in another form, with keys in them.
+    Its lines would be written in another format, with keys in them.
     """
     lines = written(secrets=[KEY])
     logging.getLogger('waitress').warning('Odd header %s', KEY)
--- a/catkinshunt/logs/tests/test_outage.py
+++ b/catkinshunt/logs/tests/test_outage.py
@@ -12,8 +12,8 @@
         self.lines.append((text, fields))
 
 
-def test_a_loss_and_a_return_are_told_once():
-    """Each of a dozen calls fails in an outage, and then all go well."""
+def test_loss_and_recovery_are_logged_once():
+    """Many calls fail in an outage; afterwards all succeed."""
     log = Log()
     outage = logs.OutageLogger(log, 'lost: {}', 'back')
     outage.end()
--- a/catkinshunt/logs/tests/test_bounded.py
+++ b/catkinshunt/logs/tests/test_rate_limit.py
@@ -6,7 +6,7 @@
 
 
 class StuckStream(io.StringIO):
-    """A stream whose reader has stopped reading."""
+    """A stream whose reader stopped reading."""
 
     def __init__(self):
         super().__init__()
@@ -19,11 +19,11 @@
         return super().write(text)
 
 
-def test_a_stuck_reader_costs_lines_and_no_time():
-    """Whoever reads the log stops reading.
+def test_a_blocked_reader_does_not_block_writes():
+    """The reader of the log stops reading.
 
-    The process must not wait for it at its next line, or all requests would
-    wait with it. Lines are left out, and it is said how many.
+    If the process blocked at its next line, all requests would wait. Lines
+    are dropped instead, and their number is logged.
     """
     stuck = StuckStream()
     stream = logs.BackgroundStream(stuck)
@@ -39,11 +39,11 @@
     assert json.loads(written[-1])['prefix'] == 'logs'
 
 
-def test_lines_under_load_are_bounded_and_counted():
-    """A burst of requests writes a line each.
+def test_lines_above_the_rate_are_dropped_and_counted():
+    """Each request of a burst logs a line.
 
-    Without a bound the lines would take the time that the requests need;
-    what is left out is counted by part and told with the next line.
+    Without a limit, logging would use the processor time that the requests
+    need. Dropped lines are counted by component.
     """
     budget = logs.LineRateLimiter(lines_per_s=10.0, burst=5.0)
     allowed = sum(
@@ -54,7 +54,7 @@
     assert budget.pop_dropped() == {}
 
 
-def test_the_count_of_left_out_lines_is_written():
+def test_the_number_of_dropped_lines_is_written():
     stream = io.StringIO()
     budget = logs.LineRateLimiter(lines_per_s=1e-9, burst=1.0)
     logs.configure('json', stream=stream, budget=budget)
