--- a/catkinshunt/metrics/__init__.py
+++ b/catkinshunt/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics, health and status of one process."""
+"""Metrics, health checks and status of one process."""
 
 from catkinshunt.metrics._exposition import expose
 from catkinshunt.metrics._instrumented import InstrumentedApp
--- a/catkinshunt/metrics/_client.py
+++ b/catkinshunt/metrics/_client.py
@@ -1,9 +1,8 @@
-"""Loads the library of the text format, without TLS where that is kept out.
+"""Imports ``prometheus_client``, also where ``ssl`` is blocked.
 
-The library names parts of TLS in its functions that push metrics elsewhere,
-which the product does not use. In a process that keeps ``ssl`` out for its
-memory (some 4 MB), names without function take their place while the
-library is loaded, and only then.
+The library refers to ``ssl`` in its functions that push metrics, which this
+project does not use. In a process that blocks the import of ``ssl`` to save
+memory (some 4 MB), placeholders replace it while the library is imported.
 """
 
 import contextlib
--- a/catkinshunt/metrics/_exposition.py
+++ b/catkinshunt/metrics/_exposition.py
@@ -1,4 +1,4 @@
-"""The text format that scrapers read."""
+"""The text format for scrapers."""
 
 from catkinshunt.metrics import _client
 from catkinshunt.metrics import _recorders
@@ -7,14 +7,14 @@
 
 
 def expose(registry, now):
-    """Return the content type and the text of all metrics.
+    """Return content type and text of all metrics.
 
-    The library is loaded at the first scrape: a process that nobody scrapes
-    does not pay for it. Its collectors of the process and the platform stay
-    out, since they read files at each scrape that node exporters read too.
+    The library is imported at the first scrape, so that a process without
+    scrapes saves its memory. Its process and platform collectors are not
+    registered, since node exporters already read the same files.
 
     Args:
-        registry: the `Registry` to show.
+        registry: the `Registry` to expose.
         now: seconds on the monotonic clock.
     """
     prometheus_client = _client.load()
@@ -25,14 +25,14 @@
 
 
 class _Collector:
-    """Hands our families to the library."""
+    """Converts the families of a `Registry` for the library."""
 
     def __init__(self, registry, now):
         self.registry = registry
         self.now = now
 
     def collect(self):
-        """Yield the library's families."""
+        """Yield metric families of the library."""
         for family in self.registry.report():
             source = family.source
             if isinstance(source, _recorders.Recorder):
--- a/catkinshunt/metrics/_instrumented.py
+++ b/catkinshunt/metrics/_instrumented.py
@@ -1,4 +1,4 @@
-"""Measures each request of a WSGI application."""
+"""Records status and duration of the requests of a WSGI application."""
 
 import time
 
@@ -6,10 +6,10 @@
 
 
 class InstrumentedApp(base.ParamsMixin):
-    """Passes requests to `app` and records status and duration.
+    """Forwards requests to `app` and records status and duration.
 
-    A streamed answer ends when its last piece has been handed over, so its
-    duration is taken then, not when it begins.
+    The duration of a streamed reply is recorded when its last piece has been
+    yielded, not when it begins.
 
     Args:
         app: the WSGI application.
@@ -41,8 +41,8 @@
 
         body = self.app(environ, record_status)
         if isinstance(body, (list, tuple)):
-            # Whole already: the server reads its length off a list and can
-            # keep the connection, which it can't do for other iterables.
+            # A list is returned unchanged: the server takes the length from
+            # it and can keep the connection alive.
             duration_s = time.monotonic() - begin
             self._first_bytes.observe(duration_s)
             self._durations.observe(duration_s)
@@ -50,7 +50,7 @@
         return self._measure(body, begin)
 
     def _measure(self, body, begin):
-        """Yield the pieces of `body`; record when it ends."""
+        """Yield the pieces of `body` and record its duration."""
         is_first = True
         try:
             for piece in body:
--- a/catkinshunt/metrics/_operator_app.py
+++ b/catkinshunt/metrics/_operator_app.py
@@ -1,4 +1,4 @@
-"""What operators and the balancer ask a process, on a port of its own."""
+"""Metrics, health checks and status on a separate port."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 def start_operator_server(cfg, registry, is_ready, status):
-    """Serve the operators' port of a process; returns the server.
+    """Start and return the server for the operator port of a process.
 
     Args:
         cfg: settings with ``host`` and ``operator_port``.
@@ -25,20 +25,19 @@
 
 
 class OperatorApp(base.ParamsMixin):
-    """A WSGI application for the operators' port.
+    """A WSGI application for the operator port.
 
-    ``/metrics`` is for scrapers. ``/health`` says that the process works;
-    ``/ready`` says that the balancer may send requests, and turns to 503 as
-    soon as a planned stop begins, before anything is refused. ``/status``
-    is a JSON object for ``catkinshunt status``.
+    ``/metrics`` is for scrapers. ``/health`` reports that the process works;
+    ``/ready`` reports that the load balancer may send requests, and returns
+    503 as soon as a planned stop begins, before any request is rejected.
+    ``/status`` is a JSON object for ``catkinshunt status``.
 
-    It stands on another port than callers use, so that no caller reads
-    metrics or status.
+    It has a separate port, so that callers cannot read metrics or status.
 
     Args:
         registry: the `Registry` of the process.
-        is_ready: function that returns whether requests may come.
-        status: function that returns what ``/status`` shows.
+        is_ready: function that returns whether requests are accepted.
+        status: function that returns the content of ``/status``.
     """
 
     def __init__(self, registry, is_ready, status):
--- a/catkinshunt/metrics/_recorders.py
+++ b/catkinshunt/metrics/_recorders.py
@@ -1,4 +1,4 @@
-"""Recorders of durations and counts, cheap enough for each request."""
+"""Recorders of durations and counts, cheap enough for every request."""
 
 import collections
 import threading
@@ -9,25 +9,25 @@
 from catkinshunt import base
 
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
-#: Two digits keep a recorder at about 26 kB and its error below 1 %.
+#: With two digits a recorder takes about 26 kB, and its error is below 1 %.
 _SIGNIFICANT_DIGITS = 2
 _US_PER_S = 1_000_000
 _MAX_DURATION_US = 3600 * _US_PER_S
-#: A label from outside, such as an account, could take any number of
-#: values; from here on they are counted together.
+#: Labels set by callers, such as an account, have an unbounded number of
+#: values; further values are counted as `OTHER_LABEL`.
 MAX_LABEL_SETS = 200
 OTHER_LABEL = 'other'
 
 
 @attrs.frozen
 class Summary:
-    """Durations seen, in seconds.
+    """Recorded durations in seconds.
 
     Attributes:
         count: number of durations since the start.
         sum_s: their sum.
-        quantiles: pairs of quantile and duration, over the last whole
-            window, or over the present one while it is the first.
+        quantiles: pairs of quantile and duration, over the last complete
+            window, or over the current one while it is the first.
     """
 
     count: int
@@ -39,7 +39,7 @@
     """Records durations in a histogram.
 
     Args:
-        window_s: seconds over which quantiles are taken.
+        window_s: duration of a window for quantiles, in seconds.
 
     Examples:
         >>> recorder = Recorder()
--- a/catkinshunt/metrics/_registry.py
+++ b/catkinshunt/metrics/_registry.py
@@ -1,4 +1,4 @@
-"""All recorders of one process, by name."""
+"""All metrics of one process by name."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class Family:
-    """One metric as scrapers see it.
+    """One metric as it is exposed to scrapers.
 
     Attributes:
         name: name with its unit, such as ``'request_duration_seconds'``.
@@ -25,7 +25,7 @@
 
 
 class Registry(base.ParamsMixin):
-    """Makes recorders and remembers them.
+    """Creates recorders and counters, and stores them by name.
 
     Examples:
         >>> registry = Registry()
@@ -38,20 +38,20 @@
         self._families = {}
 
     def recorder(self, name, documentation):
-        """Return the `Recorder` of this name."""
+        """Return the `Recorder` with this name; create it if missing."""
         return self._get(name, documentation, _recorders.Recorder())
 
     def counter(self, name, documentation, labels=()):
-        """Return the `Counter` of this name."""
+        """Return the `Counter` with this name; create it if missing."""
         counter = _recorders.Counter(labels)
         return self._get(name, documentation, counter, labels)
 
     def gauge(self, name, documentation, read, labels=()):
-        """Show what the function `read` returns at each scrape."""
+        """Add a gauge whose value the function `read` returns."""
         self._get(name, documentation, read, labels)
 
     def report(self):
-        """Return the `Family` objects in the order of their making."""
+        """Return the `Family` objects in order of creation."""
         return list(self._families.values())
 
     def _get(self, name, documentation, source, labels=()):
--- a/catkinshunt/metrics/tests/test_metrics.py
+++ b/catkinshunt/metrics/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of recorders and of what scrapers read."""
+"""Tests of recorders and of the text format for scrapers."""
 
 import concurrent.futures
 import json
@@ -15,7 +15,7 @@
 
 
 def samples(registry, now=0.0):
-    """Return what a scraper reads, by name and labels."""
+    """Return the values that a scraper reads, by name and labels."""
     _, text = metrics.expose(registry, now)
     return {
         (sample.name, tuple(sorted(sample.labels.items()))): sample.value
@@ -44,8 +44,8 @@
 def test_quantiles_follow_the_window():
     """A burst ends, and requests are fast again.
 
-    With quantiles since the start an operator would see the burst's slow
-    requests for days.
+    Quantiles since the start would include the slow requests of the burst
+    for days.
     """
     recorder = metrics.Recorder(window_s=60.0)
     recorder.report(now=0.0)
@@ -58,13 +58,13 @@
 
 
 @pytest.mark.parametrize('duration_s', [0.0, -1.0, 1e9])
-def test_odd_durations_are_kept_in_range(duration_s):
+def test_durations_out_of_range_are_clipped(duration_s):
     recorder = metrics.Recorder()
     recorder.observe(duration_s)
     assert recorder.report(now=0.0).count == 1
 
 
-def test_no_count_is_lost_among_threads():
+def test_counts_are_thread_safe():
     counter = metrics.Counter(('outcome',))
     recorder = metrics.Recorder()
 
@@ -79,11 +79,11 @@
     assert recorder.report(now=0.0).count == 2000
 
 
-def test_labels_from_outside_are_bounded():
-    """A caller sends each request under another account name.
+def test_number_of_label_values_is_bounded():
+    """A caller sends each request with another account name.
 
-    Each would be a series of its own, until the memory of the process is
-    used up.
+    Each name would create a series, until the memory of the process is
+    exhausted.
     """
     counter = metrics.Counter(('account',))
     for index in range(1000):
@@ -94,7 +94,7 @@
     assert counts[('other',)] == 800
 
 
-def test_pages_of_the_operators_port():
+def test_pages_of_the_operator_port():
     ready = [True]
     app = metrics.OperatorApp(
         metrics.Registry(), lambda: ready[0], lambda: {'name': 'entry-1'}
@@ -117,9 +117,9 @@
 
 
 def test_each_request_is_measured():
-    """An answer breaks off in the middle of its stream.
+    """A reply is truncated in the middle of its stream.
 
-    Counted by its status alone it would look as good as a whole one.
+    Its status alone would not distinguish it from a complete reply.
     """
 
     def pieces():
