--- a/catkinshunt/settings/__init__.py
+++ b/catkinshunt/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the processes, read from JSON with comments."""
+"""Settings of the processes, read from JSON5 files."""
 
 from catkinshunt.settings._fields import count
 from catkinshunt.settings._fields import make_field
--- a/catkinshunt/settings/_fields.py
+++ b/catkinshunt/settings/_fields.py
@@ -1,7 +1,7 @@
-"""Kinds of settings fields: what each allows, and its check.
+"""Types of settings fields with their checks.
 
-Each function makes an `attrs.field`. What is allowed is kept as text in the
-field's metadata, so that an error can say it.
+Each function returns an `attrs.field`. A text that describes the allowed
+values is stored in the field's metadata for error messages.
 """
 
 import attrs
@@ -12,17 +12,18 @@
 CHECK = 'check'
 SECRET = 'secret'  # noqa: S105
 MAX_PORT = 65535
-#: Shorter keys can be guessed by trying.
+#: Shorter keys can be found by brute force.
 MIN_SECRET_CHARS = 16
 
 
 def make_field(allowed, check=None, default=attrs.NOTHING, secret=False):
-    """Return a field whose errors say what is `allowed`.
+    """Return a field whose error messages contain `allowed`.
 
     Args:
-        allowed: text for the operator, such as ``'a number above 0'``.
+        allowed: description of the allowed values, such as
+            ``'a number above 0'``.
         check: function of the value that returns whether it is allowed.
-        default: value if the file leaves the field out.
+        default: value if the field is missing.
         secret: never show the value, neither in errors nor in ``repr``.
     """
     metadata = {ALLOWED: allowed, CHECK: check, SECRET: secret}
@@ -33,12 +34,12 @@
 
 
 def text(default=attrs.NOTHING):
-    """Return a field for a text that is not empty."""
+    """Return a field for a non-empty string."""
     return make_field('a text that is not empty', bool, default)
 
 
 def port(default=attrs.NOTHING):
-    """Return a field for a port; 0 takes a free one."""
+    """Return a field for a port; 0 selects a free one."""
     return make_field(
         f'a port from 0 to {MAX_PORT}',
         lambda value: 0 <= value <= MAX_PORT,
@@ -47,7 +48,7 @@
 
 
 def address(default=attrs.NOTHING):
-    """Return a field for the address of another process."""
+    """Return a field for an address as ``host:port``."""
     return make_field("'host:port'", _is_address, default)
 
 
@@ -67,7 +68,7 @@
 
 
 def positive_number(unit, default=attrs.NOTHING):
-    """Return a field for a number of `unit` above 0."""
+    """Return a field for a positive number of `unit`."""
     return make_field(
         f'a number of {unit} above 0',
         lambda value: value is None or value > 0,
@@ -76,7 +77,7 @@
 
 
 def count(minimum=1, maximum=100_000, default=attrs.NOTHING):
-    """Return a field for a whole number from `minimum` to `maximum`."""
+    """Return a field for an integer from `minimum` to `maximum`."""
     return make_field(
         f'a whole number from {minimum} to {maximum}',
         lambda value: minimum <= value <= maximum,
@@ -94,7 +95,7 @@
 
 
 def names():
-    """Return a field for a list of names, each not empty."""
+    """Return a field for a list of non-empty names."""
     return make_field('a list of names', all, [])
 
 
--- a/catkinshunt/settings/_load.py
+++ b/catkinshunt/settings/_load.py
@@ -1,7 +1,7 @@
-"""Reads JSON with comments into `attrs` classes, with all errors at once.
+"""Loads JSON5 into `attrs` classes and reports all errors at once.
 
-json5 reads the text and cattrs makes the classes; both are loaded when the
-first file is read, since they take memory that a process only needs then.
+json5 parses the text and cattrs creates the instances. Both are imported
+when the first file is read, since a process needs their memory only then.
 """
 
 import difflib
@@ -24,7 +24,7 @@
 
 
 class _InvalidValueError(ValueError):
-    """A value that its field does not allow."""
+    """A value that is not allowed for its field."""
 
     def __init__(self, given, allowed):
         super().__init__(allowed)
@@ -36,17 +36,17 @@
     """Return the settings in the file at `path` as an instance of `cls`.
 
     Raises:
-        errors.SettingsError: the file cannot be read or used; its
-            ``problems`` hold everything that is wrong.
+        errors.SettingsError: the file cannot be read or is invalid; its
+            ``problems`` attribute lists all problems.
     """
     return structure(load_document(path), cls, path)
 
 
 def load_document(path):
-    """Return what the file at `path` holds, unchecked.
+    """Return the parsed content of the file at `path`, unchecked.
 
     Raises:
-        errors.SettingsError: the file cannot be read, or is no JSON5.
+        errors.SettingsError: the file cannot be read or is not JSON5.
     """
     try:
         with open(path, encoding='utf-8') as file:
@@ -82,7 +82,7 @@
     import json5
 
     try:
-        # Of two fields with one name the last would win without a word.
+        # By default the last of two fields with one name is used silently.
         return json5.loads(content, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
         given = ' '.join(str(exc).split())
@@ -90,7 +90,7 @@
 
 
 def structure(raw, cls, path='(value)'):
-    """Return `raw`, as a JSON reader gives it, as an instance of `cls`.
+    """Return `raw`, a parsed JSON value, as an instance of `cls`.
 
     Raises:
         errors.SettingsError: as `load_settings`.
@@ -107,7 +107,7 @@
 
 
 def _check_consistency(value, path):
-    """Ask the settings themselves about fields that must fit together."""
+    """Run the check of the settings class across its fields, if any."""
     if not hasattr(value, 'check'):
         return
     problems = [
@@ -136,7 +136,7 @@
 
 
 def _strict_hook(cls, name):
-    """Return a hook that takes no other type: ``"5"`` is not a number."""
+    """Return a hook that accepts only `cls`: ``"5"`` is not a number."""
 
     def hook(value, _type):
         kinds = (int, float) if cls is float else cls
@@ -188,10 +188,9 @@
 
 
 def _check_container(value, type_):
-    """Refuse what is no list where a list is wanted.
+    """Reject a value that is not a list or object where one is expected.
 
-    A text can be walked through like a list, and would be taken as a list
-    of its characters.
+    A string is iterable and would be accepted as a list of its characters.
     """
     origin = getattr(type_, '__origin__', None)
     if origin in (list, tuple) and not isinstance(value, list):
--- a/catkinshunt/settings/_model.py
+++ b/catkinshunt/settings/_model.py
@@ -1,4 +1,4 @@
-"""Settings as `attrs` classes; units stand in the names."""
+"""Settings as `attrs` classes; names of fields contain the unit."""
 
 import attrs
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformSettings:
-    """Where the platform's services listen, each as ``host:port``.
+    """Addresses of the platform's services, each as ``host:port``.
 
     Attributes:
         key_value: the key-value service.
         instance_list: the list of live and leaving instances.
         origin: the origin of weights; empty for none.
         weight_store: the rate-limited weight store; empty for none.
-        instance_list_period_s: seconds between looks at the list.
+        instance_list_period_s: seconds between reads of the list.
     """
 
     key_value: str = _fields.address()
@@ -28,24 +28,24 @@
 
 @attrs.frozen(kw_only=True)
 class _ProcessSettings:
-    """Settings that both kinds of process have.
+    """Settings common to both roles.
 
     Attributes:
         name: name of the instance, as in the platform's list.
         region: region of the data centre.
         data_centre: data centre of the instance.
-        deployment_key: secret that only our own processes hold.
+        deployment_key: secret shared by the processes of the deployment.
         platform: where the platform's services listen.
         host: address to listen on.
-        port: port for requests; 0 takes a free one, which a sidecar beside
-            an engine may not.
+        port: port for requests; 0 selects a free one, which is not allowed
+            for the sidecar of an engine.
         control_port: port for the other processes of the system.
         operator_port: port for health and metrics.
-        threads: requests served at a time.
-        stop_timeout_s: longest wait of a planned stop for the requests in
-            progress.
+        threads: number of requests served concurrently.
+        stop_timeout_s: longest time that a planned stop waits for requests
+            in progress.
         log_format: ``plain`` or ``json``.
-        log_level: the least severe level that is written.
+        log_level: the lowest level that is written.
     """
 
     name: str = _fields.text()
@@ -80,10 +80,11 @@
 
     Attributes:
         shards: documents in the key-value service; see docs/design.
-        retention_s: how long a key is remembered.
-        answer_kept_s: how long a small answer is kept for repeats.
-        commit_timeout_s: longest wait for the key-value service.
-        writes_per_s: this entry's share of the service's writes.
+        retention_s: how long a key is stored.
+        answer_kept_s: how long a small answer is kept for repeated
+            requests.
+        commit_timeout_s: timeout for the key-value service.
+        writes_per_s: this entry's share of the write rate of the service.
     """
 
     shards: int = _fields.count(1, 65536, default=32)
@@ -98,7 +99,7 @@
     """Settings of an entry instance.
 
     Attributes:
-        default_deadline_s: deadline of a request that names none.
+        default_deadline_s: deadline of a request without one.
         claims: how requests with an idempotency key are recorded.
     """
 
@@ -108,14 +109,14 @@
 
 @attrs.frozen(kw_only=True)
 class SidecarSettings(_ProcessSettings):
-    """Settings of the process beside one upstream instance.
+    """Settings of a sidecar, the process beside one upstream.
 
     Attributes:
-        service: service that the upstream belongs to.
+        service: service of the upstream.
         upstream: address of the upstream, as ``host:port``.
         is_engine: whether the upstream is a model engine.
-        concurrency: requests given to the upstream at a time.
-        link_bytes_per_s: rate of the instance's network link.
+        concurrency: maximum number of concurrent requests to the upstream.
+        link_bytes_per_s: bandwidth of the instance's network link.
     """
 
     service: str = _fields.text()
@@ -133,23 +134,23 @@
             allowed = "'host:port', since is_engine is true"
             yield 'platform.origin', 'nothing', allowed
         if self.is_engine and not self.port:
-            # The bound port is what keeps a second process from giving the
-            # same engine orders; with a port each, both would run.
+            # Binding the port prevents a second process from sending orders
+            # to the same engine; with two ports both would run.
             yield 'port', '0', 'a fixed port, since is_engine is true'
 
 
 @attrs.frozen(kw_only=True)
 class OperatorSettings:
-    """Settings of the operators' commands.
+    """Settings of the operator commands.
 
     Attributes:
         platform: where the platform's services listen.
-        operator_port: port for health and metrics of every instance that
-            the platform's list gives no operators' address for.
-        services: names that rules may use; empty leaves them unchecked.
-        timeout_s: longest wait for one instance.
-        deployment_key: the deployment's key; with it an accepted edit is
-            handed to a few instances at once, and not only through the
+        operator_port: port for health and metrics of instances without an
+            operator address in the platform's list.
+        services: service names that rules may use; not checked if empty.
+        timeout_s: timeout for one instance.
+        deployment_key: key of the deployment; with it an accepted edit is
+            also sent to a few instances directly, not only through the
             key-value service.
     """
 
@@ -165,19 +166,19 @@
 
 
 def from_validated(role, value):
-    """Return the settings of a process from `attrs.asdict` of them.
+    """Return the settings of a process from their `attrs.asdict` form.
 
-    The values were checked when they were read from their file.
+    The values are not checked again; they were when the file was read.
 
     Args:
         role: ``'entry'`` or ``'sidecar'``.
-        value: the mapping.
+        value: the dictionary.
     """
     return _rebuild(ROLES[role], value)
 
 
 def _rebuild(cls, value):
-    """Return `value`, the mapping of an instance of `cls`, as one."""
+    """Return an instance of `cls` from `value`, its `asdict` form."""
     fields = dict(value)
     for field in attrs.fields(cls):
         if attrs.has(field.type) and isinstance(fields[field.name], dict):
--- a/catkinshunt/settings/_problem.py
+++ b/catkinshunt/settings/_problem.py
@@ -1,20 +1,20 @@
-"""One thing that is wrong in a settings file."""
+"""A problem in a settings file."""
 
 import attrs
 
-#: Longer values are cut in messages.
+#: Longer values are truncated in messages.
 MAX_SHOWN_CHARS = 60
 
 
 @attrs.frozen
 class Problem:
-    """What is wrong with one field.
+    """A problem with one field.
 
     Attributes:
         file: path of the settings file.
         field: path of the field in the file, such as ``'limits.queue'``.
-        given: what the file holds there, as text.
-        allowed: what may stand there, as text.
+        given: the value in the file, as text.
+        allowed: description of the allowed values.
 
     Examples:
         >>> print(Problem('entry.json5', 'port', "'x'", 'a port'))
@@ -34,7 +34,7 @@
 
 
 def format_value(value):
-    """Return `value` as a short text on one line."""
+    """Return the `repr` of `value`, truncated to one short line."""
     shown = repr(value)
     if len(shown) > MAX_SHOWN_CHARS:
         return shown[:MAX_SHOWN_CHARS] + '...'
--- a/catkinshunt/settings/tests/test_load.py
+++ b/catkinshunt/settings/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of reading settings."""
+"""Tests of loading settings."""
 
 import json
 
@@ -49,11 +49,10 @@
     )
 
 
-def test_all_errors_come_at_once():
+def test_all_errors_are_reported_at_once():
     """An operator mistypes several fields of one file.
 
-    If only the first were told, each would cost a restart, and the
-    operator would see a new error every time.
+    If only the first were reported, each one would cost a restart.
     """
     raw = {name: value for name, value in ENTRY.items() if name != 'region'}
     found = problems(
@@ -108,10 +107,10 @@
     'content',
     ['', '{', '[]', '3', '{name: 1, name: 2}', '{a: }', '[' * 10_000],
 )
-def test_text_that_is_no_object(content):
-    """A file is cut short or is something else altogether.
+def test_content_that_is_not_an_object(content):
+    """A file is truncated or has other content.
 
-    The operator sees one line that names the file, not a traceback.
+    The error is one line with the name of the file, not a traceback.
     """
     with pytest.raises(errors.SettingsError) as caught:
         settings.load_text(content, settings.EntrySettings, 'a.json5')
@@ -125,7 +124,7 @@
         settings.load_settings(path, settings.EntrySettings)
 
 
-def test_sidecar_fields_that_must_fit_together():
+def test_inconsistent_sidecar_fields():
     found = problems(
         settings.SidecarSettings,
         SIDECAR,
@@ -137,9 +136,9 @@
 
 
 def test_sidecar_of_an_engine_needs_a_fixed_port():
-    """Each process beside an engine takes whatever port is free.
+    """Sidecars with any free port can run twice beside one engine.
 
-    Two of them can run there at once, and both give the engine orders.
+    Both would then send orders to the engine.
     """
     platform = SIDECAR['platform'] | {'origin': '127.0.0.1:9002'}
     found = problems(
@@ -179,7 +178,7 @@
 @pytest.mark.parametrize(
     ('role', 'base'), [('entry', ENTRY), ('sidecar', SIDECAR)]
 )
-def test_checked_settings_are_handed_over_whole(role, base):
+def test_settings_survive_a_round_trip_as_json(role, base):
     cfg = read(settings.ROLES[role], base, threads=7)
     value = json.loads(json.dumps(attrs.asdict(cfg)))
     assert settings.from_validated(role, value) == cfg
