--- a/catkinshunt/cli/_action.py
+++ b/catkinshunt/cli/_action.py
@@ -1,11 +1,11 @@
-"""A command whose arguments are read, ready to act."""
+"""A command whose arguments are parsed, ready to run."""
 
 
 class Action:
-    """Keeps a function and its arguments until all is checked.
+    """Stores a function and its arguments until the command line is checked.
 
-    It has no public members but `act`, since fire offers those of a result
-    as further commands.
+    `act` is the only public member, since fire offers the public members of
+    a result as further commands.
     """
 
     def __init__(self, function, *args, **kwargs):
@@ -14,5 +14,5 @@
         self._kwargs = kwargs
 
     def act(self):
-        """Call the function; returns its exit code or None."""
+        """Call the function; return its exit code or None."""
         return self._function(*self._args, **self._kwargs)
--- a/catkinshunt/cli/_check.py
+++ b/catkinshunt/cli/_check.py
@@ -1,4 +1,4 @@
-"""Checks settings files; shows the version."""
+"""Checks settings files; prints the version."""
 
 import sys
 
@@ -16,9 +16,9 @@
 def check_settings(paths):
     """Check the files at `paths`; return the exit code.
 
-    What a file is for shows in its fields: a sidecar's names an upstream,
-    and an operators' file names no instance. Files of the users' platform
-    are TOML.
+    The kind of a file is derived from its fields: settings of a sidecar have
+    an upstream, and those of operators have no instance name. TOML files
+    belong to the users' platform.
     """
     paths = list(paths)
     if not paths:
@@ -39,10 +39,10 @@
 
 
 def _check_platform_file(path):
-    """Check a TOML file of the users' platform; return what it is for.
+    """Check a TOML file of the users' platform; return its kind.
 
-    The programs of the platform need a compiled parser, which the one-file
-    build cannot carry.
+    The platform adapter needs a compiled parser, which the one-file build
+    cannot contain.
     """
     try:
         from catkinshunt import platform
@@ -55,7 +55,7 @@
 
 
 def _kind(path):
-    """Return what the file at `path` is for, judged by its fields."""
+    """Return the kind of the file at `path`, derived from its fields."""
     document = settings.load_document(path)
     fields = document if isinstance(document, dict) else {}
     if 'upstream' in fields or 'is_engine' in fields:
@@ -64,5 +64,5 @@
 
 
 def version():
-    """Show the version."""
+    """Print the version."""
     print(f'catkinshunt {catkinshunt.__version__}')
--- a/catkinshunt/cli/_commands.py
+++ b/catkinshunt/cli/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of ``catkinshunt``; their texts are the help pages."""
+"""Commands of ``catkinshunt``; the docstrings are the help pages."""
 
 from catkinshunt.cli import _action
 from catkinshunt.cli import _check
--- a/catkinshunt/cli/_edit_push.py
+++ b/catkinshunt/cli/_edit_push.py
@@ -1,25 +1,26 @@
-"""Hands an accepted edit to a few instances from the operator's side."""
+"""Sends an accepted edit from the operator directly to a few instances."""
 
 from catkinshunt import errors
 from catkinshunt import httpio
 
 
 def announce(cfg, accepted):
-    """Offer the accepted configuration to a few listed instances.
+    """Send the accepted configuration to a few listed instances.
 
-    Without it an edit that the key-value service accepted right before an
-    outage would be in force only after the outage.
+    Without this, an edit that the key-value service accepted right before
+    an outage would take effect only after the outage.
 
     Args:
         cfg: `settings.OperatorSettings`.
         accepted: the `configuration.Configuration`.
 
     Returns:
-        How many instances took it; 0 without key or list.
+        Number of instances that accepted it; 0 without key or list.
     """
     if not cfg.deployment_key:
         return 0
-    # Only an edit needs the control channel; other commands start faster.
+    # Imported here, since only edits need the control channel, and other
+    # commands start faster without it.
     from catkinshunt import configuration
     from catkinshunt.dissemination import peering
     from catkinshunt import instances
--- a/catkinshunt/cli/_editing.py
+++ b/catkinshunt/cli/_editing.py
@@ -1,4 +1,4 @@
-"""What the ``rules`` commands do."""
+"""Implementation of the ``rules`` commands."""
 
 import json
 import sys
@@ -39,7 +39,7 @@
 
 
 def retire(path, name, revision, dry_run):
-    """Take the rule `name` away."""
+    """Remove the rule `name`."""
     _edit(_editor(path), dry_run, 'retire', name, _revision(revision))
 
 
@@ -53,7 +53,7 @@
 
 
 def _edit(editor, dry_run, verb, *args):
-    """Do one edit and print what came of it."""
+    """Apply one edit and print the result."""
     from catkinshunt import configuration
 
     before = editor.read() if dry_run else None
@@ -114,7 +114,7 @@
 
 
 def _editor(path):
-    """Return an editor of the rules in the key-value service."""
+    """Return an editor for the rules in the key-value service."""
     cfg = settings.load_settings(path, settings.OperatorSettings)
     from catkinshunt import configuration
     from catkinshunt import kvstore
--- a/catkinshunt/cli/_excluded_modules.py
+++ b/catkinshunt/cli/_excluded_modules.py
@@ -1,18 +1,19 @@
-"""Keeps modules out of a process that the process has no use for.
+"""Blocks the import of modules that a process does not use, to save memory.
 
-The platform ends TLS before an entry, and processes of a deployment talk in
-the clear, yet http.client, asyncio and grpclib each load ``ssl`` where they
-find it. All three do without it where its import fails.
+The platform terminates TLS before an entry, and processes of a deployment
+communicate without TLS. http.client, asyncio and grpclib import ``ssl`` if
+it is available, and work without it if the import fails.
 """
 
 import sys
 
-#: By role. An entry hashes only names, for which hashlib's own code does;
-#: a sidecar needs the faster code of ``_hashlib`` for weights.
+#: Blocked modules by role. An entry hashes only names, for which the code of
+#: hashlib itself suffices; a sidecar needs the faster ``_hashlib`` for
+#: weights.
 _UNUSED = {'entry': ('ssl', '_hashlib'), 'sidecar': ('ssl',)}
 
 
 def keep_out(role):
-    """Make the import of unused modules fail, before any is loaded."""
+    """Make later imports of the role's unused modules fail."""
     for name in _UNUSED.get(role, ()):
         sys.modules.setdefault(name, None)
--- a/catkinshunt/cli/_experiment.py
+++ b/catkinshunt/cli/_experiment.py
@@ -1,4 +1,4 @@
-"""Plays a scenario against the project's model, which is not shipped."""
+"""Runs a scenario in the simulation, which is not part of the package."""
 
 import importlib
 import json
@@ -17,11 +17,11 @@
 
 
 def experiment(path, plot):
-    """Play the scenario in the file at `path`; print the results as JSON.
+    """Run the scenario in the file at `path`; print the results as JSON.
 
     Args:
         path: file of the scenario, JSON with comments.
-        plot: file for a drawing as SVG, or None.
+        plot: file for an SVG chart, or None.
 
     Raises:
         errors.SettingsError: the scenario or `plot` cannot be used, or the
@@ -50,7 +50,7 @@
 
 
 def _import_from_sources(name):
-    """Return a module that only a checkout of the sources has."""
+    """Import and return a module that only a source checkout has."""
     try:
         return importlib.import_module(name)
     except ModuleNotFoundError as exc:
@@ -63,7 +63,7 @@
 
 
 def _validate_plot(plot):
-    """Find out what is wrong with `plot` before the long work."""
+    """Check `plot` before the long computation."""
     if not plot.endswith('.svg'):
         raise errors.SettingsError(
             f'--plot: got {settings.format_value(plot)}, allowed: a file that '
--- a/catkinshunt/cli/_explain.py
+++ b/catkinshunt/cli/_explain.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request from the logs of all processes."""
+"""Reconstructs one request from the logs of all processes."""
 
 import json
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class Line:
-    """One log line that bears on a request.
+    """One log line about a request.
 
     Attributes:
-        time: as it stands in the line.
+        time: the time field of the line.
         source: path of the file that it was read from.
-        fields: the whole line.
+        fields: all fields of the line.
     """
 
     time: str
@@ -23,10 +23,10 @@
 
 
 def find_lines(request_id, sources):
-    """Return the `Line` objects on a request, in order of time.
+    """Return the `Line` objects about a request, in order of time.
 
-    Lines may have a prefix before the object, such as the process's name;
-    those that are no JSON object are left out.
+    Lines may have a prefix before the JSON object, such as the name of the
+    process; lines without a JSON object are skipped.
 
     Args:
         request_id: id of the request.
@@ -57,7 +57,7 @@
 
 
 def tell(line):
-    """Return the sentences that one line amounts to.
+    """Yield the output lines that describe one log line.
 
     Examples:
         >>> line = Line('12:00', 'edge-1', {
@@ -95,10 +95,11 @@
 
 
 def explain(request_id, paths):
-    """Print what the log files at `paths` say of a request.
+    """Print the lines about a request from the log files at `paths`.
 
     Raises:
-        errors.SettingsError: a file cannot be read, or none names it.
+        errors.SettingsError: a file cannot be read, or no line is about the
+            request.
     """
     found = []
     for path in paths:
--- a/catkinshunt/cli/_main.py
+++ b/catkinshunt/cli/_main.py
@@ -1,8 +1,8 @@
-"""Reads the arguments, runs one command, and turns errors into exit codes.
+"""Parses the arguments, runs one command, and maps errors to exit codes.
 
-fire reads the arguments. Commands hand back an `Action` instead of acting
-at once, so that a wrong flag is found before anything has begun: fire calls
-a command first and looks at the arguments left over afterwards.
+fire parses the arguments. It calls a command before it checks for leftover
+arguments, so commands return an `Action` instead of running at once, and a
+wrong flag is found before anything runs.
 """
 
 import contextlib
@@ -45,8 +45,8 @@
     except errors.CatkinshuntError as exc:
         return _fail(exc, FAILED)
     except BrokenPipeError:
-        # The reader, such as `head`, has seen enough; what is still in the
-        # buffer would raise again when the interpreter ends.
+        # The reader, such as `head`, closed the pipe. Flushing the rest of
+        # the buffer at exit would raise again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return OK
     except OSError as exc:
@@ -80,13 +80,13 @@
 
 
 def _parse_arguments(argv):
-    """Return what fire makes of `argv`: an `Action`, or None after help."""
+    """Return the `Action` for `argv`, or None after printing help."""
     import fire
     from fire import core
 
     from catkinshunt.cli import _commands
 
-    # fire would show help through a pager, a child process.
+    # Keeps fire from starting a pager as a child process.
     os.environ['PAGER'] = '-'
     if any(word in argv for word in _HELP):
         words = [word for word in argv if word not in (*_HELP, '--')]
@@ -108,7 +108,7 @@
 
 
 def _help(words):
-    """Show the help page of the command `words` on standard output."""
+    """Print the help page of the command `words` to standard output."""
     import fire
     from fire import core
 
@@ -123,7 +123,7 @@
 
 
 def _reason(notes, argv):
-    """Return fire's complaint as one line."""
+    """Return the error message of fire as one line."""
     for line in notes.splitlines():
         if line.startswith('ERROR: '):
             reason = line.removeprefix('ERROR: ').rstrip('.')
--- a/catkinshunt/cli/_progress.py
+++ b/catkinshunt/cli/_progress.py
@@ -1,24 +1,24 @@
-"""Shows how far long work has come."""
+"""Progress display for long computations."""
 
-#: Seconds after which work counts as long.
+#: Seconds before progress is displayed.
 _DISPLAY_DELAY_S = 1.0
-#: Seconds between two lines in a file or pipe, and two looks at a terminal.
+#: Seconds between lines in a file or pipe, and between updates on a terminal.
 _LINE_PERIOD_S = 5.0
 _REFRESH_PERIOD_S = 0.2
-#: Characters of the bar.
+#: Length of the bar in characters.
 _BAR_CHARS = 30
 
 
 class Progress:
-    """A bar on a terminal, and now and then a line elsewhere.
+    """Draws a progress bar on a terminal, or periodic lines elsewhere.
 
-    Work that is done soon shows neither.
+    Short computations display nothing.
 
     Args:
-        name: what is worked on.
-        total: steps of the work.
-        stream: where to write, such as standard error.
-        now: the present time, in seconds.
+        name: name of the computation.
+        total: number of steps.
+        stream: output stream, such as standard error.
+        now: current time in seconds.
 
     Examples:
         >>> import sys
@@ -38,7 +38,7 @@
         self._shown = False
 
     def advance(self, now):
-        """Count one step as done."""
+        """Count one finished step."""
         self._done += 1
         if now < self._next_write_at:
             return
@@ -51,7 +51,7 @@
             self._write('', '\n')
 
     def end(self):
-        """Leave a bar on a terminal as it is at the end."""
+        """Draw the final bar on a terminal."""
         if self._shown and self.stream.isatty():
             self._write('\r', '\n')
 
--- a/catkinshunt/cli/_relaunch.py
+++ b/catkinshunt/cli/_relaunch.py
@@ -1,10 +1,10 @@
-"""Drops what only the start needed, by running the process anew.
+"""Re-executes the process to free the memory that only start-up needs.
 
-Reading arguments and settings takes fire, json5 and cattrs, some 2.5 MB that
-Python does not give back. The process therefore replaces itself (``exec``:
-the same process, no child) once its settings are checked, and hands them to
-itself through a pipe. They hold a key, which an argument or the environment
-would show to every user of the machine.
+Parsing arguments and settings needs fire, json5 and cattrs, some 2.5 MB that
+Python does not free. Once the settings are checked, the process therefore
+replaces itself (``exec``: the same process, no child) and passes them on
+through a pipe. They contain a key, which an argument or the environment
+would expose to every user of the machine.
 """
 
 import json
@@ -13,18 +13,18 @@
 
 from catkinshunt import errors
 
-#: First argument of the process after it has replaced itself.
+#: First argument of the process after the ``exec``.
 RESTART_COMMAND = 'run-checked'
-#: What a pipe surely takes before somebody reads it.
+#: Size that always fits into the buffer of a pipe without a reader.
 _MAX_SETTINGS_BYTES = 32 * 1024
 
 
 def replace_process(role, path, cfg):
-    """Run this program anew with the checked settings `cfg`.
+    """Replace this process by a new run with the checked settings `cfg`.
 
     Args:
         role: ``'entry'`` or ``'sidecar'``.
-        path: path of the settings, shown in the list of processes.
+        path: path of the settings file, shown in the process list.
         cfg: the settings, an `attrs` instance.
     """
     import attrs
@@ -48,11 +48,11 @@
 
 
 def read_settings(role, read_end):
-    """Return the settings that `replace_process` has put into the pipe.
+    """Return the settings that `replace_process` wrote to the pipe.
 
     Raises:
-        errors.SettingsError: there are none; `RESTART_COMMAND` was used by
-            something other than this process.
+        errors.SettingsError: the pipe has no settings, since somebody else
+            used `RESTART_COMMAND`.
     """
     from catkinshunt import settings
 
--- a/catkinshunt/cli/_serve.py
+++ b/catkinshunt/cli/_serve.py
@@ -1,7 +1,6 @@
-"""Runs one of the two processes until it is told to stop.
+"""Runs an entry or a sidecar until a stop signal.
 
-Each role is imported by its own command: an entry has no use for the
-memory that a sidecar's modules take, nor the other way round.
+Each command imports only the modules of its role, to save memory.
 """
 
 import gc
@@ -13,7 +12,7 @@
 
 
 def check_and_serve(role, path):
-    """Check the settings at `path`, then run `role` in a lean process."""
+    """Check the settings at `path`, then run `role` in a new process image."""
     from catkinshunt import settings
 
     cfg = settings.load_settings(path, settings.ROLES[role])
@@ -21,7 +20,7 @@
 
 
 def serve_checked(role, _path, read_end):
-    """Run `role` with the settings handed over by `check_and_serve`."""
+    """Run `role` with the settings passed on by `check_and_serve`."""
     _excluded_modules.keep_out(role)
     cfg = _relaunch.read_settings(role, read_end)
     if role == 'entry':
@@ -35,7 +34,7 @@
 
 
 def _serve(process):
-    """Run `process` until SIGTERM; the first line printed is its address."""
+    """Run `process` until a stop signal; print its address first."""
     from catkinshunt import logs
 
     cfg = process.cfg
@@ -43,14 +42,14 @@
     log = logs.get_logger('process')
     _stop_signal.block()
     with process:
-        # What start-up left behind is freed once; what stays is not looked
-        # at by the collector again.
+        # Frees the garbage of start-up once and excludes the remaining
+        # objects from later collections.
         gc.collect()
         gc.freeze()
-        # attrs keeps the source text of each method that it has made.
+        # attrs caches the source text of each method that it generates.
         linecache.clearcache()
         print(process.address, flush=True)
-        log.info('{} listens at {}.', cfg.name, process.address)
+        log.info('{} listens on {}.', cfg.name, process.address)
         _stop_signal.wait()
-        log.info('{} stops: finishing requests in progress.', cfg.name)
+        log.info('{} is stopping; finishes requests in progress.', cfg.name)
     log.info('{} has stopped.', cfg.name)
--- a/catkinshunt/cli/_status.py
+++ b/catkinshunt/cli/_status.py
@@ -1,4 +1,4 @@
-"""Shows what every instance says of itself."""
+"""Prints the status that every instance reports."""
 
 import collections
 import concurrent.futures
@@ -18,14 +18,15 @@
 
 @attrs.frozen
 class Row:
-    """One instance as it is shown.
+    """One row of the status table, for one instance.
 
     Attributes:
         name: name of the instance.
         service: service of its upstream; ``entry`` for an entry.
-        data_centre: where it stands.
-        state: its own word, else that of the platform's list.
-        revision: configuration revision in force there, or None.
+        data_centre: data centre of the instance.
+        state: the state that it reports, else that in the platform's list.
+        revision: configuration revision in force there; None if it did not
+            respond.
         wanted: pairs of model and version that a rule places there.
         served: pairs of model and version that it serves.
     """
@@ -40,7 +41,7 @@
 
 
 def status(path, watch, every_s):
-    """Show the status; with `watch` until every replica serves."""
+    """Print the status; with `watch` repeat it until every replica serves."""
     cfg = settings.load_settings(path, settings.OperatorSettings)
     while True:
         accepted = _accepted_revision(cfg)
@@ -56,7 +57,7 @@
 
 
 def _accepted_revision(cfg):
-    """Return the revision accepted last, or None in an outage."""
+    """Return the latest accepted revision, or None in an outage."""
     from catkinshunt import configuration
     from catkinshunt import kvstore
 
@@ -69,7 +70,7 @@
 
 
 def read_rows(cfg):
-    """Ask the platform's list, then each instance on it.
+    """Return the rows of all instances in the platform's list, sorted.
 
     Raises:
         errors.RequestError: the list cannot be read.
@@ -156,10 +157,13 @@
 
 
 def _print_revision(rows, accepted):
-    """Print where the accepted revision is in force; return if everywhere.
+    """Print how many instances have the accepted revision.
 
-    Where it is not, what an instance wants and serves may still be what the
-    rules before said, and a rollout would look complete before it began.
+    An instance with an older revision reports what the older rules place
+    there, so a rollout would look complete before it began.
+
+    Returns:
+        Whether it is in force at all instances that responded.
     """
     known = [row.revision for row in rows if row.revision is not None]
     if accepted is None:
@@ -171,7 +175,7 @@
 
 
 def _print_progress(rows):
-    """Print replicas done of wanted; return whether none is missing."""
+    """Print how many wanted replicas serve; return whether all do."""
     wanted = collections.Counter()
     done = collections.Counter()
     for row in rows:
--- a/catkinshunt/cli/_stop_signal.py
+++ b/catkinshunt/cli/_stop_signal.py
@@ -1,9 +1,9 @@
 """Waits for the signal of a planned stop.
 
 A handler that sets a `threading.Event` can run while the main thread holds
-that event's lock inside ``wait``; it then waits for itself, and the process
-never stops. Here no handler runs: the signals are blocked in all threads and
-taken by the main thread.
+the lock of that event inside ``wait``. This is a deadlock, and the process
+never stops. Therefore no handler is used: the signals are blocked in all
+threads, and the main thread waits for them.
 """
 
 import signal
@@ -12,13 +12,13 @@
 
 
 def block():
-    """Hold the signals back; call it before any thread is started.
+    """Block the signals; must be called before any thread is started.
 
-    A signal that comes before `wait` is kept for it.
+    A signal that arrives before `wait` stays pending.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
 
 
 def wait():
-    """Return once a signal has come."""
+    """Return once a signal has arrived."""
     signal.sigwait(_SIGNALS)
--- a/catkinshunt/cli/tests/test_experiment.py
+++ b/catkinshunt/cli/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Tests of the command that plays a scenario against the model."""
+"""Tests of the command that runs a scenario in the simulation."""
 
 import io
 import json
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def play(tmp_path, capsys):
-    """Give a function that plays a scenario; returns code, out and err."""
+    """Return a function that runs a scenario; returns code, out and err."""
 
     def run(scenario, *flags):
         path = tmp_path / 'scenario.json'
@@ -95,10 +95,10 @@
     assert out == ''
 
 
-def test_all_errors_come_at_once(play):
-    """A newcomer mistypes several fields.
+def test_all_errors_are_reported_at_once(play):
+    """A user mistypes several fields.
 
-    If only the first were told, each would cost one more try.
+    If only the first were reported, each would cost another run.
     """
     wrong = without('name') | {
         'seeds': [],
@@ -126,7 +126,7 @@
         ('--plto=load.svg', '--plto'),
     ],
 )
-def test_wrong_flag_is_told_before_anything_is_played(play, flag, words):
+def test_wrong_flag_is_reported_before_the_simulation(play, flag, words):
     code, out, err = play(SMALL, flag)
     assert code == _main.USAGE
     assert words in err
@@ -158,18 +158,18 @@
     assert plot.stat().st_size > 0
 
 
-def test_same_seeds_give_the_same_figures(play):
-    """Someone repeats an experiment; nothing is left of the first play."""
+def test_same_seeds_give_the_same_results(play):
+    """An experiment is repeated; the first run leaves no state behind."""
     scenario = SMALL | {'slow_engines': SLOW}
     found = [results(play(scenario)), results(play(scenario))]
     assert found[0] == found[1]
     assert found[0] != results(play(scenario | {'seeds': [3, 6]}))
 
 
-def test_figures_do_not_depend_on_the_hashes_of_a_process(tmp_path):
-    """Someone repeats an experiment in another process.
+def test_results_do_not_depend_on_the_hash_seed(tmp_path):
+    """An experiment is repeated in another process.
 
-    There a set of names has another order, which must not decide.
+    There the iteration order of sets differs, which must not matter.
     """
     path = tmp_path / 'scenario.json'
     scenario = SMALL | {'engines': 6, 'slow_engines': SLOW}
@@ -194,22 +194,22 @@
     slow = SLOW | {'from_s': 12, 'to_s': 15}
     (usual,) = results(play(busy))
     (slowed,) = results(play(busy | {'slow_engines': slow}))
-    # Of two engines, one works at a quarter of its speed throughout.
+    # One of two engines runs at a quarter of its speed throughout.
     assert slowed['bound'] == pytest.approx((1 + 1 / 4) / 2 / 0.9, abs=0.1)
     assert usual['bound'] > 0.9
     assert slowed['in_time'] < usual['in_time'] - 0.1
 
 
-def test_fewer_slots_do_not_change_the_load_in_parts(play):
-    """Loads are parts of what engines with these slots can answer."""
+def test_fewer_slots_do_not_change_the_relative_load(play):
+    """Loads are relative to the capacity of engines with these slots."""
     (many,) = results(play(SMALL | {'loads': [1.5], 'slots': 16}))
     (few,) = results(play(SMALL | {'loads': [1.5], 'slots': 4}))
     assert few['requests'] < 0.6 * many['requests']
     assert few['bound'] == pytest.approx(many['bound'], abs=0.15)
 
 
-def test_without_the_model_the_operator_is_told(play, monkeypatch):
-    """The command runs from an installation that lacks the model."""
+def test_missing_simulation_is_reported(play, monkeypatch):
+    """The command runs from an installation without the simulation."""
     monkeypatch.setitem(sys.modules, 'standins', None)
     monkeypatch.delitem(sys.modules, 'standins.experiment', raising=False)
     code, out, err = play(SMALL)
@@ -220,7 +220,7 @@
     assert out == ''
 
 
-def test_without_pygal_the_operator_is_told(play, monkeypatch, tmp_path):
+def test_missing_pygal_is_reported(play, monkeypatch, tmp_path):
     monkeypatch.setitem(sys.modules, 'pygal', None)
     code, out, err = play(SMALL, f'--plot={tmp_path}/load.svg')
     assert code == _main.USAGE
@@ -228,8 +228,8 @@
     assert out == ''
 
 
-def test_only_this_command_names_the_model():
-    """An entry or a sidecar would not start from the one-file build."""
+def test_only_this_command_refers_to_the_simulation():
+    """Otherwise entries and sidecars of the one-file build cannot start."""
     product = ROOT / 'catkinshunt'
     naming = [
         str(path.relative_to(product))
@@ -240,8 +240,8 @@
     assert naming == ['cli/_experiment.py']
 
 
-def test_command_line_does_not_load_the_model():
-    """Each process that starts would take the time and memory for it."""
+def test_command_line_does_not_import_the_simulation():
+    """Every process would need time and memory for it at start-up."""
     script = (
         'import sys; from catkinshunt import cli; '
         'from catkinshunt.cli import _commands, _serve; '
@@ -268,7 +268,7 @@
     ]  # fmt: skip
 
 
-def test_short_work_shows_no_progress():
+def test_short_computation_displays_no_progress():
     stream = Terminal()
     progress = _progress.Progress('burst', 2, stream, now=10.0)
     progress.advance(10.1)
--- a/catkinshunt/cli/tests/test_main.py
+++ b/catkinshunt/cli/tests/test_main.py
@@ -36,7 +36,7 @@
 def test_wrong_arguments_give_one_line(argv, words, capsys):
     """An operator mistypes a flag or a path.
 
-    A usage page or a traceback would hide what was wrong.
+    A usage page or a traceback would hide the error.
     """
     assert _main.run(argv) == _main.USAGE
     captured = capsys.readouterr()
@@ -87,7 +87,7 @@
     return str(path)
 
 
-def test_check_settings_tells_files_apart(tmp_path, capsys):
+def test_check_settings_recognizes_the_kind_of_a_file(tmp_path, capsys):
     sidecar = ENTRY | {'service': 's', 'upstream': '127.0.0.1:2'}
     paths = [
         write(tmp_path, 'e.json5', ENTRY),
@@ -123,8 +123,8 @@
         ['entry', 'a', '99'],
     ],
 )
-def test_second_start_is_not_for_operators(words, capsys):
-    """Somebody copies the command line that the list of processes shows."""
+def test_restart_command_is_rejected_for_operators(words, capsys):
+    """Somebody copies a command line from the process list."""
     assert _main.run(['run-checked', *words]) == _main.USAGE
     captured = capsys.readouterr()
     assert 'run-checked is for the process' in captured.err
--- a/catkinshunt/cli/tests/test_operations.py
+++ b/catkinshunt/cli/tests/test_operations.py
@@ -22,7 +22,7 @@
     return str(path)
 
 
-def test_tells_the_story_in_order_of_time(tmp_path, capsys):
+def test_explain_orders_lines_by_time(tmp_path, capsys):
     later = {**ANSWERED, 'time': '2026-07-03T03:12:02.000Z'}
     first = write(tmp_path / 'edge-2.log', json.dumps(later))
     second = write(
@@ -41,7 +41,7 @@
     assert 'retry budget spent' in shown
 
 
-def test_says_what_is_wrong(tmp_path, capsys):
+def test_explain_reports_missing_lines_and_files(tmp_path, capsys):
     empty = write(tmp_path / 'edge-1.log', '')
     assert _main.run(['explain', 'a9', empty]) == 2
     assert 'no line names request a9' in capsys.readouterr().err
--- a/catkinshunt/cli/tests/test_rules.py
+++ b/catkinshunt/cli/tests/test_rules.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def rules(service, tmp_path, capsys):
-    """Give a function that runs one ``rules`` command."""
+    """Return a function that runs one ``rules`` command."""
     platform = {
         'key_value': f'127.0.0.1:{service.port}',
         'instance_list': '127.0.0.1:1',
@@ -67,10 +67,10 @@
 
 
 def test_conflict_names_what_changed(rules):
-    """Two operators edit the rules that they saw at one revision.
+    """Two operators edit the rules of the same revision.
 
-    The second must not undo the first's edit unawares, and needs to see
-    what it was.
+    The second must not revert the first edit unknowingly, and needs to see
+    what it changed.
     """
     rules('add', PLACE)
     rules('add', ROUTE, '--revision=1')
--- a/catkinshunt/cli/tests/test_serve.py
+++ b/catkinshunt/cli/tests/test_serve.py
@@ -33,10 +33,10 @@
     ('role', 'extra'), [('entry', {}), ('sidecar', SIDECAR)]
 )
 def test_process_replaces_itself_and_hides_its_key(role, extra, tmp_path):
-    """The key was on the command line, where every user can read it.
+    """On the command line every user of the machine could read the key.
 
-    Anybody on the machine could then call the control interfaces. The
-    process must also keep its number, which its supervisor waits for.
+    They could then call the control interfaces. The process must also keep
+    its process id, which its supervisor waits for.
     """
     path = tmp_path / 'one.json5'
     path.write_text(json.dumps(CFG | extra))
@@ -74,11 +74,11 @@
     assert sys.executable not in done.stderr
 
 
-def test_stop_is_heeded_whenever_its_signal_comes():
-    """SIGTERM came while the main thread began to wait for it.
+def test_stop_signal_is_not_lost():
+    """SIGTERM arrives when the main thread begins to wait for it.
 
     Its handler waited for a lock that the same thread held, and the process
-    stayed until it was killed, which cut the requests on it.
+    ran until it was killed, which aborted its requests.
     """
     source = """
 import os, signal
--- a/catkinshunt/cli/tests/test_status.py
+++ b/catkinshunt/cli/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' view of all instances."""
+"""Tests of the status command."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    """Run a list and two instances; give settings and their states."""
+    """Run a list and two instances; yield settings and their states."""
     states = [
         {'state': 'serving', 'revision': 4, 'wanted': MODEL, 'served': {}}
         for _ in range(2)
@@ -74,10 +74,10 @@
     assert out.count('serving') == 2
 
 
-def test_silent_instance_is_shown(deployment, capsys):
-    """An instance has died, and the lagging list still shows it.
+def test_unresponsive_instance_is_shown(deployment, capsys):
+    """An instance crashed, but is still in the platform's list.
 
-    Left out of the table, the rollout would look complete.
+    Without its row the rollout would look complete.
     """
     settings, _, listed, _ = deployment
     listed[1] = listed[1] | {'operator_address': '127.0.0.1:1'}
@@ -87,11 +87,11 @@
     assert '1 of 2 instances gave no answer' in out
 
 
-def test_rules_before_do_not_look_like_a_finished_rollout(deployment, capsys):
-    """An operator names a new version and watches its rollout.
+def test_older_rules_do_not_look_like_a_finished_rollout(deployment, capsys):
+    """An operator places a new version and watches its rollout.
 
-    An instance that has not heard of it yet serves all that it wants, so
-    the watch would end before the rollout had begun.
+    An instance without the new rules serves all that the older rules place
+    there, so the watch would end before the rollout began.
     """
     settings, states, _, service = deployment
     accepted = {'revision': 5, 'rules': []}
