--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -406,7 +406,7 @@
         'store-unknown-told-apart',
         'catkinshunt/kvstore/_http.py',
         '            if not outcome_known:\n'
-        '                kind = errors.StoreUnknownError\n',
+        '                error_class = errors.StoreUnknownError\n',
         '',
     ),
     # The whole answer to its own request.
--- a/catkinshunt/cli/_check.py
+++ b/catkinshunt/cli/_check.py
@@ -23,19 +23,19 @@
     paths = list(paths)
     if not paths:
         raise errors.SettingsError('check-settings needs a file')
-    wrong = 0
+    invalid_files = 0
     for path in paths:
         try:
             if path.endswith('.toml'):
                 kind = _check_platform_file(path)
             else:
-                kind = _kind(path)
+                kind = _find_kind(path)
                 settings.load_settings(path, _KINDS[kind])
             print(f'{path}: good settings, {kind}')
         except errors.SettingsError as exc:
-            wrong += 1
+            invalid_files += 1
             print(exc, file=sys.stderr)
-    return 2 if wrong else 0
+    return 2 if invalid_files else 0
 
 
 def _check_platform_file(path):
@@ -54,7 +54,7 @@
     return platform.check_file(path)
 
 
-def _kind(path):
+def _find_kind(path):
     """Return the kind of the file at `path`, derived from its fields."""
     document = settings.load_document(path)
     fields = document if isinstance(document, dict) else {}
--- a/catkinshunt/cli/_edit_push.py
+++ b/catkinshunt/cli/_edit_push.py
@@ -35,6 +35,8 @@
     with peers.LoopThread() as loop:
         pool = peers.PeerPool(cfg.deployment_key, loop)
         operator = peering.GrpcPeering('operator', pool)
-        taken = configuration.announce(accepted, operator, directory.members)
+        accepted_count = configuration.announce(
+            accepted, operator, directory.members
+        )
         pool.close()
-    return taken
+    return accepted_count
--- a/catkinshunt/cli/_experiment.py
+++ b/catkinshunt/cli/_experiment.py
@@ -44,9 +44,9 @@
         for load in cfg.loads
     ]
     progress.end()
-    print(json.dumps(_document(cfg, results), indent=2))
+    print(json.dumps(_make_document(cfg, results), indent=2))
     if plot is not None:
-        model.plot(_curves(results), plot, cfg.name)
+        model.plot(_make_curves(results), plot, cfg.name)
 
 
 def _import_from_sources(name):
@@ -75,7 +75,7 @@
     _import_from_sources('pygal')
 
 
-def _document(cfg, results):
+def _make_document(cfg, results):
     scenario = attrs.asdict(
         cfg, filter=lambda _field, value: value is not None
     )
@@ -89,7 +89,7 @@
     return {'scenario': scenario, 'results': rows}
 
 
-def _curves(results):
+def _make_curves(results):
     names = ('in_time', 'late', 'refused', 'bound')
     ordered = sorted(results, key=lambda result: result.load)
     return {
--- a/catkinshunt/cli/_main.py
+++ b/catkinshunt/cli/_main.py
@@ -15,11 +15,11 @@
 from catkinshunt import errors
 
 NAME = 'catkinshunt'
-OK = 0
-FAILED = 1
-USAGE = 2
-CONFLICT = 3
-_INTERRUPTED = 130
+EXIT_OK = 0
+EXIT_FAILED = 1
+EXIT_USAGE = 2
+EXIT_CONFLICT = 3
+_EXIT_INTERRUPTED = 130
 _HELP = ('--help', '-h', 'help')
 
 
@@ -39,20 +39,20 @@
     try:
         return _run(argv)
     except errors.ConflictError as exc:
-        return _fail(exc, CONFLICT)
+        return _print_error(exc, EXIT_CONFLICT)
     except (errors.SettingsError, errors.RuleError) as exc:
-        return _fail(exc, USAGE)
+        return _print_error(exc, EXIT_USAGE)
     except errors.CatkinshuntError as exc:
-        return _fail(exc, FAILED)
+        return _print_error(exc, EXIT_FAILED)
     except BrokenPipeError:
         # The reader, such as `head`, closed the pipe. Flushing the rest of
         # the buffer at exit would raise again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        return OK
+        return EXIT_OK
     except OSError as exc:
-        return _fail(exc, FAILED)
+        return _print_error(exc, EXIT_FAILED)
     except KeyboardInterrupt:
-        return _INTERRUPTED
+        return _EXIT_INTERRUPTED
 
 
 def _run(argv):
@@ -64,8 +64,8 @@
         argv = ['--help']
     found = _parse_arguments(argv)
     if isinstance(found, _action.Action):
-        return found.act() or OK
-    return OK
+        return found.act() or EXIT_OK
+    return EXIT_OK
 
 
 def _serve_checked(words):
@@ -76,7 +76,7 @@
     except ValueError as exc:
         text = f'{_relaunch.RESTART_COMMAND} is for the process itself'
         raise errors.SettingsError(text) from exc
-    return _serve.serve_checked(role, path, read_end) or OK
+    return _serve.serve_checked(role, path, read_end) or EXIT_OK
 
 
 def _parse_arguments(argv):
@@ -90,10 +90,10 @@
     os.environ['PAGER'] = '-'
     if any(word in argv for word in _HELP):
         words = [word for word in argv if word not in (*_HELP, '--')]
-        return _help(words)
-    notes = io.StringIO()
+        return _print_help(words)
+    fire_output = io.StringIO()
     try:
-        with contextlib.redirect_stderr(notes):
+        with contextlib.redirect_stderr(fire_output):
             found = fire.Fire(
                 _commands.Commands(),
                 command=argv,
@@ -103,11 +103,13 @@
     except core.FireExit:
         found = None
     if not isinstance(found, _action.Action):
-        raise errors.SettingsError(_reason(notes.getvalue(), argv))
+        raise errors.SettingsError(
+            _extract_reason(fire_output.getvalue(), argv)
+        )
     return found
 
 
-def _help(words):
+def _print_help(words):
     """Print the help page of the command `words` to standard output."""
     import fire
     from fire import core
@@ -122,9 +124,9 @@
     print(page.getvalue().rstrip())
 
 
-def _reason(notes, argv):
+def _extract_reason(fire_output, argv):
     """Return the error message of fire as one line."""
-    for line in notes.splitlines():
+    for line in fire_output.splitlines():
         if line.startswith('ERROR: '):
             reason = line.removeprefix('ERROR: ').rstrip('.')
             return f'{reason}; see {NAME} --help'
@@ -132,11 +134,11 @@
     return f'{words!r} is not a whole command; see {NAME} --help'
 
 
-def _fail(exc, code):
-    print(f'{NAME}: {_one_line(exc)}', file=sys.stderr)
+def _print_error(exc, code):
+    print(f'{NAME}: {_join_lines(exc)}', file=sys.stderr)
     return code
 
 
-def _one_line(exc):
+def _join_lines(exc):
     lines = str(exc).splitlines() or [type(exc).__name__]
     return '; '.join(line.strip() for line in lines)
--- a/catkinshunt/cli/_progress.py
+++ b/catkinshunt/cli/_progress.py
@@ -33,13 +33,13 @@
         self.name = name
         self.total = total
         self.stream = stream
-        self._done = 0
+        self._done_steps = 0
         self._next_write_at = now + _DISPLAY_DELAY_S
         self._shown = False
 
     def advance(self, now):
         """Count one finished step."""
-        self._done += 1
+        self._done_steps += 1
         if now < self._next_write_at:
             return
         self._shown = True
@@ -56,9 +56,10 @@
             self._write('\r', '\n')
 
     def _write(self, before, after):
-        marks = _BAR_CHARS * self._done // self.total
+        marks = _BAR_CHARS * self._done_steps // self.total
         bar = ('#' * marks).ljust(_BAR_CHARS, '.')
         self.stream.write(
-            f'{before}{self.name}: [{bar}] {self._done} of {self.total}{after}'
+            f'{before}{self.name}: [{bar}] '
+            f'{self._done_steps} of {self.total}{after}'
         )
         self.stream.flush()
--- a/catkinshunt/cli/_status.py
+++ b/catkinshunt/cli/_status.py
@@ -85,11 +85,11 @@
         )
     listed = json.loads(reply.body)['instances']
     with concurrent.futures.ThreadPoolExecutor(_MAX_WORKERS) as executor:
-        rows = executor.map(lambda item: _row(cfg, item), listed)
+        rows = executor.map(lambda item: _read_row(cfg, item), listed)
         return sorted(rows, key=lambda row: (row.service, row.name))
 
 
-def _row(cfg, item):
+def _read_row(cfg, item):
     row = Row(
         item['name'],
         item.get('service') or 'entry',
@@ -110,14 +110,14 @@
             row,
             state=value['state'],
             revision=value['revision'],
-            wanted=_pairs(value['wanted']),
-            served=_pairs(value['served']),
+            wanted=_sort_pairs(value['wanted']),
+            served=_sort_pairs(value['served']),
         )
     except (errors.RequestError, ValueError, KeyError, TypeError):
         return row
 
 
-def _pairs(models):
+def _sort_pairs(models):
     return tuple(sorted((model, version) for model, version in models.items()))
 
 
--- a/catkinshunt/cli/tests/test_experiment.py
+++ b/catkinshunt/cli/tests/test_experiment.py
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture
-def play(tmp_path, capsys):
+def run_experiment(tmp_path, capsys):
     """Return a function that runs a scenario; returns code, out and err."""
 
     def run(scenario, *flags):
@@ -40,9 +40,9 @@
     return run
 
 
-def results(played):
-    code, out, _ = played
-    assert code == _main.OK
+def results(finished):
+    code, out, _ = finished
+    assert code == _main.EXIT_OK
     return json.loads(out)['results']
 
 
@@ -87,15 +87,15 @@
         ([SMALL], '(file): got [{'),
     ],
 )
-def test_wrong_field_is_named(play, scenario, words):
-    code, out, err = play(scenario)
-    assert code == _main.USAGE
+def test_wrong_field_is_named(run_experiment, scenario, words):
+    code, out, err = run_experiment(scenario)
+    assert code == _main.EXIT_USAGE
     assert words in err
     assert err.count('\n') == 1
     assert out == ''
 
 
-def test_all_errors_are_reported_at_once(play):
+def test_all_errors_are_reported_at_once(run_experiment):
     """A user mistypes several fields.
 
     If only the first were reported, each would cost another run.
@@ -106,8 +106,8 @@
         'loads': [-1],
         'slow_engines': SLOW | {'factor': 0.5, 'form_s': 3},
     }
-    code, out, err = play(wrong)
-    assert code == _main.USAGE
+    code, out, err = run_experiment(wrong)
+    assert code == _main.EXIT_USAGE
     for field in (
         'name', 'seeds', 'slots', 'loads', 'slow_engines.factor',
         'slow_engines.form_s',
@@ -126,25 +126,27 @@
         ('--plto=load.svg', '--plto'),
     ],
 )
-def test_wrong_flag_is_reported_before_the_simulation(play, flag, words):
-    code, out, err = play(SMALL, flag)
-    assert code == _main.USAGE
+def test_wrong_flag_is_reported_before_the_simulation(
+    run_experiment, flag, words
+):
+    code, out, err = run_experiment(SMALL, flag)
+    assert code == _main.EXIT_USAGE
     assert words in err
     assert err.count('\n') == 1
     assert out == ''
 
 
-def test_small_scenario_end_to_end(play, tmp_path):
+def test_small_scenario_end_to_end(run_experiment, tmp_path):
     plot = tmp_path / 'load.svg'
-    played = play(SMALL, f'--plot={plot}')
-    calm, burst = results(played)
-    assert json.loads(played[1])['scenario'] == SMALL
-    assert (calm['load'], burst['load']) == (0.5, 1.5)
-    assert calm['in_time'] > 0.9
-    assert calm['bound'] == 1.0
+    finished = run_experiment(SMALL, f'--plot={plot}')
+    moderate, burst = results(finished)
+    assert json.loads(finished[1])['scenario'] == SMALL
+    assert (moderate['load'], burst['load']) == (0.5, 1.5)
+    assert moderate['in_time'] > 0.9
+    assert moderate['bound'] == 1.0
     assert burst['refused'] > 0.1
     assert 0.5 * burst['bound'] < burst['in_time'] < burst['bound'] < 0.9
-    for row in (calm, burst):
+    for row in (moderate, burst):
         ends = ('in_time', 'late', 'refused', 'left')
         assert sum(row[end] for end in ends) == pytest.approx(1.0, abs=3e-4)
     drawn = plot.read_text()
@@ -152,18 +154,21 @@
         assert f'>{name}<' in drawn
 
 
-def test_plot_of_one_load(play, tmp_path):
+def test_plot_of_one_load(run_experiment, tmp_path):
     plot = tmp_path / 'load.svg'
-    results(play(SMALL | {'loads': [1]}, f'--plot={plot}'))
+    results(run_experiment(SMALL | {'loads': [1]}, f'--plot={plot}'))
     assert plot.stat().st_size > 0
 
 
-def test_same_seeds_give_the_same_results(play):
+def test_same_seeds_give_the_same_results(run_experiment):
     """An experiment is repeated; the first run leaves no state behind."""
     scenario = SMALL | {'slow_engines': SLOW}
-    found = [results(play(scenario)), results(play(scenario))]
+    found = [
+        results(run_experiment(scenario)),
+        results(run_experiment(scenario)),
+    ]
     assert found[0] == found[1]
-    assert found[0] != results(play(scenario | {'seeds': [3, 6]}))
+    assert found[0] != results(run_experiment(scenario | {'seeds': [3, 6]}))
 
 
 def test_results_do_not_depend_on_the_hash_seed(tmp_path):
@@ -189,41 +194,41 @@
     assert json.loads(found[0])['results']
 
 
-def test_slow_engines_lower_the_bound_and_what_is_in_time(play):
+def test_slow_engines_lower_the_bound_and_what_is_in_time(run_experiment):
     busy = SMALL | {'loads': [0.9]}
     slow = SLOW | {'from_s': 12, 'to_s': 15}
-    (usual,) = results(play(busy))
-    (slowed,) = results(play(busy | {'slow_engines': slow}))
+    (usual,) = results(run_experiment(busy))
+    (slowed,) = results(run_experiment(busy | {'slow_engines': slow}))
     # One of two engines runs at a quarter of its speed throughout.
     assert slowed['bound'] == pytest.approx((1 + 1 / 4) / 2 / 0.9, abs=0.1)
     assert usual['bound'] > 0.9
     assert slowed['in_time'] < usual['in_time'] - 0.1
 
 
-def test_fewer_slots_do_not_change_the_relative_load(play):
+def test_fewer_slots_do_not_change_the_relative_load(run_experiment):
     """Loads are relative to the capacity of engines with these slots."""
-    (many,) = results(play(SMALL | {'loads': [1.5], 'slots': 16}))
-    (few,) = results(play(SMALL | {'loads': [1.5], 'slots': 4}))
+    (many,) = results(run_experiment(SMALL | {'loads': [1.5], 'slots': 16}))
+    (few,) = results(run_experiment(SMALL | {'loads': [1.5], 'slots': 4}))
     assert few['requests'] < 0.6 * many['requests']
     assert few['bound'] == pytest.approx(many['bound'], abs=0.15)
 
 
-def test_missing_simulation_is_reported(play, monkeypatch):
+def test_missing_simulation_is_reported(run_experiment, monkeypatch):
     """The command runs from an installation without the simulation."""
     monkeypatch.setitem(sys.modules, 'standins', None)
     monkeypatch.delitem(sys.modules, 'standins.experiment', raising=False)
-    code, out, err = play(SMALL)
-    assert code == _main.USAGE
+    code, out, err = run_experiment(SMALL)
+    assert code == _main.EXIT_USAGE
     assert 'needs standins' in err
     assert 'checkout of the sources' in err
     assert err.count('\n') == 1
     assert out == ''
 
 
-def test_missing_pygal_is_reported(play, monkeypatch, tmp_path):
+def test_missing_pygal_is_reported(run_experiment, monkeypatch, tmp_path):
     monkeypatch.setitem(sys.modules, 'pygal', None)
-    code, out, err = play(SMALL, f'--plot={tmp_path}/load.svg')
-    assert code == _main.USAGE
+    code, out, err = run_experiment(SMALL, f'--plot={tmp_path}/load.svg')
+    assert code == _main.EXIT_USAGE
     assert 'needs pygal' in err
     assert out == ''
 
--- a/catkinshunt/cli/tests/test_main.py
+++ b/catkinshunt/cli/tests/test_main.py
@@ -38,7 +38,7 @@
 
     A usage page or a traceback would hide the error.
     """
-    assert _main.run(argv) == _main.USAGE
+    assert _main.run(argv) == _main.EXIT_USAGE
     captured = capsys.readouterr()
     assert words in captured.err
     assert captured.err.count('\n') == 1
@@ -57,7 +57,7 @@
     ],
 )
 def test_help_goes_to_standard_output(argv, capsys):
-    assert _main.run(argv) == _main.OK
+    assert _main.run(argv) == _main.EXIT_OK
     captured = capsys.readouterr()
     assert captured.out.startswith('NAME\n    catkinshunt')
     assert captured.err == ''
@@ -66,10 +66,10 @@
 @pytest.mark.parametrize(
     ('exc', 'code'),
     [
-        (errors.ConflictError('changed'), _main.CONFLICT),
-        (errors.RuleError('one\n  two'), _main.USAGE),
-        (errors.StoreUnavailableError('down', peer='kv'), _main.FAILED),
-        (OSError('port in use'), _main.FAILED),
+        (errors.ConflictError('changed'), _main.EXIT_CONFLICT),
+        (errors.RuleError('one\n  two'), _main.EXIT_USAGE),
+        (errors.StoreUnavailableError('down', peer='kv'), _main.EXIT_FAILED),
+        (OSError('port in use'), _main.EXIT_FAILED),
     ],
 )
 def test_errors_become_exit_codes(monkeypatch, capsys, exc, code):
@@ -94,20 +94,20 @@
         write(tmp_path, 's.json5', sidecar),
         write(tmp_path, 'o.json5', {'platform': ENTRY['platform']}),
     ]
-    assert _main.run(['check-settings', *paths]) == _main.OK
+    assert _main.run(['check-settings', *paths]) == _main.EXIT_OK
     kinds = [line.split()[-1] for line in capsys.readouterr().out.splitlines()]
     assert kinds == ['entry', 'sidecar', 'operators']
 
 
 def test_check_settings_shows_all_errors(tmp_path, capsys):
     path = write(tmp_path, 'e.json5', ENTRY | {'port': -1, 'threads': 'x'})
-    assert _main.run(['check-settings', path]) == _main.USAGE
+    assert _main.run(['check-settings', path]) == _main.EXIT_USAGE
     assert len(capsys.readouterr().err.splitlines()) == 2
 
 
 def test_unreachable_list_gives_one_line(tmp_path, capsys):
     path = write(tmp_path, 'o.json5', {'platform': ENTRY['platform']})
-    assert _main.run(['status', f'--settings={path}']) == _main.FAILED
+    assert _main.run(['status', f'--settings={path}']) == _main.EXIT_FAILED
     err = capsys.readouterr().err
     assert '127.0.0.1:1' in err
     assert err.count('\n') == 1
@@ -125,7 +125,7 @@
 )
 def test_restart_command_is_rejected_for_operators(words, capsys):
     """Somebody copies a command line from the process list."""
-    assert _main.run(['run-checked', *words]) == _main.USAGE
+    assert _main.run(['run-checked', *words]) == _main.EXIT_USAGE
     captured = capsys.readouterr()
     assert 'run-checked is for the process' in captured.err
     assert captured.err.count('\n') == 1
--- a/catkinshunt/cli/tests/test_rules.py
+++ b/catkinshunt/cli/tests/test_rules.py
@@ -75,7 +75,7 @@
     rules('add', PLACE)
     rules('add', ROUTE, '--revision=1')
     code, out = rules('retire', 'place-drafts', '--revision=1')
-    assert code == _main.CONFLICT
+    assert code == _main.EXIT_CONFLICT
     assert "added 'route-drafts'" in out
     assert out.count('\n') == 1
     assert 'place-drafts' in rules('list')[1]
@@ -107,7 +107,7 @@
 def test_wrong_edit_gives_one_line(rules, command, words):
     rules('add', PLACE)
     code, out = rules(*command)
-    assert code == _main.USAGE
+    assert code == _main.EXIT_USAGE
     assert words in out
     assert out.count('\n') == 1
 
@@ -116,7 +116,7 @@
     """The key-value service is in an outage while an operator edits."""
     service.faults.down = True
     code, out = rules('retire', 'place-drafts')
-    assert code == _main.FAILED
+    assert code == _main.EXIT_FAILED
     assert out.count('\n') == 1
 
 
--- a/catkinshunt/http1/tests/test_client.py
+++ b/catkinshunt/http1/tests/test_client.py
@@ -45,7 +45,7 @@
             return parts
 
 
-async def ask(pool):
+async def send_request(pool):
     conn = await pool.acquire()
     conn.send(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     return conn, await read_all(conn)
@@ -54,7 +54,7 @@
 def last_part(reply):
     async def main():
         async with upstream(replying(reply)) as pool:
-            _, parts = await ask(pool)
+            _, parts = await send_request(pool)
             return parts[-1]
 
     return asyncio.run(main())
@@ -105,7 +105,7 @@
 
     async def main():
         async with upstream(handle) as pool:
-            _, parts = await ask(pool)
+            _, parts = await send_request(pool)
             return parts[-1]
 
     assert isinstance(asyncio.run(main()), http1.ConnectionLost)
@@ -120,13 +120,13 @@
 
     async def main():
         async with upstream(replying(REPLY + REPLY)) as pool:
-            conn, _ = await ask(pool)
+            conn, _ = await send_request(pool)
             pool.release(conn)
-            again = await pool.acquire()
-            return conn, again
+            other = await pool.acquire()
+            return conn, other
 
-    conn, again = asyncio.run(main())
-    assert again is not conn
+    conn, other = asyncio.run(main())
+    assert other is not conn
 
 
 def test_a_connection_with_unexpected_data_is_not_reused():
@@ -143,14 +143,14 @@
 
     async def main():
         async with upstream(handle) as pool:
-            conn, _ = await ask(pool)
+            conn, _ = await send_request(pool)
             pool.release(conn)
             while conn.is_open:
                 await asyncio.sleep(0.01)
             return conn, await pool.acquire()
 
-    conn, again = asyncio.run(main())
-    assert again is not conn
+    conn, other = asyncio.run(main())
+    assert other is not conn
 
 
 def test_an_idle_connection_is_reused_within_its_limit():
@@ -163,17 +163,17 @@
         now = [0.0]
         async with upstream(replying(reply, reply)) as pool:
             pool.clock = lambda: now[0]
-            conn, _ = await ask(pool)
+            conn, _ = await send_request(pool)
             pool.release(conn)
-            soon = await pool.acquire()
-            pool.release(soon)
+            reused = await pool.acquire()
+            pool.release(reused)
             now[0] += 0.6
-            late = await pool.acquire()
-            return conn, soon, late
+            replacement = await pool.acquire()
+            return conn, reused, replacement
 
-    conn, soon, late = asyncio.run(main())
-    assert soon is conn
-    assert late is not conn
+    conn, reused, replacement = asyncio.run(main())
+    assert reused is conn
+    assert replacement is not conn
 
 
 def test_a_failed_connect_means_not_executed():
--- a/catkinshunt/http1/tests/test_server.py
+++ b/catkinshunt/http1/tests/test_server.py
@@ -26,7 +26,7 @@
     return http1.Reply(200, body)
 
 
-async def talk(connect, data):
+async def send_and_receive(connect, data):
     """Send `data` and return what is received."""
     reader, writer = await connect()
     writer.write(data)
@@ -57,7 +57,7 @@
 def test_reads_a_chunked_body():
     async def main():
         async with serving(http1.make_session(echo)) as connect:
-            return await talk(
+            return await send_and_receive(
                 connect,
                 b'POST /c HTTP/1.1\r\nHost: x\r\n'
                 b'Transfer-Encoding: chunked\r\n\r\n'
@@ -76,7 +76,7 @@
 
     async def main():
         async with serving(http1.make_session(echo)) as connect:
-            return await talk(
+            return await send_and_receive(
                 connect,
                 b'POST /d HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n'
                 b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /e HTTP/1.1',
@@ -99,7 +99,7 @@
     async def main():
         async with serving(http1.make_session(echo), limits) as connect:
             head = b'GET / HTTP/1.1\r\nHost: x\r\nX: ' + b'y' * 2000
-            return await talk(connect, head)
+            return await send_and_receive(connect, head)
 
     assert asyncio.run(main()).startswith(b'HTTP/1.1 431')
 
@@ -112,7 +112,7 @@
 
     async def main():
         async with serving(http1.make_session(echo), limits) as connect:
-            return await talk(
+            return await send_and_receive(
                 connect,
                 b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\n'
                 + b'z' * 20,
@@ -132,7 +132,7 @@
 
     async def main():
         async with serving(http1.make_session(echo), limits) as connect:
-            return await talk(connect, b'GET / HTTP/1.1\r\nHo')
+            return await send_and_receive(connect, b'GET / HTTP/1.1\r\nHo')
 
     assert asyncio.run(main()).startswith(b'HTTP/1.1 408')
 
--- a/catkinshunt/httpio/_errors.py
+++ b/catkinshunt/httpio/_errors.py
@@ -17,28 +17,28 @@
         LeavingError('leaving')
     """
     try:
-        given = checks.load_json(body)['error']
-        kind = _find_error_class(given['code'], given['ran'])
-        message = str(given.get('message', given['code']))
-        step = str(given.get('step', ''))
-        retry_after_s = given.get('retry_after_s')
+        fields = checks.load_json(body)['error']
+        cls = _find_error_class(fields['code'], fields['ran'])
+        message = str(fields.get('message', fields['code']))
+        step = str(fields.get('step', ''))
+        retry_after_s = fields.get('retry_after_s')
     except (ValueError, KeyError, TypeError, AttributeError):
         return errors.OutcomeUnknownError(
             'unreadable error', step='read', peer=peer
         )
     if not isinstance(retry_after_s, (int, float)):
         retry_after_s = None
-    return kind(message, step=step, peer=peer, retry_after_s=retry_after_s)
+    return cls(message, step=step, peer=peer, retry_after_s=retry_after_s)
 
 
 def _find_error_class(code, ran):
     """Return the error class with this `code` and `ran`."""
-    kinds = [errors.RequestError]
-    while kinds:
-        kind = kinds.pop()
-        if kind.code == code and kind.ran == ran:
-            return kind
-        kinds.extend(kind.__subclasses__())
+    classes = [errors.RequestError]
+    while classes:
+        cls = classes.pop()
+        if cls.code == code and cls.ran == ran:
+            return cls
+        classes.extend(cls.__subclasses__())
     if ran == 'no':
         return errors.RefusedError
     return errors.OutcomeUnknownError
--- a/catkinshunt/httpio/_wsgi.py
+++ b/catkinshunt/httpio/_wsgi.py
@@ -34,8 +34,8 @@
         """Return a response whose body is `value` as JSON."""
         body = json.dumps(value).encode()
         length = ('Content-Length', str(len(body)))
-        kind = ('Content-Type', _JSON_CONTENT_TYPE)
-        return cls(status, [body], (length, kind, *headers))
+        content_type = ('Content-Type', _JSON_CONTENT_TYPE)
+        return cls(status, [body], (length, content_type, *headers))
 
     def with_headers(self, *pairs):
         """Return a copy of the response with additional headers."""
--- a/catkinshunt/kvstore/_http.py
+++ b/catkinshunt/kvstore/_http.py
@@ -89,18 +89,18 @@
         except errors.OutcomeUnknownError as exc:
             # The write may be in force although its reply was lost. A read
             # changes nothing, so its failure is reported as unavailable.
-            lost = errors.StoreUnknownError
+            error_class = errors.StoreUnknownError
             if read_only:
-                lost = errors.StoreUnavailableError
-            raise lost(exc.message, step=method, peer=peer) from exc
+                error_class = errors.StoreUnavailableError
+            raise error_class(exc.message, step=method, peer=peer) from exc
         if reply.status >= 500:
             # Only 503 means that nothing was written; after any other failure
             # the write may be in force.
             outcome_known = read_only or reply.status == _STATUS_NOT_APPLIED
-            kind = errors.StoreUnavailableError
+            error_class = errors.StoreUnavailableError
             if not outcome_known:
-                kind = errors.StoreUnknownError
-            raise kind(
+                error_class = errors.StoreUnknownError
+            raise error_class(
                 f'the key-value service replied with status {reply.status}',
                 step=method,
                 peer=peer,
@@ -119,12 +119,14 @@
     return kv_base.Entry(reply.body, _read_revision(reply, errors.StoreError))
 
 
-def _read_revision(reply, kind):
-    """Return the revision of the reply; raise `kind` if it has none."""
+def _read_revision(reply, error_class):
+    """Return the revision of the reply; raise `error_class` if it has none."""
     text = reply.headers.get(_REVISION_HEADER, '')
     if reply.status != 200 or not text.isdigit():
         # Another server replies at this address, such as a proxy.
-        raise kind(f'status {reply.status}, no revision', step='read-reply')
+        raise error_class(
+            f'status {reply.status}, no revision', step='read-reply'
+        )
     return int(text)
 
 
--- a/catkinshunt/logs/_configure.py
+++ b/catkinshunt/logs/_configure.py
@@ -48,9 +48,9 @@
         ...     log.info('Chose {}.', 'engine-2')  # doctest: +ELLIPSIS
         20... INFO routing: [r-1] Chose engine-2.
     """
-    compose = _compose_json if log_format == 'json' else _compose_plain
+    format_record = _format_json if log_format == 'json' else _format_plain
     secrets = tuple(filter(None, secrets))
-    sink = _Sink(compose, secrets, stream or sys.stderr, budget)
+    sink = _Sink(format_record, secrets, stream or sys.stderr, budget)
     loguru.logger.remove()
     # `diagnose` would write the values of variables, including keys.
     loguru.logger.add(
@@ -71,8 +71,8 @@
 class _Sink:
     """Writes each record as one line."""
 
-    def __init__(self, compose, secrets, stream, budget=None):
-        self.compose = compose
+    def __init__(self, format_record, secrets, stream, budget=None):
+        self.format_record = format_record
         self.secrets = secrets
         self.stream = stream
         self.budget = budget
@@ -94,31 +94,32 @@
         return True
 
     def _write(self, record):
-        line = self.compose(record)
+        line = self.format_record(record)
         for secret in self.secrets:
             line = line.replace(secret, _REDACTED)
         self.stream.write(line + '\n')
         self.stream.flush()
 
 
-def _compose_plain(record):
+def _format_plain(record):
     extra = record['extra']
     request_id = extra.get('request_id')
-    request_tag = f'[{_clean(str(request_id))}] ' if request_id else ''
+    request_tag = f'[{_sanitize(str(request_id))}] ' if request_id else ''
     return (
-        f'{_time(record)} {record["level"].name} '
-        f'{extra.get("prefix", "main")}: {request_tag}{_message(record)}'
+        f'{_format_time(record)} {record["level"].name} '
+        f'{extra.get("prefix", "main")}: {request_tag}'
+        f'{_format_message(record)}'
     )
 
 
-def _compose_json(record):
+def _format_json(record):
     extra = record['extra']
     value = {
-        'time': _time(record),
+        'time': _format_time(record),
         'level': record['level'].name,
         'prefix': extra.get('prefix', 'main'),
         'request_id': extra.get('request_id'),
-        'message': _message(record),
+        'message': _format_message(record),
     }
     for name, field in extra.items():
         if name not in _FIXED_FIELDS:
@@ -126,27 +127,27 @@
     return json.dumps(value, default=str)
 
 
-def _time(record):
+def _format_time(record):
     """Return the time of the record in UTC with milliseconds."""
     stamp = record['time'].timestamp()
-    whole = int(stamp)
-    return f'{_date(whole)}.{int((stamp - whole) * 1000):03d}Z'
+    seconds = int(stamp)
+    return f'{_format_seconds(seconds)}.{int((stamp - seconds) * 1000):03d}Z'
 
 
 @functools.lru_cache(maxsize=2)
-def _date(seconds):
+def _format_seconds(seconds):
     """Return `seconds` as date and time, cached for lines of a second."""
     return time.strftime('%Y-%m-%dT%H:%M:%S', time.gmtime(seconds))
 
 
-def _message(record):
-    message = _clean(record['message'])
+def _format_message(record):
+    message = _sanitize(record['message'])
     if record['exception'] is not None:
-        message += f' ({_clean(_format_exception(record["exception"]))})'
+        message += f' ({_sanitize(_format_exception(record["exception"]))})'
     return message
 
 
-def _clean(message):
+def _sanitize(message):
     if len(message) > MAX_MESSAGE_CHARS:
         message = message[:MAX_MESSAGE_CHARS] + '...'
     return message if message.isprintable() else message.translate(_ESCAPES)
--- a/catkinshunt/logs/tests/test_logs.py
+++ b/catkinshunt/logs/tests/test_logs.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-def written():
+def start_logs():
     """Return a function that configures logs and returns a line reader."""
     stream = io.StringIO()
 
@@ -23,21 +23,21 @@
         return lambda: stream.getvalue().splitlines()
 
     root = logging.getLogger()
-    handlers, least = root.handlers, root.level
+    handlers, root_level = root.handlers, root.level
     yield start
     root.handlers = handlers
-    root.setLevel(least)
+    root.setLevel(root_level)
     loguru.logger.remove()
 
 
 @pytest.mark.parametrize('log_format', ['plain', 'json'])
-def test_key_and_prompt_are_not_written(written, log_format):
+def test_key_and_prompt_are_not_written(start_logs, log_format):
     """An error of a library quotes the message that it failed on.
 
     The line would expose the deployment key, or text of a caller, to
     everybody who reads logs.
     """
-    lines = written(log_format, secrets=[KEY])
+    lines = start_logs(log_format, secrets=[KEY])
     log = logs.get_logger('peers')
     try:
         raise ValueError(f'bad header {KEY}')
@@ -51,20 +51,20 @@
 
 
 @pytest.mark.parametrize('log_format', ['plain', 'json'])
-def test_line_break_cannot_forge_a_line(written, log_format):
+def test_line_break_cannot_forge_a_line(start_logs, log_format):
     """A caller puts a line break into a name that is logged.
 
     The rest of the name would look like a log line of the system.
     """
-    lines = written(log_format)
+    lines = start_logs(log_format)
     log = logs.get_logger('entry')
     with logs.request('r\n2'):
         log.info('Account {}.', 'a\n2026 INFO routing: Chose b.\u2028x')
     assert len(lines()) == 1
 
 
-def test_json_line_has_its_fields(written):
-    lines = written('json')
+def test_json_line_has_its_fields(start_logs):
+    lines = start_logs('json')
     with logs.request('r-9'):
         logs.get_logger('routing').info('Chose {choice}.', choice='engine-1')
     line = json.loads(lines()[0])
@@ -78,8 +78,8 @@
     }
 
 
-def test_request_id_stays_in_its_thread(written):
-    lines = written()
+def test_request_id_stays_in_its_thread(start_logs):
+    lines = start_logs()
     log = logs.get_logger('entry')
     with logs.request('r-1'):
         other = threading.Thread(target=log.info, args=('Other.',))
@@ -90,8 +90,8 @@
     assert lines()[1].endswith('INFO entry: [r-1] Mine.')
 
 
-def test_level_and_length(written):
-    lines = written(level='WARNING')
+def test_level_and_length(start_logs):
+    lines = start_logs(level='WARNING')
     log = logs.get_logger('entry')
     log.info('Left out.')
     log.warning('x' * 10_000)
@@ -99,12 +99,12 @@
     assert len(lines()[0]) < 2100
 
 
-def test_records_of_libraries_are_formatted_and_redacted(written):
+def test_records_of_libraries_are_formatted_and_redacted(start_logs):
     """waitress logs warnings through the standard library.
 
     Its lines would be written in another format, with keys in them.
     """
-    lines = written(secrets=[KEY])
+    lines = start_logs(secrets=[KEY])
     logging.getLogger('waitress').warning('Odd header %s', KEY)
     logging.getLogger('waitress.queue').warning('Task queue depth is 1')
     assert len(lines()) == 1
--- a/catkinshunt/logs/tests/test_rate_limit.py
+++ b/catkinshunt/logs/tests/test_rate_limit.py
@@ -5,7 +5,7 @@
 from catkinshunt import logs
 
 
-class StuckStream(io.StringIO):
+class BlockedStream(io.StringIO):
     """A stream whose reader stopped reading."""
 
     def __init__(self):
@@ -25,17 +25,17 @@
     If the process blocked at its next line, all requests would wait. Lines
     are dropped instead, and their number is logged.
     """
-    stuck = StuckStream()
-    stream = logs.BackgroundStream(stuck)
+    blocked = BlockedStream()
+    stream = logs.BackgroundStream(blocked)
     stream.write('first\n')
-    assert stuck.reached.wait(5)
+    assert blocked.reached.wait(5)
     for number in range(5000):
         stream.write(f'line {number}\n')
-    stuck.released.set()
+    blocked.released.set()
     stream.close(5)
-    written = stuck.getvalue().splitlines()
+    written = blocked.getvalue().splitlines()
     assert len(written) < 2100
-    assert 'Left out 3000 lines' in stuck.getvalue()
+    assert 'Left out 3000 lines' in blocked.getvalue()
     assert json.loads(written[-1])['prefix'] == 'logs'
 
 
--- a/catkinshunt/metrics/_operator_app.py
+++ b/catkinshunt/metrics/_operator_app.py
@@ -65,6 +65,11 @@
         return httpio.Response.of_json(404, {'error': 'no such page'})
 
     def _metrics(self):
-        kind, text = _exposition.expose(self.registry, time.monotonic())
-        headers = (('Content-Type', kind), ('Content-Length', str(len(text))))
+        content_type, text = _exposition.expose(
+            self.registry, time.monotonic()
+        )
+        headers = (
+            ('Content-Type', content_type),
+            ('Content-Length', str(len(text))),
+        )
         return httpio.Response(_OK, [text], headers)
--- a/catkinshunt/settings/_load.py
+++ b/catkinshunt/settings/_load.py
@@ -13,7 +13,7 @@
 from catkinshunt.settings import _fields
 from catkinshunt.settings import _problem
 
-_WHOLE_FILE = '(file)'
+_ENTIRE_FILE = '(file)'
 _MISSING = 'nothing'
 _TYPE_NAMES = {
     bool: 'true or false',
@@ -53,7 +53,9 @@
             content = file.read()
     except (OSError, UnicodeDecodeError) as exc:
         reason = getattr(exc, 'strerror', None) or 'not UTF-8 text'
-        _raise([_problem.Problem(path, _WHOLE_FILE, reason, 'a file')])
+        _raise_problems(
+            [_problem.Problem(path, _ENTIRE_FILE, reason, 'a file')]
+        )
     return _parse(content, path)
 
 
@@ -86,7 +88,7 @@
         return json5.loads(content, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
         given = ' '.join(str(exc).split())
-        _raise([_problem.Problem(path, _WHOLE_FILE, given, 'JSON5')])
+        _raise_problems([_problem.Problem(path, _ENTIRE_FILE, given, 'JSON5')])
 
 
 def structure(raw, cls, path='(value)'):
@@ -101,7 +103,7 @@
         value = _make_converter().structure(raw, cls)
     except (cattrs.BaseValidationError, _InvalidValueError) as exc:
         problems = list(_iter_problems(exc, '', path, cls))
-        _raise(problems)
+        _raise_problems(problems)
     _check_consistency(value, path)
     return value
 
@@ -115,10 +117,10 @@
         for field, given, allowed in value.check()
     ]
     if problems:
-        _raise(problems)
+        _raise_problems(problems)
 
 
-def _raise(problems):
+def _raise_problems(problems):
     message = '\n'.join(str(problem) for problem in problems)
     raise errors.SettingsError(message, problems=tuple(problems))
 
@@ -157,14 +159,14 @@
         field.name: gen.override(struct_hook=_field_hook(field, conv))
         for field in attrs.fields(cls)
     }
-    fill = gen.make_dict_structure_fn(
+    structure_dict = gen.make_dict_structure_fn(
         cls, conv, _cattrs_forbid_extra_keys=True, **overrides
     )
 
     def hook(value, type_):
         if not isinstance(value, dict):
             raise _InvalidValueError(value, 'an object {...}')
-        return fill(value, type_)
+        return structure_dict(value, type_)
 
     return hook
 
@@ -233,7 +235,7 @@
     given = getattr(exc, 'given', None)
     shown = '(a secret)' if secret else _problem.format_value(given)
     allowed = getattr(exc, 'allowed', str(exc))
-    return _problem.Problem(path, field or _WHOLE_FILE, shown, allowed)
+    return _problem.Problem(path, field or _ENTIRE_FILE, shown, allowed)
 
 
 def _unknown_field_problems(exc, field, path, cls):
