--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -62,7 +62,7 @@
 #: Callers that come back count as new ones.
 RETURNS = mutations.Mutation(
     'returned-callers-are-known',
-    'catkinshunt/dispatch/_returning.py',
+    'catkinshunt/dispatch/_client_retry.py',
     'if is_longest:',
     'if True:',
 )
--- a/benchmarks/bench_configuration.py
+++ b/benchmarks/bench_configuration.py
@@ -18,7 +18,7 @@
 from catkinshunt import configuration
 from catkinshunt.configuration.tests import fakes as store_fakes
 from catkinshunt import dissemination
-from catkinshunt.dissemination import peering
+from catkinshunt.dissemination import grpc_transport
 from catkinshunt.dissemination.tests import fakes
 from catkinshunt import httpio
 from catkinshunt import kvstore
@@ -68,7 +68,7 @@
     def __init__(self, size, fanout, dead_share):
         self.rng = random.Random(size)
         self.fleet = fakes.Fleet(size, 3, fanout, random_state=1)
-        self.names = list(self.fleet.keepers)
+        self.names = list(self.fleet.config_replicas)
         self.fleet.accept(HISTORY[0], self.names)
         self.fleet.push(0.0)
         dead = self.rng.sample(self.names, round(dead_share * size))
@@ -139,8 +139,8 @@
 class Node:
     """The control parts of one process over real sockets."""
 
-    keeper: configuration.Keeper
-    spreader: dissemination.Spreader
+    config_replica: configuration.ConfigurationReplica
+    disseminator: dissemination.Disseminator
     server: peers.PeerServer
     pool: peers.PeerPool
     watcher: dissemination.Watcher
@@ -174,38 +174,42 @@
             node.server.stop()
         self.alive = self.nodes[dead:]
         for node in self.alive:
-            node.spreader.start()
+            node.disseminator.start()
             node.watcher.start()
 
     def _make_node(self, number):
         name, place = f'i{number}', f'dc{number % 3}'
         loop = self.loops[number % len(self.loops)]
-        keeper = configuration.Keeper()
+        config_replica = configuration.ConfigurationReplica()
         pool = peers.PeerPool(KEY, loop)
-        spreader = dissemination.Spreader(
+        disseminator = dissemination.Disseminator(
             name,
             place,
-            (keeper,),
-            peering.GrpcPeering(name, pool),
+            (config_replica,),
+            grpc_transport.GrpcPeerTransport(name, pool),
             lambda: self.members,
             pull_period_s=self.period_s,
             random_state=number,
         )
-        source = configuration.StoreSource(self.store, keeper)
-        duty = dissemination.Duty(source.topic, name, place, spreader.contacts)
-        spreader.duties = (duty,)
+        source = configuration.StoreSource(self.store, config_replica)
+        election = dissemination.WatchElection(
+            source.topic, name, place, disseminator.peer_health
+        )
+        disseminator.elections = (election,)
         watcher = dissemination.Watcher(
-            source, duty, lambda: self.members, wait_s=10.0
+            source, election, lambda: self.members, wait_s=10.0
         )
-        keeper.subscribe(spreader.wake)
-        handler = peering.Handler(spreader)
+        config_replica.subscribe(disseminator.wake)
+        handler = grpc_transport.Handler(disseminator)
         server = peers.PeerServer([handler], '127.0.0.1', 0, KEY, loop)
-        return Node(keeper, spreader, server.start(), pool, watcher)
+        return Node(
+            config_replica, disseminator, server.start(), pool, watcher
+        )
 
     def wait(self, revision):
         """Wait until every live node has `revision`."""
         for node in self.alive:
-            if node.keeper.wait(revision - 1, 30).revision < revision:
+            if node.config_replica.wait(revision - 1, 30).revision < revision:
                 raise SystemExit(f'revision {revision} did not arrive')
 
     def stop(self):
@@ -213,7 +217,7 @@
         for node in self.alive:
             node.watcher.stop()
         for node in self.alive:
-            node.spreader.stop()
+            node.disseminator.stop()
             node.server.stop()
             node.pool.close()
         for loop in self.loops:
@@ -278,7 +282,7 @@
     with fleet.service._changed:
         fleet.service._changed.notify_all()
     pool = peers.PeerPool(KEY, fleet.loops[0])
-    operator = peering.GrpcPeering('operator', pool)
+    operator = grpc_transport.GrpcPeerTransport('operator', pool)
     start = time.monotonic()
     told = configuration.announce(HISTORY[1], operator, fleet.members, 0)
     fleet.wait(2)
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -16,7 +16,7 @@
 from catkinshunt import configuration
 from catkinshunt.dissemination import dissemination_grpc
 from catkinshunt.dissemination import dissemination_pb2
-from catkinshunt.dissemination import peering
+from catkinshunt.dissemination import grpc_transport
 from catkinshunt import instances
 from catkinshunt import logs
 from catkinshunt import peers
@@ -96,9 +96,9 @@
     written = CountedWrites()
     history = bench_configuration.HISTORY
     fleet = bench_configuration.SocketFleet(2, period_s=NEVER_S)
-    fleet.nodes[0].keeper.offer(history[1], 0.0)
+    fleet.nodes[0].config_replica.offer(history[1], 0.0)
     pool = peers.PeerPool(bench_configuration.KEY, fleet.loops[0])
-    calls = peering.GrpcPeering('other', pool)
+    calls = grpc_transport.GrpcPeerTransport('other', pool)
     peer = fleet.members[0]
     held = {'configuration': history[1].revision}
     update = configuration.make_update(history[1], history[0].revision)
--- a/benchmarks/bench_limits.py
+++ b/benchmarks/bench_limits.py
@@ -85,7 +85,7 @@
     def end(self, now, ticket):
         """End one request."""
         self.ends[ticket] = now
-        self.admission.observe(ticket, now)
+        self.admission.finish(ticket, now)
 
     def expire(self, now, ticket):
         """Give up a request that still waits."""
--- a/benchmarks/bench_platform.py
+++ b/benchmarks/bench_platform.py
@@ -79,7 +79,7 @@
     The work is the same whatever the number of upstreams and entries: one
     look at the deadline, one rank, one delay learnt.
     """
-    returns = dispatch.ReturningRequestDetector()
+    returns = dispatch.ClientRetryDetector()
     forecast = dispatch.DelayCorrector()
     rng = random.Random(1)
     began = time.process_time()
--- a/benchmarks/bench_retries.py
+++ b/benchmarks/bench_retries.py
@@ -43,7 +43,7 @@
         self.tokens -= 1
 
 
-class NoHealth(routing.Health):
+class NoHealth(routing.HealthTracker):
     """Takes no note of failures."""
 
     def observe(self, observation, now):
@@ -133,12 +133,16 @@
 def main():
     """Print the table, write the result, check the bounds."""
     rows = [
-        measure('no retry', lambda: None, 1, routing.Health),
+        measure('no retry', lambda: None, 1, routing.HealthTracker),
         measure('3 tries, no budget, no health', lambda: None, 3, NoHealth),
         measure('10 tries, no budget, no health', lambda: None, 10, NoHealth),
-        measure('10 tries, no budget', lambda: None, 10, routing.Health),
+        measure(
+            '10 tries, no budget', lambda: None, 10, routing.HealthTracker
+        ),
         measure('3 tries, budget 0.1, no health', retries.Budget, 3, NoHealth),
-        measure('3 tries, budget 0.1', retries.Budget, 3, routing.Health),
+        measure(
+            '3 tries, budget 0.1', retries.Budget, 3, routing.HealthTracker
+        ),
     ]
     columns = list(rows[0])
     report.print_table(
--- a/benchmarks/bench_rules.py
+++ b/benchmarks/bench_rules.py
@@ -110,7 +110,7 @@
 def _measure_edit(rule_set, request):
     """Return what one edit costs a process that takes it as an update."""
     held = [
-        configuration.HeldRule.from_document(rules.dump_rule(rule))
+        configuration.EncodedRule.from_document(rules.dump_rule(rule))
         for rule in rule_set.rules
     ]
     before = configuration.Configuration(1, tuple(held))
--- a/benchmarks/bench_transfer.py
+++ b/benchmarks/bench_transfer.py
@@ -34,7 +34,7 @@
             random_state=1,
         )
         self.chunks = weights.ChunkApp(
-            self.agent, KEY, self.agent.upload_share
+            self.agent, KEY, self.agent.upload_pacer
         )
         self.server = httpio.HttpServer(self, threads=24).start()
         self.address = httpio.Address('127.0.0.1', self.server.port)
@@ -45,7 +45,7 @@
         """Answer a peer or a caller."""
         if environ['PATH_INFO'] != '/live':
             return self.chunks(environ, start_response)
-        self.agent.upload_share.observe(len(ANSWER), time.monotonic())
+        self.agent.upload_pacer.observe(len(ANSWER), time.monotonic())
         start_response('200 OK', [('Content-Length', str(len(ANSWER)))])
         return [ANSWER]
 
@@ -77,7 +77,7 @@
         rate_bytes_per_s=2 * LINK_BYTES_PER_S, chunk_bytes=CHUNK_BYTES
     )
     source.publish('m', 'v1', SIZE_BYTES)
-    wanted = weights.Wanted('m', 'v1')
+    wanted = weights.TargetVersion('m', 'v1')
     with httpio.HttpServer(source.app, threads=16) as serving:
         address = httpio.Address('127.0.0.1', serving.port)
         fleet = []
@@ -89,7 +89,7 @@
             box.agent.offer(wanted)
         held = [False]
         busy = _ask(fleet[0], lambda: _whole(fleet, wanted, held))
-        whole = [box.agent.wait_whole(wanted, 60.0) for box in fleet]
+        whole = [box.agent.wait_complete(wanted, 60.0) for box in fleet]
         taken_s = time.monotonic() - begin
         for box in fleet:
             box.stop()
@@ -119,7 +119,7 @@
 def _whole(fleet, wanted, held):
     if not held[0]:
         held[0] = all(
-            (one := box.agent.transfer(*wanted.key)) and one.store.whole
+            (one := box.agent.transfer(*wanted.key)) and one.store.is_complete
             for box in fleet
         )
     return held[0]
--- a/benchmarks/bench_weights.py
+++ b/benchmarks/bench_weights.py
@@ -114,7 +114,7 @@
             link=links.Link(shared=case.shared),
             view=weights.TransferView(one.name, members, case.n_chunks),
             strategy=strategy,
-            gate=weights.UploadGate(
+            upload_limiter=weights.UploadLimiter(
                 1.0, strategy.budget_copies, strategy.max_uploads
             ),
         )
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -58,12 +58,12 @@
 class Node:
     """An instance with its link, its view and its gate."""
 
-    def __init__(self, member, link, view, strategy, gate):
+    def __init__(self, member, link, view, strategy, upload_limiter):
         self.member = member
         self.link = link
         self.view = view
         self.strategy = strategy
-        self.gate = gate
+        self.upload_limiter = upload_limiter
         self.alive = True
         self.corrupts = False
         self.poll_set = False
@@ -141,7 +141,7 @@
             self._watch(transfer)
 
     def _wake(self, node):
-        if not node.alive or node.link.stalled or node.view.whole:
+        if not node.alive or node.link.stalled or node.view.is_complete:
             return
         while True:
             pull = node.strategy.choose(node.view, self.now)
@@ -154,7 +154,7 @@
 
     def _poll(self, node):
         node.poll_set = False
-        if not node.alive or node.link.stalled or node.view.whole:
+        if not node.alive or node.link.stalled or node.view.is_complete:
             return
         idle = node.view.n_pulls < node.strategy.max_pulls
         if idle or self.now - node.asked_at >= self.settings.refresh:
@@ -174,8 +174,8 @@
     def _observe(self, node, peer):
         node.view.observe(
             peer.member.name,
-            peer.view.holdings,
-            peer.gate.uploaded_copies(self.now),
+            peer.view.bitmap,
+            peer.upload_limiter.uploaded_copies(self.now),
             self.now,
         )
 
@@ -196,8 +196,8 @@
             late = self.now + self.settings.no_bytes_timeout
             self.at(late, self._fail, node, pull)
             return
-        held = peer.view.holdings >> pull.chunk & 1
-        if held and peer.gate.begin(1 / self.n_chunks, self.now):
+        held = peer.view.bitmap >> pull.chunk & 1
+        if held and peer.upload_limiter.begin(1 / self.n_chunks, self.now):
             self._begin(node, pull, peer)
             return
         self._observe(node, peer)
@@ -273,7 +273,7 @@
         del source.sending[transfer]
         del transfer.target.link.receiving[transfer]
         if transfer.source:
-            transfer.source.gate.end(transfer.left)
+            transfer.source.upload_limiter.end(transfer.left)
         self._rebalance(source, transfer.target.link)
 
     def _end(self, transfer, serial):
@@ -288,7 +288,7 @@
             node.view.fail(transfer.pull, self.now, self.settings.avoid)
         else:
             node.view.finish(transfer.pull, self.now)
-        if node.view.whole:
+        if node.view.is_complete:
             node.done_at = self.now
         self._wake(node)
 
--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -27,7 +27,7 @@
 _CLAIMS = 'catkinshunt/claims/_ledger.py'
 _DOCUMENT = 'catkinshunt/claims/_document.py'
 _ATTEMPTS = 'catkinshunt/claims/_attempts.py'
-_ONCE = 'catkinshunt/entry/_once.py'
+_ONCE = 'catkinshunt/entry/_at_most_once.py'
 _DELIVERY = 'catkinshunt/entry/_delivery.py'
 _RELAY = 'catkinshunt/entry/_relay.py'
 _LINES = 'catkinshunt/entry/_lines.py'
@@ -35,7 +35,7 @@
 _FORWARD = 'catkinshunt/sidecar/_forward.py'
 _SIDECAR = 'catkinshunt/sidecar/_app.py'
 _STORE = 'catkinshunt/weights/_store.py'
-_SLOT = 'catkinshunt/engines/_slot.py'
+_SLOT = 'catkinshunt/engines/_weights_endpoint.py'
 
 MUTATIONS = (
     # At most once.
@@ -188,7 +188,7 @@
     # Queues past capacity.
     Mutation(
         'various-deadlines-are-no-return',
-        'catkinshunt/dispatch/_returning.py',
+        'catkinshunt/dispatch/_client_retry.py',
         'timeouts.max_share >= self.constant_share',
         'True',
     ),
@@ -485,7 +485,7 @@
     ),
     Mutation(
         'takeover-without-stampede',
-        'catkinshunt/weights/_draws.py',
+        'catkinshunt/weights/_origin_fetches.py',
         'if draw.own_at > now:',
         'if False:',
     ),
@@ -518,7 +518,7 @@
     # Configuration and instance list.
     Mutation(
         'revision-only-rises',
-        'catkinshunt/configuration/_keeper.py',
+        'catkinshunt/configuration/_replica.py',
         'if configuration.revision <= self._current.revision:',
         'if False:',
     ),
@@ -573,14 +573,14 @@
     ),
     Mutation(
         'several-peers-at-start',
-        'catkinshunt/dissemination/_spreader.py',
+        'catkinshunt/dissemination/_disseminator.py',
         'START_PEERS = 3',
         'START_PEERS = 1',
     ),
     Mutation(
         'deputy-takes-over',
-        'catkinshunt/dissemination/_duty.py',
-        'if not self.contacts.lost(name)]',
+        'catkinshunt/dissemination/_watch_election.py',
+        'if not self.peer_health.lost(name)]',
         'if True]',
     ),
     # Requests that crash their upstreams.
--- a/catkinshunt/claims/__init__.py
+++ b/catkinshunt/claims/__init__.py
@@ -1,7 +1,7 @@
 """At-most-once records of non-idempotent requests."""
 
 from catkinshunt.claims._attempts import SeenAttempts
-from catkinshunt.claims._document import digest_of
+from catkinshunt.claims._document import compute_request_digest
 from catkinshunt.claims._ledger import Ledger
 from catkinshunt.claims.base import BaseLedger
 from catkinshunt.claims.base import Claim
@@ -15,5 +15,5 @@
     'Outcome',
     'SeenAttempts',
     'State',
-    'digest_of',
+    'compute_request_digest',
 ]
--- a/catkinshunt/claims/_document.py
+++ b/catkinshunt/claims/_document.py
@@ -36,11 +36,11 @@
     return _short_digest(text)
 
 
-def digest_of(method, path, body):
+def compute_request_digest(method, path, body):
     """Return the digest that tells a repeat from another request.
 
     Examples:
-        >>> digest_of('POST', '/', b'1') == digest_of('POST', '/', b'2')
+        >>> compute_request_digest('POST', '/', b'1') == compute_request_digest('POST', '/', b'2')
         False
     """
     head = f'{method} {path}\n'.encode()
--- a/catkinshunt/cli/_edit_push.py
+++ b/catkinshunt/cli/_edit_push.py
@@ -22,7 +22,7 @@
     # Imported here, since only edits need the control channel, and other
     # commands start faster without it.
     from catkinshunt import configuration
-    from catkinshunt.dissemination import peering
+    from catkinshunt.dissemination import grpc_transport
     from catkinshunt import instances
     from catkinshunt import peers
 
@@ -34,7 +34,7 @@
         return 0
     with peers.LoopThread() as loop:
         pool = peers.PeerPool(cfg.deployment_key, loop)
-        operator = peering.GrpcPeering('operator', pool)
+        operator = grpc_transport.GrpcPeerTransport('operator', pool)
         accepted_count = configuration.announce(
             accepted, operator, directory.members
         )
--- a/catkinshunt/configuration/__init__.py
+++ b/catkinshunt/configuration/__init__.py
@@ -10,11 +10,11 @@
 from catkinshunt.configuration._editor import Editor
 from catkinshunt.configuration._edits import Add
 from catkinshunt.configuration._edits import Edit
-from catkinshunt.configuration._edits import HeldRule
+from catkinshunt.configuration._edits import EncodedRule
 from catkinshunt.configuration._edits import Move
 from catkinshunt.configuration._edits import Replace
 from catkinshunt.configuration._edits import Retire
-from catkinshunt.configuration._keeper import Keeper
+from catkinshunt.configuration._replica import ConfigurationReplica
 from catkinshunt.configuration._source import StoreSource
 from catkinshunt.configuration._updates import apply_update
 from catkinshunt.configuration._updates import make_update
@@ -25,9 +25,9 @@
     'EMPTY',
     'Edit',
     'Editor',
-    'HeldRule',
+    'EncodedRule',
     'KEY',
-    'Keeper',
+    'ConfigurationReplica',
     'Move',
     'Replace',
     'Retire',
--- a/catkinshunt/configuration/_announcing.py
+++ b/catkinshunt/configuration/_announcing.py
@@ -12,7 +12,7 @@
 TIMEOUT_S = 3.0
 
 
-def announce(configuration, peering, members, random_state=None, told=TOLD):
+def announce(configuration, transport, members, random_state=None, told=TOLD):
     """Offer `configuration` to random processes until a few have taken it.
 
     The watchers learn it from the key-value service. If that goes down right
@@ -21,7 +21,7 @@
 
     Args:
         configuration: the revision just accepted.
-        peering: a `dissemination.BasePeering`.
+        peering: a `dissemination.BasePeerTransport`.
         members: instances with a control address.
         random_state: seed or `random.Random`.
         told: how many should have taken it.
@@ -35,7 +35,7 @@
     taken = 0
     while chosen and taken < told:
         batch, chosen = chosen[: told - taken], chosen[told - taken :]
-        futs = [peering.offer(peer, update) for peer in batch]
+        futs = [transport.offer(peer, update) for peer in batch]
         concurrent.futures.wait(futs, TIMEOUT_S)
         taken += sum(_took(fut, update) for fut in futs)
     return taken
--- a/catkinshunt/configuration/_configuration.py
+++ b/catkinshunt/configuration/_configuration.py
@@ -28,12 +28,12 @@
     Args:
         revision: counter in the document, raised by each accepted edit; 0
             before the first.
-        held: the rules in order as `HeldRule`.
+        held: the rules in order as `EncodedRule`.
         edits: the last edits, oldest first.
     """
 
     revision: int = 0
-    held: tuple = ()
+    encoded_rules: tuple = ()
     edits: tuple = ()
 
     def __repr__(self):
@@ -63,8 +63,8 @@
             replayed = known and known._replayed_to(found, value)
             if replayed is not None:
                 return replayed
-            held = (_edits.HeldRule.from_document(item) for item in items)
-            return attrs.evolve(found, held=tuple(held))
+            held = (_edits.EncodedRule.from_document(item) for item in items)
+            return attrs.evolve(found, encoded_rules=tuple(held))
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             raise errors.RuleError(
                 f'not a configuration: {exc!r}', step='read-configuration'
@@ -73,13 +73,13 @@
     @functools.cached_property
     def rule_set(self):
         """The rules as `rules.RuleSet`."""
-        return rules.RuleSet(item.rule for item in self.held)
+        return rules.RuleSet(item.rule for item in self.encoded_rules)
 
     @functools.cached_property
     def document(self):
         """The document as bytes; equal configurations give equal bytes."""
         edits = b','.join(edit.line for edit in self.edits)
-        lines = b','.join(item.line for item in self.held)
+        lines = b','.join(item.line for item in self.encoded_rules)
         return b'{"edits":[%b],"revision":%d,"rules":[%b]}' % (
             edits,
             self.revision,
@@ -116,7 +116,7 @@
                 f'edit {edit.revision} does not follow {self.revision}',
                 step='replay',
             )
-        held = list(self.held)
+        held = list(self.encoded_rules)
         for operation in edit.operations:
             operation.apply(held)
         edits = _last_edits((*self.edits, edit))
--- a/catkinshunt/configuration/_differences.py
+++ b/catkinshunt/configuration/_differences.py
@@ -50,4 +50,4 @@
 
 def _hold(rule_set):
     documents = rules.dump_rule_set(rule_set)['rules']
-    return [_edits.HeldRule.from_document(item) for item in documents]
+    return [_edits.EncodedRule.from_document(item) for item in documents]
--- a/catkinshunt/configuration/_editor.py
+++ b/catkinshunt/configuration/_editor.py
@@ -68,7 +68,9 @@
         """
 
         def steps(current):
-            place = len(current.held) if position is None else position
+            place = (
+                len(current.encoded_rules) if position is None else position
+            )
             return (_edits.Add(rule, place),)
 
         return self._edit(steps, expected_revision, dry_run)
@@ -95,8 +97,8 @@
 
         def steps(current):
             items = rules.dump_rule_set(rule_set)['rules']
-            wanted = [_edits.HeldRule.from_document(item) for item in items]
-            return _edits.plan(current.held, wanted)
+            wanted = [_edits.EncodedRule.from_document(item) for item in items]
+            return _edits.plan(current.encoded_rules, wanted)
 
         return self._edit(steps, expected_revision, dry_run)
 
--- a/catkinshunt/configuration/_edits.py
+++ b/catkinshunt/configuration/_edits.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class HeldRule:
+class EncodedRule:
     """A rule with its canonical JSON, so that neither is made twice."""
 
     rule: rules.Rule
@@ -39,7 +39,7 @@
 
     @abc.abstractmethod
     def apply(self, held):
-        """Carry the step out on the list `held` of `HeldRule`, in place."""
+        """Carry the step out on the list `encoded_rules` of `EncodedRule`, in place."""
 
     @abc.abstractmethod
     def describe(self):
@@ -62,7 +62,7 @@
 
     def apply(self, held):
         """See `BaseOperation.apply`."""
-        new = HeldRule.from_document(self.rule)
+        new = EncodedRule.from_document(self.rule)
         if _names(held).count(new.rule.name):
             _fail(f'rule {new.rule.name!r} exists already')
         _check_position(self.position, len(held))
@@ -83,7 +83,7 @@
 
     def apply(self, held):
         """See `BaseOperation.apply`."""
-        new = HeldRule.from_document(self.rule)
+        new = EncodedRule.from_document(self.rule)
         held[_find(held, new.rule.name)] = new
 
     def describe(self):
@@ -188,8 +188,8 @@
     """Return the operations that lead from one list of rules to another.
 
     Args:
-        current: list of `HeldRule` in force.
-        wanted: list of `HeldRule` to be in force.
+        current: list of `EncodedRule` in force.
+        wanted: list of `EncodedRule` to be in force.
 
     Returns:
         A tuple of operations; empty where the lists are equal.
--- a/catkinshunt/configuration/_keeper.py
+++ b/catkinshunt/configuration/_replica.py
@@ -12,18 +12,18 @@
 _log = logs.get_logger('configuration')
 
 
-class Keeper(base.BaseReplica):
+class ConfigurationReplica(base.BaseReplica):
     """Holds the newest configuration that the process has learnt of.
 
     However it is learnt - by a watch, a push, a pull, an old read - only a
     higher revision takes the place of the one in force, so it never reverts.
 
     Examples:
-        >>> keeper = Keeper()
+        >>> config_replica = ConfigurationReplica()
         >>> first = _configuration.Configuration(revision=1)
-        >>> keeper.offer(first, now=0.0), keeper.offer(first, now=1.0)
+        >>> config_replica.offer(first, now=0.0), config_replica.offer(first, now=1.0)
         (True, False)
-        >>> keeper.current
+        >>> config_replica.current
         Configuration(revision=1)
     """
 
@@ -87,12 +87,12 @@
         with self._changed:
             self._callbacks.append(callback)
 
-    def listen(self, callback):
+    def on_newer_revision(self, callback):
         """Call ``callback(revision, now)`` where others have a newer one."""
         with self._changed:
             self._listeners.append(callback)
 
-    def hear(self, text, now):
+    def observe_revision(self, text, now):
         """Note the revision that a message of another process carries.
 
         Args:
--- a/catkinshunt/configuration/_source.py
+++ b/catkinshunt/configuration/_source.py
@@ -17,14 +17,14 @@
 
     Args:
         store: a `kvstore.BaseKeyValueStore`.
-        keeper: the process's `Keeper`.
+        keeper: the process's `ConfigurationReplica`.
     """
 
     topic = _updates.TOPIC
 
-    def __init__(self, store, keeper):
+    def __init__(self, store, config_replica):
         self.store = store
-        self.keeper = keeper
+        self.config_replica = config_replica
         self._seen = 0
 
     def fetch(self, wait_s):
@@ -39,10 +39,10 @@
         self._seen = entry.revision
         try:
             found = _configuration.Configuration.from_bytes(
-                entry.value, known=self.keeper.current
+                entry.value, known=self.config_replica.current
             )
         except errors.RuleError as exc:
             # Somebody wrote past the editor. The rules in force stay.
             _log.error('Stored configuration is not usable: {}', exc)
             return
-        self.keeper.offer(found, time.monotonic())
+        self.config_replica.offer(found, time.monotonic())
--- a/catkinshunt/configuration/tests/test_configuration.py
+++ b/catkinshunt/configuration/tests/test_configuration.py
@@ -29,7 +29,9 @@
         history[8].document, known=known
     )
     assert found.document == history[8].document
-    for ours, theirs in zip(found.held, known.held, strict=False):
+    for ours, theirs in zip(
+        found.encoded_rules, known.encoded_rules, strict=False
+    ):
         assert ours is theirs
 
 
@@ -47,6 +49,6 @@
     found = configuration.Configuration.from_bytes(
         value, known=None if known is None else history[known]
     )
-    assert [item.rule.name for item in found.held] == [
+    assert [item.rule.name for item in found.encoded_rules] == [
         f'r{number}' for number in reversed(range(6))
     ]
--- a/catkinshunt/configuration/tests/test_updates.py
+++ b/catkinshunt/configuration/tests/test_updates.py
@@ -81,24 +81,26 @@
 def test_the_configuration_in_force_never_reverts(order):
     """Old reads, pushes and pulls arrive in any order and more than once."""
     history = _history(6)
-    keeper = configuration.Keeper()
+    config_replica = configuration.ConfigurationReplica()
     told = []
-    keeper.subscribe(lambda found: told.append(found.revision))
+    config_replica.subscribe(lambda found: told.append(found.revision))
     highest = 0
     for now, revision in enumerate(order):
-        taken = keeper.offer(history[revision], float(now))
+        taken = config_replica.offer(history[revision], float(now))
         assert taken == (revision > highest)
         highest = max(highest, revision)
-        assert keeper.current is history[highest]
+        assert config_replica.current is history[highest]
     assert told == sorted(set(told))
 
 
 def test_wait_returns_when_a_newer_one_is_in_force():
     history = _history(1)
-    keeper = configuration.Keeper()
-    thread = threading.Thread(target=keeper.offer, args=(history[1], 0.0))
+    config_replica = configuration.ConfigurationReplica()
+    thread = threading.Thread(
+        target=config_replica.offer, args=(history[1], 0.0)
+    )
     thread.start()
-    assert keeper.wait(0, timeout_s=10).revision == 1
+    assert config_replica.wait(0, timeout_s=10).revision == 1
     thread.join()
 
 
@@ -108,17 +110,17 @@
     The rules in force must stay, and the next good edit be taken.
     """
     store = fakes.FakeStore()
-    keeper = configuration.Keeper()
-    source = configuration.StoreSource(store, keeper)
+    config_replica = configuration.ConfigurationReplica()
+    source = configuration.StoreSource(store, config_replica)
     history = _history(2, store)
     source.fetch(wait_s=1)
     broken = store.put(configuration.KEY, b'{"rules": 3}', 2)
     source.fetch(wait_s=1)
-    assert keeper.current.document == history[2].document
+    assert config_replica.current.document == history[2].document
     third = history[2].edited('x', (configuration.Retire('r0'),))
     store.put(configuration.KEY, third.document, broken)
     source.fetch(wait_s=1)
-    assert keeper.revision == 3
+    assert config_replica.revision == 3
 
 
 def test_a_rules_file_with_comments_is_read(tmp_path):
--- a/catkinshunt/control/_headers.py
+++ b/catkinshunt/control/_headers.py
@@ -7,7 +7,7 @@
 from catkinshunt.httpio import headers
 
 
-class RevisionApp(base.ParamsMixin):
+class RevisionMiddleware(base.ParamsMixin):
     """Wraps a WSGI application that other processes of the system call.
 
     It notes the revision that a request names and names its own in the
@@ -16,13 +16,13 @@
 
     Args:
         app: the application.
-        keeper: `configuration.Keeper` of the process.
+        keeper: `configuration.ConfigurationReplica` of the process.
         key: the deployment's key; requests without it are not believed.
     """
 
-    def __init__(self, app, keeper, key):
+    def __init__(self, app, config_replica, key):
         self.app = app
-        self.keeper = keeper
+        self.config_replica = config_replica
         self.key = key
 
     def __repr__(self):
@@ -33,10 +33,10 @@
         """Answer one request."""
         revision = environ.get(_name(headers.REVISION))
         if revision and self._is_ours(environ):
-            self.keeper.hear(revision, time.monotonic())
+            self.config_replica.observe_revision(revision, time.monotonic())
 
         def start(status, fields, *exc_info):
-            own = (headers.REVISION, str(self.keeper.revision))
+            own = (headers.REVISION, str(self.config_replica.revision))
             return start_response(status, [*fields, own], *exc_info)
 
         return self.app(environ, start)
--- a/catkinshunt/control/_placement.py
+++ b/catkinshunt/control/_placement.py
@@ -42,13 +42,13 @@
         return Placement(rule)
     place = rule.then
     if place.replicas is not None:
-        names = find_holders(rule_set, instance, instances)
+        names = find_replica_names(rule_set, instance, instances)
         if instance.name not in names:
             return Placement(rule)
     return Placement(rule, place)
 
 
-def find_holders(rule_set, instance, instances):
+def find_replica_names(rule_set, instance, instances):
     """Return the names of the instances that hold what `instance` may hold.
 
     Args:
--- a/catkinshunt/control/_plane.py
+++ b/catkinshunt/control/_plane.py
@@ -3,7 +3,7 @@
 from catkinshunt import base
 from catkinshunt import configuration
 from catkinshunt import dissemination
-from catkinshunt.dissemination import peering
+from catkinshunt.dissemination import grpc_transport
 from catkinshunt import errors
 from catkinshunt import httpio
 from catkinshunt import instances
@@ -20,10 +20,10 @@
     Args:
         cfg: `settings.EntrySettings` or `settings.SidecarSettings`.
         pull_period_s: mean seconds between pulls from peers.
-        watch_s: seconds that a watch of the key-value service waits.
+        watch_wait_s: seconds that a watch of the key-value service waits.
 
     Attributes:
-        keeper: `configuration.Keeper`, the rules in force.
+        keeper: `configuration.ConfigurationReplica`, the rules in force.
         directory: `instances.Directory`, the instances known.
         loop: `peers.LoopThread` of the process.
         pool: `peers.PeerPool` for calls to other processes.
@@ -33,12 +33,12 @@
         self,
         cfg,
         pull_period_s=dissemination.PULL_PERIOD_S,
-        watch_s=dissemination.WATCH_S,
+        watch_wait_s=dissemination.WATCH_WAIT_S,
     ):
         self.cfg = cfg
         self.pull_period_s = pull_period_s
-        self.watch_s = watch_s
-        self.keeper = configuration.Keeper()
+        self.watch_wait_s = watch_wait_s
+        self.config_replica = configuration.ConfigurationReplica()
         self.directory = instances.Directory()
         self.loop = peers.LoopThread()
         self.pool = peers.PeerPool(cfg.deployment_key, self.loop)
@@ -63,15 +63,18 @@
         """Listen, learn what the others know, then keep up with them."""
         self.loop.start()
         self._server = peers.PeerServer(
-            [peering.Handler(self._spreader)],
+            [grpc_transport.Handler(self._disseminator)],
             self.cfg.host,
             self.cfg.control_port,
             self.cfg.deployment_key,
             self.loop,
         ).start()
         self._fetch(self._list_source)
-        self._spreader.start()
-        if self.keeper.revision == 0 and not self._spreader.answered:
+        self._disseminator.start()
+        if (
+            self.config_replica.revision == 0
+            and not self._disseminator.answered
+        ):
             # Nobody to ask. One read brings the rules, if the service is up.
             self._fetch(self._store_source)
         for watcher in self._watchers:
@@ -85,7 +88,7 @@
         for watcher in self._watchers:
             watcher.stop()
         self._server.stop()
-        self._spreader.stop()
+        self._disseminator.stop()
         self.pool.close()
         self.loop.stop()
         self._server = None
@@ -95,17 +98,19 @@
         store = kvstore.HttpKeyValueStore(
             httpio.Address.parse(platform.key_value)
         )
-        self._store_source = configuration.StoreSource(store, self.keeper)
+        self._store_source = configuration.StoreSource(
+            store, self.config_replica
+        )
         self._list_source = instances.ListSource(
             httpio.Address.parse(platform.instance_list),
             self.directory,
             platform.instance_list_period_s,
         )
-        self._spreader = dissemination.Spreader(
+        self._disseminator = dissemination.Disseminator(
             cfg.name,
             cfg.data_centre,
-            (self.keeper, self.directory),
-            peering.GrpcPeering(cfg.name, self.pool),
+            (self.config_replica, self.directory),
+            grpc_transport.GrpcPeerTransport(cfg.name, self.pool),
             self._members,
             pull_period_s=self.pull_period_s,
         )
@@ -113,23 +118,25 @@
             self._make_watcher(source)
             for source in (self._store_source, self._list_source)
         ]
-        self._spreader.duties = [watcher.duty for watcher in self._watchers]
-        self.keeper.subscribe(self._spreader.wake)
-        self.keeper.listen(
-            lambda revision, now: self._spreader.hint(
-                self.keeper.topic, revision, now
+        self._disseminator.elections = [
+            watcher.election for watcher in self._watchers
+        ]
+        self.config_replica.subscribe(self._disseminator.wake)
+        self.config_replica.on_newer_revision(
+            lambda revision, now: self._disseminator.observe_revision(
+                self.config_replica.topic, revision, now
             )
         )
 
     def _make_watcher(self, source):
-        duty = dissemination.Duty(
+        election = dissemination.WatchElection(
             source.topic,
             self.cfg.name,
             self.cfg.data_centre,
-            self._spreader.contacts,
+            self._disseminator.peer_health,
         )
         return dissemination.Watcher(
-            source, duty, self._members, wait_s=self.watch_s
+            source, election, self._members, wait_s=self.watch_wait_s
         )
 
     def _members(self):
--- a/catkinshunt/control/tests/test_plane.py
+++ b/catkinshunt/control/tests/test_plane.py
@@ -54,7 +54,7 @@
                 instance_list_period_s=0.1,
             ),
         )
-        return control.ControlPlane(cfg, pull_period_s=0.1, watch_s=1.0)
+        return control.ControlPlane(cfg, pull_period_s=0.1, watch_wait_s=1.0)
 
     def list_plane(self, plane):
         """Show a started plane in the list."""
@@ -105,7 +105,7 @@
 
 
 def _watchers(planes):
-    topic = configuration.Keeper.topic
+    topic = configuration.ConfigurationReplica.topic
     return [plane for plane in planes if topic in plane.watching]
 
 
@@ -113,10 +113,10 @@
     wait_until(lambda: len(_watchers(planes)) == 2)
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in planes:
-        assert plane.keeper.wait(0, WAIT_S).revision == 1
+        assert plane.config_replica.wait(0, WAIT_S).revision == 1
     platform.editor.add(store_fakes.make_rule('b'))
     for plane in planes:
-        assert plane.keeper.wait(1, WAIT_S).revision == 2
+        assert plane.config_replica.wait(1, WAIT_S).revision == 2
     assert len(_watchers(planes)) == 2
 
 
@@ -129,16 +129,16 @@
     """
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in planes:
-        plane.keeper.wait(0, WAIT_S)
+        plane.config_replica.wait(0, WAIT_S)
     platform.set_down(True)
     with platform.make_plane('new') as plane:
-        assert plane.keeper.revision == 1
+        assert plane.config_replica.revision == 1
         platform.list_plane(plane)
         wait_until(lambda: len(planes[0].directory.members) == 6)
     platform.set_down(False)
     platform.editor.add(store_fakes.make_rule('b'))
     for plane in planes:
-        assert plane.keeper.wait(1, WAIT_S).revision == 2
+        assert plane.config_replica.wait(1, WAIT_S).revision == 2
 
 
 def test_another_process_watches_when_a_watcher_dies(platform, planes):
@@ -154,7 +154,7 @@
     wait_until(lambda: len(_watchers(alive)) == 2)
     platform.editor.add(store_fakes.make_rule('a'))
     for plane in alive:
-        assert plane.keeper.wait(0, WAIT_S).revision == 1
+        assert plane.config_replica.wait(0, WAIT_S).revision == 1
 
 
 def test_an_edit_is_in_force_though_the_service_fails_right_after_it(
@@ -179,7 +179,7 @@
     platform.editor.add(store_fakes.make_rule('a'))
     platform.set_down(True)
     for plane in planes:
-        assert plane.keeper.wait(0, WAIT_S).revision == 1
+        assert plane.config_replica.wait(0, WAIT_S).revision == 1
 
 
 def _fail(wait_s):
@@ -189,9 +189,9 @@
 def test_a_lone_process_reads_the_service_itself(platform):
     platform.editor.add(store_fakes.make_rule('a'))
     with platform.make_plane('i0') as plane:
-        assert plane.keeper.revision == 1
+        assert plane.config_replica.revision == 1
         platform.editor.add(store_fakes.make_rule('b'))
-        assert plane.keeper.wait(1, WAIT_S).revision == 2
+        assert plane.config_replica.wait(1, WAIT_S).revision == 2
 
 
 def test_a_process_of_another_deployment_changes_nothing(platform, planes):
@@ -200,14 +200,14 @@
     found = configuration.EMPTY.edited(
         'x', (configuration.Add(store_fakes.make_rule('x'), 0),)
     )
-    stranger.keeper.offer(found, now=0.0)
+    stranger.config_replica.offer(found, now=0.0)
     with stranger:
         platform.list_plane(stranger)
         wait_until(lambda: len(planes[0].directory.members) == 6)
         platform.editor.add(store_fakes.make_rule('a'))
         for plane in planes:
-            held = plane.keeper.wait(0, WAIT_S)
-            assert [item.rule.name for item in held.held] == ['a']
+            held = plane.config_replica.wait(0, WAIT_S)
+            assert [item.rule.name for item in held.encoded_rules] == ['a']
 
 
 class FakeApp:
@@ -234,10 +234,10 @@
 
     Only our own processes are believed; a caller must not make us pull.
     """
-    keeper = configuration.Keeper()
+    config_replica = configuration.ConfigurationReplica()
     noted = []
-    keeper.listen(lambda number, now: noted.append(number))
-    app = control.RevisionApp(FakeApp(), keeper, KEY)
+    config_replica.on_newer_revision(lambda number, now: noted.append(number))
+    app = control.RevisionMiddleware(FakeApp(), config_replica, KEY)
     environ = {
         'HTTP_CATKINSHUNT_REVISION': revision,
         'HTTP_CATKINSHUNT_KEY': key,
--- a/catkinshunt/dispatch/__init__.py
+++ b/catkinshunt/dispatch/__init__.py
@@ -7,7 +7,7 @@
 from catkinshunt.dispatch._choice import predict_delay_s
 from catkinshunt.dispatch._choice import prefill_s
 from catkinshunt.dispatch._correction import DelayCorrector
-from catkinshunt.dispatch._returning import ReturningRequestDetector
+from catkinshunt.dispatch._client_retry import ClientRetryDetector
 from catkinshunt.dispatch._state import Job
 from catkinshunt.dispatch._state import Load
 from catkinshunt.dispatch._state import Rank
@@ -21,7 +21,7 @@
     'Job',
     'Load',
     'Rank',
-    'ReturningRequestDetector',
+    'ClientRetryDetector',
     'UpstreamState',
     'UpstreamTracker',
     'first_token_s',
--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -72,14 +72,14 @@
     preceding = [
         other
         for other in state.jobs
-        if other.answering or other.rank < _state.Rank.LATE
+        if other.reply_started or other.rank < _state.Rank.LATE
     ]
     others = state.other_requests(now)
-    count = len(preceding) + state.asking + others
+    count = len(preceding) + state.pending_permit_requests + others
     if engine is None:
         return PLAIN_REQUEST_S * (1 + max(0.0, count + 1 - slots) / slots)
     prefill_tokens = sum(
-        other.tokens_in for other in preceding if not other.answering
+        other.tokens_in for other in preceding if not other.reply_started
     )
     waiting = state.load.waiting if state.load and others else 0
     prefill_tokens += min(waiting, others) * engine.mean_prompt_tokens
--- a/catkinshunt/dispatch/_returning.py
+++ b/catkinshunt/dispatch/_client_retry.py
@@ -62,7 +62,7 @@
         self.first_attempt = (min_s - MARGIN_SHARE * ordered[-1], median_s)
 
 
-class ReturningRequestDetector(base.ParamsMixin):
+class ClientRetryDetector(base.ParamsMixin):
     """Estimates from its timeout how long a returning request has waited.
 
     A client that retries after a rejection sends a shorter timeout but not
@@ -78,7 +78,7 @@
             on any shorter timeout marks a retry.
 
     Examples:
-        >>> detector = ReturningRequestDetector()
+        >>> detector = ClientRetryDetector()
         >>> waited = [detector.waited_s('chat', 6.0, 1.0) for _ in range(20)]
         >>> detector.waited_s('chat', 5.5, now=1.0)
         0.5
--- a/catkinshunt/dispatch/_correction.py
+++ b/catkinshunt/dispatch/_correction.py
@@ -43,7 +43,7 @@
         self._observed_at = 0.0
 
     def observe(self, predicted_s, delay_s, now):
-        """Record the delay of a request of rank `Rank.ON_TIME`.
+        """Record the delay of a request of rank `Rank.EARLY`.
 
         Args:
             predicted_s: predicted seconds, without correction.
@@ -72,8 +72,8 @@
         if waited_s + predicted_s > goal_s:
             return _state.Rank.LATE
         if waited_s + self.correct(predicted_s, now) > goal_s:
-            return _state.Rank.AT_RISK
-        return _state.Rank.ON_TIME
+            return _state.Rank.DOUBTFUL
+        return _state.Rank.EARLY
 
     def scale(self, now):
         """Return the correction factor, at least 1."""
--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -26,13 +26,13 @@
 class Rank(enum.IntEnum):
     """Order of requests in the queue of an engine; lower ranks go first.
 
-    `AT_RISK` requests are in time by the prediction but not after its
+    `DOUBTFUL` requests are in time by the prediction but not after its
     correction by recent delays. They keep their own rank, so that a wrong
     correction gives no worse an order than the prediction alone.
     """
 
-    ON_TIME = 0
-    AT_RISK = 1
+    EARLY = 0
+    DOUBTFUL = 1
     LATE = 2
 
 
@@ -65,8 +65,8 @@
 
     tokens_in: int = 0
     tokens_out: int = 0
-    answering: bool = False
-    rank: Rank = Rank.ON_TIME
+    reply_started: bool = False
+    rank: Rank = Rank.EARLY
     predicted_s: float = 0.0
 
 
@@ -85,7 +85,7 @@
             None while no reply is due.
         failures_in_row: refused connections since the last success.
         paused_until: end of the pause.
-        versions_at_rest: versions that the upstream served when a pause
+        versions_at_pause: versions that the upstream served when a pause
             began that ends with a change of them; None for any other pause.
 
     Examples:
@@ -99,14 +99,14 @@
     """
 
     jobs: set = attrs.field(factory=set)
-    asking: int = 0
+    pending_permit_requests: int = 0
     load: Load | None = None
     load_reported_at: float = 0.0
     own_requests_at_load: int = 0
     reply_due_since: float | None = None
     failures_in_row: int = 0
     paused_until: float = 0.0
-    versions_at_rest: dict | None = None
+    versions_at_pause: dict | None = None
     _failure_rate: float = 0.0
     _failure_rate_at: float = 0.0
 
@@ -132,7 +132,9 @@
         """Record a load reported by the upstream."""
         self.load = load
         self.load_reported_at = now
-        self.own_requests_at_load = len(self.jobs) + self.asking
+        self.own_requests_at_load = (
+            len(self.jobs) + self.pending_permit_requests
+        )
 
     def is_unresponsive(self, now):
         """Return whether replies are due but no byte arrives."""
@@ -152,14 +154,14 @@
         self._failure_rate = rate + (1 - rate) * FAILURE_WEIGHT
         self._failure_rate_at = now
 
-    def back_off(self, now):
+    def record_refused_connection(self, now):
         """Record a failure and pause with exponential back-off."""
         pause_s = INITIAL_BACK_OFF_S * 2**self.failures_in_row
         self.paused_until = now + min(pause_s, MAX_BACK_OFF_S)
         self.failures_in_row += 1
         self.record_failure(now)
 
-    def rest(self, now, pause_s, versions=None):
+    def pause(self, now, pause_s, versions=None):
         """Pause the upstream for `pause_s` seconds without a failure.
 
         Args:
@@ -169,7 +171,7 @@
                 end as soon as they change; None otherwise.
         """
         self.paused_until = max(self.paused_until, now + pause_s)
-        self.versions_at_rest = versions
+        self.versions_at_pause = versions
 
     def is_paused(self, now, versions=None):
         """Return whether the upstream is paused.
@@ -180,7 +182,7 @@
         """
         if now >= self.paused_until:
             return False
-        before = self.versions_at_rest
+        before = self.versions_at_pause
         return before is None or before == versions
 
     def failure_rate(self, now):
--- a/catkinshunt/dispatch/tests/simulation.py
+++ b/catkinshunt/dispatch/tests/simulation.py
@@ -75,7 +75,7 @@
     def _decode(self, request, end):
         if request.first_s is None:
             request.first_s = end - request.arrived_at
-            request.job.answering = True
+            request.job.reply_started = True
         request.remaining_output -= ENGINE.steps_per_pass
         if request.remaining_output <= 0:
             self.running.remove(request)
--- a/catkinshunt/dispatch/tests/test_choice.py
+++ b/catkinshunt/dispatch/tests/test_choice.py
@@ -27,11 +27,11 @@
     return chooser.choose(upstreams, tracker, engine, job, now, avoid)
 
 
-def fill(tracker, upstream, jobs, now=0.0, tokens=1000, answering=False):
+def fill(tracker, upstream, jobs, now=0.0, tokens=1000, reply_started=False):
     state = tracker.state(upstream)
     for _ in range(jobs):
         job = state.begin(dispatch.Job(tokens), now)
-        job.answering = answering
+        job.reply_started = reply_started
     return state
 
 
@@ -51,8 +51,8 @@
 def test_engine_with_a_free_slot_is_preferred():
     first, second = upstream('u1'), upstream('u2')
     tracker = dispatch.UpstreamTracker()
-    fill(tracker, first, 17, answering=True)
-    fill(tracker, second, 15, answering=True)
+    fill(tracker, first, 17, reply_started=True)
+    fill(tracker, second, 15, reply_started=True)
     assert choose([first, second], tracker).upstream is second
 
 
@@ -132,7 +132,7 @@
     state = dispatch.UpstreamState()
     pauses = []
     for _ in range(5):
-        state.back_off(now=0.0)
+        state.record_refused_connection(now=0.0)
         pauses.append(state.paused_until)
     assert pauses == [0.4, 0.8, 1.6, 3.2, 4.0]
 
@@ -150,7 +150,7 @@
     fixed length leaves it idle after it has loaded.
     """
     state = dispatch.UpstreamState()
-    state.rest(now=0.0, pause_s=2.5, versions={'drafts': 1})
+    state.pause(now=0.0, pause_s=2.5, versions={'drafts': 1})
     assert state.is_paused(now=1.0, versions={'drafts': 1})
     assert not state.is_paused(now=1.0, versions={'drafts': 2})
     assert not state.is_paused(now=3.0, versions={'drafts': 1})
--- a/catkinshunt/dispatch/tests/test_returning.py
+++ b/catkinshunt/dispatch/tests/test_client_retry.py
@@ -6,7 +6,7 @@
 
 
 def test_shorter_timeout_marks_a_returning_request():
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     assert detector.waited_s('chat', 5.2, 1.0) == pytest.approx(0.8)
@@ -19,7 +19,7 @@
     without a burst and wait behind the others in every queue.
     """
     rng = random.Random(3)
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     detected = [
         detector.waited_s('chat', rng.uniform(4.8, 6.0), 1.0)
         for _ in range(500)
@@ -30,7 +30,7 @@
 def test_many_returning_requests_are_detected():
     """Two in five requests of a burst are returning ones."""
     rng = random.Random(4)
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     detected = []
@@ -45,7 +45,7 @@
 
 
 def test_services_are_tracked_separately():
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     for _ in range(20):
         detector.waited_s('chat', 6.0, 1.0)
     assert detector.waited_s('desk', 1.5, 1.0) == 0.0
@@ -53,7 +53,7 @@
 
 def test_first_request_may_be_a_returning_one():
     """An entry starts during a burst."""
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     detector.waited_s('chat', 4.0, 1.0)
     assert detector.waited_s('chat', 6.0, 1.0) == 0.0
     assert detector.waited_s('chat', 4.0, 1.0) == pytest.approx(2.0)
@@ -66,7 +66,7 @@
     it gets a permit with which another request would have been in time.
     """
     rng = random.Random(5)
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     for _ in range(60):
         detector.waited_s('chat', rng.uniform(5.1, 6.0), 1.0)
     detector.record_rejection(2.0)
@@ -85,7 +85,7 @@
 def test_timeouts_during_a_burst_are_not_sampled():
     """Many of them belong to returning requests."""
     rng = random.Random(6)
-    detector = dispatch.ReturningRequestDetector()
+    detector = dispatch.ClientRetryDetector()
     for _ in range(60):
         detector.waited_s('chat', rng.uniform(5.1, 6.0), 1.0)
     detector.record_rejection(2.0)
--- a/catkinshunt/dissemination/_spreader.py
+++ b/catkinshunt/dissemination/_disseminator.py
@@ -19,7 +19,7 @@
 _log = logs.get_logger('dissemination')
 
 
-class Spreader(base.BaseService):
+class Disseminator(base.BaseService):
     """Pushes what is new to a few neighbours, and pulls from one in turn.
 
     Each process that learns of a revision offers it once to `fanout`
@@ -31,10 +31,10 @@
         name: name of the own instance.
         data_centre: data centre of the own instance.
         replicas: the `BaseReplica` of each topic.
-        peering: a `BasePeering`.
+        peering: a `BasePeerTransport`.
         members: function that returns the instances with a control address
             as a tuple, the same object while unchanged.
-        duties: the `Duty` of each source, for its probes.
+        duties: the `WatchElection` of each source, for its probes.
         fanout: neighbours that get each new revision.
         pull_period_s: mean seconds between pulls.
         random_state: seed or `random.Random`.
@@ -48,9 +48,9 @@
         name,
         data_centre,
         replicas,
-        peering,
+        transport,
         members,
-        duties=(),
+        elections=(),
         fanout=FANOUT,
         pull_period_s=PULL_PERIOD_S,
         random_state=None,
@@ -58,14 +58,14 @@
         self.name = name
         self.data_centre = data_centre
         self.replicas = replicas
-        self.peering = peering
+        self.transport = transport
         self.members = members
-        self.duties = duties
+        self.elections = elections
         self.fanout = fanout
         self.pull_period_s = pull_period_s
         self.random_state = random_state
         self.neighbours = _neighbours.Neighbours(name, data_centre)
-        self.contacts = self.neighbours.contacts
+        self.peer_health = self.neighbours.peer_health
         self.answered = 0
         self._by_topic = {replica.topic: replica for replica in replicas}
         self._pushed = {replica.topic: 0 for replica in replicas}
@@ -100,7 +100,7 @@
         with self._wake:
             self._wake.notify()
 
-    def hint(self, topic, revision, now, name=''):
+    def observe_revision(self, topic, revision, now, name=''):
         """Note that a peer holds `revision`; pull from it if it is newer.
 
         Args:
@@ -120,13 +120,13 @@
             self._behind = name
             self._wake.notify()
 
-    def receive(self, update, sender, now):
+    def handle_offer(self, update, sender, now):
         """Take an `Update` that the peer `sender` offers.
 
         Returns:
             The revision held after it.
         """
-        self.contacts.observe(sender, True, now)
+        self.peer_health.observe(sender, True, now)
         replica = self._by_topic.get(update.topic)
         if replica is None:
             return 0
@@ -136,18 +136,18 @@
         except errors.PeerError as exc:
             # Edits are missing in between; the sender has them.
             _log.info('Update {} asked for whole: {}', update.revision, exc)
-            self.hint(update.topic, update.revision, now, sender)
+            self.observe_revision(update.topic, update.revision, now, sender)
         return replica.revision
 
-    def answer(self, held, sender, now):
+    def handle_pull(self, held, sender, now):
         """Return the updates for a peer that holds the revisions `held`."""
-        self.contacts.observe(sender, True, now)
+        self.peer_health.observe(sender, True, now)
         updates = []
         for topic, replica in self._by_topic.items():
             revision = held.get(topic, 0)
             if revision < replica.revision:
                 updates.append(replica.make_update(revision))
-            self.hint(topic, revision, now, sender)
+            self.observe_revision(topic, revision, now, sender)
         return tuple(updates)
 
     def push(self, now):
@@ -161,7 +161,7 @@
             update = replica.make_update(before)
             members = self.members()
             for peer in self.neighbours.choose(members, self.fanout, now):
-                fut = self.peering.offer(peer, update)
+                fut = self.transport.offer(peer, update)
                 fut.add_done_callback(
                     functools.partial(self._offered, peer, topic, now)
                 )
@@ -230,10 +230,10 @@
 
     def _choose_probe(self, members, now):
         """Every other pull goes to a watcher, if we are its deputy."""
-        if not self.duties or self._random.random() < 0.5:
+        if not self.elections or self._random.random() < 0.5:
             return None
-        duty = self._random.choice(self.duties)
-        name = duty.choose_probe(members, self._random)
+        election = self._random.choice(self.elections)
+        name = election.choose_probe(members, self._random)
         return self.neighbours.find(members, name, now) if name else None
 
     def _ask(self, peer):
@@ -241,7 +241,7 @@
             topic: replica.revision
             for topic, replica in self._by_topic.items()
         }
-        return self.peering.pull(peer, held)
+        return self.transport.pull(peer, held)
 
     def _take(self, peer, fut, now):
         """Wait for a peer's updates and apply them; return its success."""
@@ -249,9 +249,9 @@
             updates = fut.result(timeout=2 * CALL_S)
         except (errors.PeerError, TimeoutError) as exc:
             _log.debug('No pull from {}: {}', peer.name, exc)
-            self.contacts.observe(peer.name, False, now)
+            self.peer_health.observe(peer.name, False, now)
             return False
-        self.contacts.observe(peer.name, True, now)
+        self.peer_health.observe(peer.name, True, now)
         for update in updates:
             self._apply_pulled(update, peer, now)
         return True
@@ -272,9 +272,9 @@
 
     def _offered(self, peer, topic, now, fut):
         exc = fut.exception()
-        self.contacts.observe(peer.name, exc is None, now)
+        self.peer_health.observe(peer.name, exc is None, now)
         if exc is None:
-            self.hint(topic, fut.result(), now, peer.name)
+            self.observe_revision(topic, fut.result(), now, peer.name)
 
     def _prepare(self):
         if self._random is None:
--- a/catkinshunt/dissemination/_neighbours.py
+++ b/catkinshunt/dissemination/_neighbours.py
@@ -2,7 +2,7 @@
 
 from catkinshunt import base
 from catkinshunt import checks
-from catkinshunt.dissemination import _contacts
+from catkinshunt.dissemination import _peer_health
 
 LOCAL = 8
 REMOTE = 2
@@ -42,7 +42,7 @@
         self.remote = remote
         self.rotate_s = rotate_s
         self.random_state = random_state
-        self.contacts = _contacts.Contacts()
+        self.peer_health = _peer_health.PeerHealth()
         self._random = None
         self._members = None
         self._local_names = []
@@ -60,7 +60,7 @@
         """
         self._refresh(members, now)
         usable = [
-            name for name in self._chosen if self.contacts.check(name, now)
+            name for name in self._chosen if self.peer_health.check(name, now)
         ]
         # Where all failed, calling one of them is still the only way on.
         usable = usable or self._chosen
@@ -77,7 +77,11 @@
             self._take(members)
         if self._rotate_at is None:
             self._rotate_at = now + self.rotate_s
-        lost = [name for name in self._chosen if self.contacts.lost(name)]
+        lost = [
+            name
+            for name in self._chosen
+            if self.peer_health.is_unresponsive(name)
+        ]
         if now >= self._rotate_at and self._chosen:
             self._rotate_at = now + self.rotate_s
             lost.append(self._random.choice(self._chosen))
@@ -99,7 +103,7 @@
             near = member.data_centre == self.data_centre
             names = self._local_names if near else self._remote_names
             names.append(member.name)
-        self.contacts.forget(self._by_name)
+        self.peer_health.forget(self._by_name)
         # Few of one kind leave room for more of the other.
         room = self.local + self.remote
         local = max(self.local, room - len(self._remote_names))
@@ -126,6 +130,9 @@
         # long outage would cost more than the calls themselves.
         for _ in range(EXCHANGE_TRIES):
             other = self._random.choice(names)
-            if other not in self._chosen and not self.contacts.lost(other):
+            if (
+                other not in self._chosen
+                and not self.peer_health.is_unresponsive(other)
+            ):
                 self._chosen[self._chosen.index(name)] = other
                 return
--- a/catkinshunt/dissemination/_contacts.py
+++ b/catkinshunt/dissemination/_peer_health.py
@@ -18,7 +18,7 @@
     retry_at: float
 
 
-class Contacts(base.ParamsMixin):
+class PeerHealth(base.ParamsMixin):
     """Remembers peers that failed; leaves them alone, then tries again.
 
     Args:
@@ -26,15 +26,15 @@
         max_backoff_s: longest pause.
 
     Examples:
-        >>> contacts = Contacts(backoff_s=1.0)
-        >>> contacts.observe('a', False, now=0.0)
-        >>> contacts.check('a', now=0.5), contacts.check('a', now=1.0)
+        >>> peer_health = PeerHealth(backoff_s=1.0)
+        >>> peer_health.observe('a', False, now=0.0)
+        >>> peer_health.check('a', now=0.5), peer_health.check('a', now=1.0)
         (False, True)
-        >>> contacts.observe('a', False, now=1.0)
-        >>> contacts.lost('a')
+        >>> peer_health.observe('a', False, now=1.0)
+        >>> peer_health.is_unresponsive('a')
         True
-        >>> contacts.observe('a', True, now=3.0)
-        >>> contacts.lost('a')
+        >>> peer_health.observe('a', True, now=3.0)
+        >>> peer_health.is_unresponsive('a')
         False
     """
 
@@ -62,7 +62,7 @@
         found = self._failures.get(name)
         return found is None or now >= found.retry_at
 
-    def lost(self, name):
+    def is_unresponsive(self, name):
         """Return whether the peer failed more than once in a row."""
         found = self._failures.get(name)
         return found is not None and found.count >= LOST_AFTER
--- a/catkinshunt/dissemination/_duty.py
+++ b/catkinshunt/dissemination/_watch_election.py
@@ -4,10 +4,10 @@
 from catkinshunt import rendezvous
 
 WATCHERS = 2
-DEPUTIES = 3
+STANDBYS = 3
 
 
-class Duty(base.ParamsMixin):
+class WatchElection(base.ParamsMixin):
     """Decides whether the own process watches a source.
 
     In each data centre the first few instances in an order by rendezvous
@@ -20,7 +20,7 @@
         topic: name of the document; another one has other watchers.
         name: name of the own instance.
         data_centre: data centre of the own instance.
-        contacts: `Contacts` of the own process.
+        contacts: `PeerHealth` of the own process.
         watchers: watchers in each data centre.
         deputies: how many after them stand ready.
     """
@@ -30,16 +30,16 @@
         topic,
         name,
         data_centre,
-        contacts,
+        peer_health,
         watchers=WATCHERS,
-        deputies=DEPUTIES,
+        standbys=STANDBYS,
     ):
         self.topic = topic
         self.name = name
         self.data_centre = data_centre
-        self.contacts = contacts
+        self.peer_health = peer_health
         self.watchers = watchers
-        self.deputies = deputies
+        self.standbys = standbys
         self._members = None
         self._before = None
 
@@ -52,7 +52,11 @@
         before = self._find_before(members)
         if before is None:
             return False
-        answering = [name for name in before if not self.contacts.lost(name)]
+        answering = [
+            name
+            for name in before
+            if not self.peer_health.is_unresponsive(name)
+        ]
         return len(answering) < self.watchers
 
     def choose_probe(self, members, random_state):
@@ -71,7 +75,7 @@
                     if member.data_centre == self.data_centre
                 ],
             )
-            first = order[: self.watchers + self.deputies]
+            first = order[: self.watchers + self.standbys]
             self._before = None
             if self.name in first:
                 self._before = first[: first.index(self.name)]
--- a/catkinshunt/dissemination/_watcher.py
+++ b/catkinshunt/dissemination/_watcher.py
@@ -25,8 +25,8 @@
 
     Args:
         source: a `BaseSource`.
-        duty: the `Duty` for its topic.
-        members: as for `Spreader`.
+        duty: the `WatchElection` for its topic.
+        members: as for `Disseminator`.
         wait_s: seconds that one call may wait at the source.
         idle_s: seconds between looks whether the duty has come.
         random_state: seed or `random.Random`.
@@ -35,14 +35,14 @@
     def __init__(
         self,
         source,
-        duty,
+        election,
         members,
         wait_s=WAIT_S,
         idle_s=IDLE_S,
         random_state=None,
     ):
         self.source = source
-        self.duty = duty
+        self.election = election
         self.members = members
         self.wait_s = wait_s
         self.idle_s = idle_s
@@ -67,7 +67,7 @@
         failures = 0
         while not self._stopped.is_set():
             members = self.members()
-            on_duty = self.duty.check(members)
+            on_duty = self.election.check(members)
             self._note(on_duty)
             if members and not on_duty:
                 self._stopped.wait(self.idle_s)
--- a/catkinshunt/dissemination/base.py
+++ b/catkinshunt/dissemination/base.py
@@ -78,7 +78,7 @@
         """
 
 
-class BasePeering(abc.ABC):
+class BasePeerTransport(abc.ABC):
     """Calls to other processes; each returns a `concurrent.futures.Future`.
 
     A future ends with an `errors.PeerError` where the call failed.
--- a/catkinshunt/dissemination/peering.py
+++ b/catkinshunt/dissemination/grpc_transport.py
@@ -10,7 +10,7 @@
 from catkinshunt import peers
 
 
-class GrpcPeering(shared.ParamsMixin, base.BasePeering):
+class GrpcPeerTransport(shared.ParamsMixin, base.BasePeerTransport):
     """Calls the control port of other processes.
 
     Args:
@@ -23,7 +23,7 @@
         self.pool = pool
 
     def offer(self, peer, update):
-        """See `base.BasePeering.offer`."""
+        """See `base.BasePeerTransport.offer`."""
         message = dissemination_pb2.Offered(
             sender=self.name, update=_to_message(update)
         )
@@ -31,7 +31,7 @@
         return _mapped(fut, lambda held: held.topics[0].revision)
 
     def pull(self, peer, held):
-        """See `base.BasePeering.pull`."""
+        """See `base.BasePeerTransport.pull`."""
         message = _held_message(self.name, held)
         fut = self._call(peer, 'Pull', message)
         return _mapped(
@@ -44,27 +44,33 @@
 
 
 class Handler(dissemination_grpc.DisseminationBase):
-    """Answers the calls of other processes for a `Spreader`."""
+    """Answers the calls of other processes for a `Disseminator`."""
 
-    def __init__(self, spreader):
-        self.spreader = spreader
+    def __init__(self, disseminator):
+        self.disseminator = disseminator
 
     async def Offer(self, stream):
         """Take what a peer offers."""
         message = await stream.recv_message()
         update = _from_message(message.update)
         revision = await peers.run_blocking(
-            self.spreader.receive, update, message.sender, time.monotonic()
+            self.disseminator.handle_offer,
+            update,
+            message.sender,
+            time.monotonic(),
         )
         held = {update.topic: revision}
-        await stream.send_message(_held_message(self.spreader.name, held))
+        await stream.send_message(_held_message(self.disseminator.name, held))
 
     async def Pull(self, stream):
         """Give a peer what is newer than what it holds."""
         message = await stream.recv_message()
         held = {item.topic: item.revision for item in message.topics}
         updates = await peers.run_blocking(
-            self.spreader.answer, held, message.sender, time.monotonic()
+            self.disseminator.handle_pull,
+            held,
+            message.sender,
+            time.monotonic(),
         )
         await stream.send_message(
             dissemination_pb2.Updates(updates=map(_to_message, updates))
--- a/catkinshunt/dissemination/tests/fakes.py
+++ b/catkinshunt/dissemination/tests/fakes.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self):
-        self.spreaders = {}
+        self.disseminators = {}
         self.dead = set()
         self.groups = {}
         self.messages = 0
@@ -67,7 +67,7 @@
         self._waiting.append(deliver)
 
 
-class FakePeering(dissemination.BasePeering):
+class FakePeerTransport(dissemination.BasePeerTransport):
     """The calls of one process over a `Network`."""
 
     def __init__(self, name, network):
@@ -84,8 +84,8 @@
         if not self.network.reaches(self.name, peer.name):
             fut.set_exception(errors.PeerUnavailableError('no answer'))
             return
-        spreader = self.network.spreaders[peer.name]
-        fut.set_result(spreader.receive(update, self.name, now))
+        disseminator = self.network.disseminators[peer.name]
+        fut.set_result(disseminator.handle_offer(update, self.name, now))
 
     def pull(self, peer, held):
         fut = concurrent.futures.Future()
@@ -93,8 +93,8 @@
             self.network.count(0)
             fut.set_exception(errors.PeerUnavailableError('no answer'))
             return fut
-        spreader = self.network.spreaders[peer.name]
-        updates = spreader.answer(held, self.name, 0.0)
+        disseminator = self.network.disseminators[peer.name]
+        updates = disseminator.handle_pull(held, self.name, 0.0)
         self.network.count(sum(update.size for update in updates))
         fut.set_result(updates)
         return fut
@@ -106,7 +106,7 @@
     Args:
         size: how many processes.
         data_centres: how many data centres they stand in.
-        fanout: as for `Spreader`.
+        fanout: as for `Disseminator`.
         random_state: seed.
     """
 
@@ -116,53 +116,54 @@
             make_instance(f'i{n}', f'dc{n % data_centres}')
             for n in range(size)
         )
-        self.keepers = {}
+        self.config_replicas = {}
         self.random = random.Random(random_state)
         for member in self.members:
             self.add(member, fanout)
 
     @property
-    def spreaders(self):
+    def disseminators(self):
         """The spreaders by name of their instance."""
-        return self.network.spreaders
+        return self.network.disseminators
 
     def add(self, member, fanout=4):
         """Make the process of one member."""
-        keeper = configuration.Keeper()
-        self.keepers[member.name] = keeper
-        spreader = dissemination.Spreader(
+        config_replica = configuration.ConfigurationReplica()
+        self.config_replicas[member.name] = config_replica
+        disseminator = dissemination.Disseminator(
             member.name,
             member.data_centre,
-            (keeper,),
-            FakePeering(member.name, self.network),
+            (config_replica,),
+            FakePeerTransport(member.name, self.network),
             lambda: self.members,
             fanout=fanout,
             random_state=random.Random(self.random.random()),
         )
-        self.network.spreaders[member.name] = spreader
+        self.network.disseminators[member.name] = disseminator
 
     def accept(self, found, names, now=0.0):
         """Let the named processes learn a configuration by their watch."""
         for name in names:
-            self.keepers[name].offer(found, now)
+            self.config_replicas[name].offer(found, now)
 
     def push(self, now):
         """Let every process push what is new to it; deliver it."""
-        for name, spreader in self.spreaders.items():
+        for name, disseminator in self.disseminators.items():
             if name not in self.network.dead:
-                spreader.push(now)
+                disseminator.push(now)
         self.network.deliver(now)
 
     def pull(self, now, names=None):
         """Let the named processes, or all, pull once."""
-        for name in names or list(self.spreaders):
+        for name in names or list(self.disseminators):
             if name not in self.network.dead:
-                self.spreaders[name].pull(now)
+                self.disseminators[name].pull(now)
 
     def behind(self, revision):
         """Return the names of live processes below `revision`."""
         return [
             name
-            for name, keeper in self.keepers.items()
-            if keeper.revision < revision and name not in self.network.dead
+            for name, config_replica in self.config_replicas.items()
+            if config_replica.revision < revision
+            and name not in self.network.dead
         ]
--- a/catkinshunt/dissemination/tests/test_spreader.py
+++ b/catkinshunt/dissemination/tests/test_disseminator.py
@@ -41,7 +41,7 @@
 
 def test_pushes_alone_reach_nearly_all_and_each_offers_once():
     fleet = fakes.Fleet(100)
-    fleet.accept(HISTORY[1], list(fleet.keepers))
+    fleet.accept(HISTORY[1], list(fleet.config_replicas))
     fleet.push(0.0)
     fleet.network.messages = 0
     fleet.accept(HISTORY[2], ['i0'])
@@ -63,8 +63,8 @@
     assert settle(fleet, 1) < 8
     for number in range(40):
         fleet.pull(20.0 + number)
-    spreader = fleet.spreaders['i1']
-    chosen = spreader.neighbours._chosen
+    disseminator = fleet.disseminators['i1']
+    chosen = disseminator.neighbours._chosen
     assert not set(chosen) & fleet.network.dead
 
 
@@ -86,7 +86,7 @@
     assert set(fleet.behind(79)) == inside
     fleet.network.groups = {}
     assert settle(fleet, 79, now=1000.0) < 10
-    documents = {k.current.document for k in fleet.keepers.values()}
+    documents = {k.current.document for k in fleet.config_replicas.values()}
     assert documents == {HISTORY[79].document}
 
 
@@ -102,14 +102,17 @@
     member = fakes.make_instance('new')
     fleet.members = (*fleet.members, member)
     fleet.add(member)
-    spreader, keeper = fleet.spreaders['new'], fleet.keepers['new']
+    disseminator, config_replica = (
+        fleet.disseminators['new'],
+        fleet.config_replicas['new'],
+    )
     for number in range(3):
-        spreader.catch_up(float(number))
-    assert keeper.revision == 4
+        disseminator.catch_up(float(number))
+    assert config_replica.revision == 4
     for name in ('i1', 'i2'):
-        update = fleet.keepers[name].make_update(0)
-        assert spreader.receive(update, name, 5.0) == 4
-    assert keeper.current.document == HISTORY[4].document
+        update = fleet.config_replicas[name].make_update(0)
+        assert disseminator.handle_offer(update, name, 5.0) == 4
+    assert config_replica.current.document == HISTORY[4].document
 
 
 def test_an_offer_that_skips_revisions_is_completed_by_a_pull():
@@ -120,23 +123,23 @@
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i1'])
     fleet.accept(HISTORY[3], ['i0'])
-    update = fleet.keepers['i0'].make_update(2)
-    receiver = fleet.spreaders['i1']
-    assert receiver.receive(update, 'i0', 0.0) == 1
+    update = fleet.config_replicas['i0'].make_update(2)
+    receiver = fleet.disseminators['i1']
+    assert receiver.handle_offer(update, 'i0', 0.0) == 1
     receiver.pull(0.0)
-    assert fleet.keepers['i1'].current.document == HISTORY[3].document
+    assert fleet.config_replicas['i1'].current.document == HISTORY[3].document
 
 
 def test_a_header_with_a_newer_revision_leads_to_a_pull():
     fleet = fakes.Fleet(2)
     fleet.accept(HISTORY[1], ['i0'])
-    receiver = fleet.spreaders['i1']
-    topic = configuration.Keeper.topic
-    receiver.hint(topic, 1, now=10.0)
+    receiver = fleet.disseminators['i1']
+    topic = configuration.ConfigurationReplica.topic
+    receiver.observe_revision(topic, 1, now=10.0)
     assert receiver._something_to_do()
     receiver.pull(10.0)
-    assert fleet.keepers['i1'].revision == 1
-    receiver.hint(topic, 1, now=20.0)
+    assert fleet.config_replicas['i1'].revision == 1
+    receiver.observe_revision(topic, 1, now=20.0)
     assert not receiver._something_to_do()
 
 
@@ -146,35 +149,43 @@
     A pull for each would be more work than the requests themselves.
     """
     fleet = fakes.Fleet(2)
-    receiver = fleet.spreaders['i1']
-    receiver.hint(configuration.Keeper.topic, 9, now=10.0)
+    receiver = fleet.disseminators['i1']
+    receiver.observe_revision(
+        configuration.ConfigurationReplica.topic, 9, now=10.0
+    )
     receiver.pull(10.0)
-    receiver.hint(configuration.Keeper.topic, 9, now=10.1)
+    receiver.observe_revision(
+        configuration.ConfigurationReplica.topic, 9, now=10.1
+    )
     assert not receiver._something_to_do()
-    receiver.hint(configuration.Keeper.topic, 9, now=10.3)
+    receiver.observe_revision(
+        configuration.ConfigurationReplica.topic, 9, now=10.3
+    )
     assert receiver._something_to_do()
 
 
-def _make_duties(members, data_centre='dc0'):
+def _make_elections(members, data_centre='dc0'):
     found = {}
     for member in members:
         if member.data_centre == data_centre:
-            contacts = dissemination.Contacts()
-            found[member.name] = dissemination.Duty(
-                'configuration', member.name, data_centre, contacts
+            peer_health = dissemination.PeerHealth()
+            found[member.name] = dissemination.WatchElection(
+                'configuration', member.name, data_centre, peer_health
             )
     return found
 
 
-def _on_duty(duties, members):
-    return {name for name, duty in duties.items() if duty.check(members)}
+def _on_duty(elections, members):
+    return {
+        name for name, election in elections.items() if election.check(members)
+    }
 
 
 def test_few_processes_of_each_data_centre_watch():
     members = fakes.Fleet(200, data_centres=4).members
     for number in range(4):
-        duties = _make_duties(members, f'dc{number}')
-        assert len(_on_duty(duties, members)) == 2
+        elections = _make_elections(members, f'dc{number}')
+        assert len(_on_duty(elections, members)) == 2
 
 
 def test_a_dead_watcher_is_replaced_by_one_deputy():
@@ -184,23 +195,25 @@
     and only one, even where every process has noticed.
     """
     members = fakes.Fleet(100).members
-    duties = _make_duties(members)
-    before = _on_duty(duties, members)
+    elections = _make_elections(members)
+    before = _on_duty(elections, members)
     dead = sorted(before)[0]
-    del duties[dead]
-    for duty in duties.values():
+    del elections[dead]
+    for election in elections.values():
         for now in (0.0, 1.0):
-            duty.contacts.observe(dead, False, now)
-    after = _on_duty(duties, members)
+            election.peer_health.observe(dead, False, now)
+    after = _on_duty(elections, members)
     assert len(after) == 2
     assert before - {dead} < after
-    for duty in duties.values():
-        duty.contacts.observe(dead, True, 2.0)
-    assert _on_duty(duties, members) == before - {dead}
+    for election in elections.values():
+        election.peer_health.observe(dead, True, 2.0)
+    assert _on_duty(elections, members) == before - {dead}
 
 
 def test_a_process_that_is_not_listed_yet_does_not_watch():
     members = fakes.Fleet(10).members
-    contacts = dissemination.Contacts()
-    duty = dissemination.Duty('configuration', 'new', 'dc0', contacts)
-    assert not duty.check(members)
+    peer_health = dissemination.PeerHealth()
+    election = dissemination.WatchElection(
+        'configuration', 'new', 'dc0', peer_health
+    )
+    assert not election.check(members)
--- a/catkinshunt/dissemination/tests/test_history.py
+++ b/catkinshunt/dissemination/tests/test_history.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from catkinshunt.dissemination.tests import fakes
-from catkinshunt.dissemination.tests import test_spreader
+from catkinshunt.dissemination.tests import test_disseminator
 
 SIZE = 8
 _NUMBERS = st.integers(0, SIZE - 1)
@@ -27,14 +27,14 @@
         self.fleet = fakes.Fleet(SIZE)
         self.accepted = 0
         self.now = 0.0
-        self.seen = dict.fromkeys(self.fleet.keepers, 0)
+        self.seen = dict.fromkeys(self.fleet.config_replicas, 0)
 
     def do(self, kind, number):
         """Carry out one step."""
         self.now += 1.0
         name = f'i{number}'
         network = self.fleet.network
-        history = test_spreader.HISTORY
+        history = test_disseminator.HISTORY
         if kind == 'accept' and self.accepted < len(history) - 1:
             self.accepted += 1
             self.fleet.accept(history[self.accepted], [name], self.now)
@@ -58,12 +58,12 @@
 
     def check(self):
         """Compare what is in force with the accepted history."""
-        for name, keeper in self.fleet.keepers.items():
-            revision = keeper.revision
+        for name, config_replica in self.fleet.config_replicas.items():
+            revision = config_replica.revision
             assert revision >= self.seen[name]
             self.seen[name] = revision
-            expected = test_spreader.HISTORY[revision]
-            assert keeper.current.document == expected.document
+            expected = test_disseminator.HISTORY[revision]
+            assert config_replica.current.document == expected.document
 
 
 @hypothesis.settings(
@@ -83,6 +83,6 @@
     run.fleet.network.groups = {}
     run.fleet.network.dead = set()
     highest = max(run.seen.values())
-    test_spreader.settle(run.fleet, highest, rounds=40, now=10_000.0)
+    test_disseminator.settle(run.fleet, highest, rounds=40, now=10_000.0)
     run.check()
     assert not run.fleet.behind(highest)
--- a/catkinshunt/dissemination/tests/test_watcher.py
+++ b/catkinshunt/dissemination/tests/test_watcher.py
@@ -31,10 +31,17 @@
 
 
 def _make_watcher(source, members, name='i0'):
-    contacts = dissemination.Contacts()
-    duty = dissemination.Duty(source.topic, name, 'dc0', contacts)
+    peer_health = dissemination.PeerHealth()
+    election = dissemination.WatchElection(
+        source.topic, name, 'dc0', peer_health
+    )
     return dissemination.Watcher(
-        source, duty, lambda: members, wait_s=3, idle_s=0.01, random_state=0
+        source,
+        election,
+        lambda: members,
+        wait_s=3,
+        idle_s=0.01,
+        random_state=0,
     )
 
 
@@ -64,20 +71,20 @@
 def test_a_process_without_the_duty_does_not_ask():
     source = Source()
     members = fakes.Fleet(30).members
-    duties = {}
+    elections = {}
     for member in members:
         watcher = _make_watcher(source, members, member.name)
-        duties[member.name] = watcher.duty.check(members)
-    idle = next(name for name, on_duty in duties.items() if not on_duty)
+        elections[member.name] = watcher.election.check(members)
+    idle = next(name for name, on_duty in elections.items() if not on_duty)
     watcher = _make_watcher(source, members, idle)
     looks = threading.Semaphore(0)
-    check = watcher.duty.check
+    check = watcher.election.check
 
     def count(members):
         looks.release()
         return check(members)
 
-    watcher.duty.check = count
+    watcher.election.check = count
     with watcher:
         for _ in range(3):
             assert looks.acquire(timeout=WAIT_S)
--- a/catkinshunt/engines/_slot.py
+++ b/catkinshunt/engines/_weights_endpoint.py
@@ -10,7 +10,7 @@
 _TOKEN_BYTES = 16
 
 
-class WeightsSlot(base.ParamsMixin):
+class WeightsEndpoint(base.ParamsMixin):
     """Gives the engine beside it the whole weights of one version.
 
     Some engines ignore fencing numbers. An order of an earlier process in
@@ -52,7 +52,7 @@
         ):
             raise errors.InvalidRequestError('unknown weights', step='pull')
         transfer = self.get_transfer(*parts[1:])
-        if transfer is None or not transfer.store.whole:
+        if transfer is None or not transfer.store.is_complete:
             raise errors.InvalidRequestError('unknown weights', step='pull')
         length = ('Content-Length', str(transfer.manifest.size_bytes))
-        return httpio.Response(200, transfer.store.read_whole(), (length,))
+        return httpio.Response(200, transfer.store.iter_chunks(), (length,))
--- a/catkinshunt/engines/tests/test_orders.py
+++ b/catkinshunt/engines/tests/test_orders.py
@@ -30,7 +30,7 @@
         self.store = weights.ChunkStore(self.manifest)
         for index in range(3):
             first, end = self.manifest.chunk_range(index)
-            self.store.offer(index, data[first:end])
+            self.store.put(index, data[first:end])
 
 
 class Process:
@@ -39,7 +39,7 @@
     def __init__(self, port=0):
         self.held = None
         self.server = httpio.HttpServer(self, port=port, threads=4).start()
-        self.slot = engines.WeightsSlot(
+        self.slot = engines.WeightsEndpoint(
             '127.0.0.1', self.server.port, self.get_transfer
         )
 
--- a/catkinshunt/entry/_app.py
+++ b/catkinshunt/entry/_app.py
@@ -6,8 +6,8 @@
 
 from catkinshunt import base
 from catkinshunt.entry import _delivery
-from catkinshunt.entry import _fleet
-from catkinshunt.entry import _gate
+from catkinshunt.entry import _upstream_selector
+from catkinshunt.entry import _concurrency
 from catkinshunt.entry import _relay
 from catkinshunt.entry import _request
 from catkinshunt import errors
@@ -36,9 +36,11 @@
         self.follower = follower
         self.directory = directory
         self.once = once
-        self.gate = _gate.Gate(cfg.threads)
+        self.gate = _concurrency.Gate(cfg.threads)
         self._relay = _relay.Relay(
-            httpio.ConnectionPool(), cfg.deployment_key, keeper=follower
+            httpio.ConnectionPool(),
+            cfg.deployment_key,
+            config_replica=follower,
         )
         self._retry = retries.RetryPolicy(retries.Budget())
         router = routing.Router(
@@ -47,7 +49,7 @@
             data_centre=cfg.data_centre,
             region=cfg.region,
         )
-        self._fleet = _fleet.Fleet(router, directory)
+        self._fleet = _upstream_selector.Fleet(router, directory)
 
     def __call__(self, environ, start_response):
         """Answer one request."""
--- a/catkinshunt/entry/_once.py
+++ b/catkinshunt/entry/_at_most_once.py
@@ -57,7 +57,7 @@
         return attrs.evolve(resp, body=self._record(claim, resp, epoch_now))
 
     def _claim(self, req, now, epoch_now):
-        digest = claims.digest_of(
+        digest = claims.compute_request_digest(
             req.method, f'/{req.service}{req.path}', req.body
         )
         claim = self.ledger.claim(
--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -48,7 +48,7 @@
         Raises:
             errors.RequestError: there is no answer.
         """
-        self.retry.offer()
+        self.retry.add_request()
         while True:
             opened = self._open()
             if opened.streamed and self.req.model:
--- a/catkinshunt/entry/_process.py
+++ b/catkinshunt/entry/_process.py
@@ -6,7 +6,7 @@
 from catkinshunt import claims
 from catkinshunt import control
 from catkinshunt.entry import _app
-from catkinshunt.entry import _once
+from catkinshunt.entry import _at_most_once
 from catkinshunt import httpio
 from catkinshunt import kvstore
 from catkinshunt import metrics
@@ -33,9 +33,11 @@
         ).start()
         self._app = _app.EntryApp(
             self.cfg,
-            self._control.keeper,
+            self._control.config_replica,
             self._control.directory,
-            _once.AtMostOnce(self._ledger, self._ledger.body_limit_bytes),
+            _at_most_once.AtMostOnce(
+                self._ledger, self._ledger.body_limit_bytes
+            ),
         )
         registry = metrics.Registry()
         self._server = httpio.HttpServer(
@@ -55,7 +57,7 @@
         return {
             'name': self.cfg.name,
             'state': 'serving' if self._serving else 'leaving',
-            'revision': self._control.keeper.revision,
+            'revision': self._control.config_replica.revision,
             'wanted': {},
             'served': {},
         }
--- a/catkinshunt/entry/_relay.py
+++ b/catkinshunt/entry/_relay.py
@@ -96,14 +96,16 @@
         pool: `httpio.ConnectionPool`.
         deployment_key: secret that sidecars ask for.
         stall_s: longest wait for the next piece of an answer.
-        keeper: `configuration.Keeper` whose revision rides along.
+        keeper: `configuration.ConfigurationReplica` whose revision rides along.
     """
 
-    def __init__(self, pool, deployment_key, stall_s=10.0, keeper=None):
+    def __init__(
+        self, pool, deployment_key, stall_s=10.0, config_replica=None
+    ):
         self.pool = pool
         self.deployment_key = deployment_key
         self.stall_s = stall_s
-        self.keeper = keeper
+        self.config_replica = config_replica
 
     def open(self, req, route, address, now, resume=None, learn=None):
         """Send `req` to the sidecar at `address`; wait for its reply's head.
@@ -149,8 +151,10 @@
             ) from exc
         opened = Opened(address, conn, resp, sock)
         self._check_echo(opened, exchange_id)
-        if self.keeper is not None:
-            self.keeper.hear(resp.getheader(headers.REVISION), now)
+        if self.config_replica is not None:
+            self.config_replica.observe_revision(
+                resp.getheader(headers.REVISION), now
+            )
         if learn is not None:
             learn(Reported.from_reply(resp))
         self._check_refusal(opened)
@@ -204,8 +208,8 @@
             not_after = time.time() + left_s
             once[headers.ATTEMPT_ID] = uuid.uuid4().hex[:16]
             once[headers.NOT_AFTER] = f'{not_after:.3f}'
-        if self.keeper is not None:
-            once[headers.REVISION] = str(self.keeper.revision)
+        if self.config_replica is not None:
+            once[headers.REVISION] = str(self.config_replica.revision)
         return once | {
             'Content-Type': req.content_type,
             headers.ACCOUNT: req.account,
--- a/catkinshunt/entry/tests/flow.py
+++ b/catkinshunt/entry/tests/harness.py
@@ -174,10 +174,14 @@
             configuration.Add(rule, position)
             for position, rule in enumerate(document['rules'])
         ]
-        keeper = configuration.Keeper()
-        keeper.offer(configuration.EMPTY.edited('first', steps), now=0.0)
+        config_replica = configuration.ConfigurationReplica()
+        config_replica.offer(
+            configuration.EMPTY.edited('first', steps), now=0.0
+        )
         cfg = settings.structure(PLACE, settings.EntrySettings)
-        self.entry_app = entry.EntryApp(cfg, keeper, self.directory, Once())
+        self.entry_app = entry.EntryApp(
+            cfg, config_replica, self.directory, Once()
+        )
         self.entry = self.enter_context(
             httpio.HttpServer(self.entry_app, threads=32)
         )
--- a/catkinshunt/entry/tests/test_gate.py
+++ b/catkinshunt/entry/tests/test_concurrency.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from catkinshunt.entry import _gate
+from catkinshunt.entry import _concurrency
 from catkinshunt import errors
 
 
 def test_one_account_may_use_what_nobody_else_wants():
-    gate = _gate.Gate(threads=16)
+    gate = _concurrency.Gate(threads=16)
     for _ in range(14):
         gate.begin('a')
     with pytest.raises(errors.OverloadedError) as caught:
@@ -20,7 +20,7 @@
 
     Their requests would find all threads taken and be refused.
     """
-    gate = _gate.Gate(threads=16)
+    gate = _concurrency.Gate(threads=16)
     gate.begin('small')
     for _ in range(7):
         gate.begin('large')
@@ -34,7 +34,7 @@
 
 
 def test_leaving_refuses_as_not_run_and_ends_what_is_there():
-    gate = _gate.Gate(threads=4)
+    gate = _concurrency.Gate(threads=4)
     gate.begin('a')
     gate.leave()
     with pytest.raises(errors.LeavingError) as caught:
--- a/catkinshunt/entry/tests/test_delivery.py
+++ b/catkinshunt/entry/tests/test_delivery.py
@@ -6,7 +6,7 @@
 
 from catkinshunt.entry import _delivery
 from catkinshunt.entry import _request
-from catkinshunt.entry.tests import flow
+from catkinshunt.entry.tests import harness
 from catkinshunt import errors
 from catkinshunt import httpio
 from catkinshunt import retries
@@ -99,12 +99,12 @@
     It does not look at the version asked for, and its engine has changed.
     """
     relay = Relay(
-        opened('v1', flow.lines(0)),
-        opened('v2', flow.lines(1, pieces=2)),
+        opened('v1', harness.lines(0)),
+        opened('v2', harness.lines(1, pieces=2)),
     )
     got = []
     with pytest.raises(errors.IncompleteAnswerError):
         got.extend(deliver(relay).body)
-    assert got[0] == flow.lines(0)
+    assert got[0] == harness.lines(0)
     assert b'incomplete' in got[1]
     assert len(got) == 2
--- a/catkinshunt/entry/tests/test_lines.py
+++ b/catkinshunt/entry/tests/test_lines.py
@@ -6,10 +6,10 @@
 import pytest
 
 from catkinshunt.entry import _lines
-from catkinshunt.entry.tests import flow
+from catkinshunt.entry.tests import harness
 from catkinshunt import errors
 
-WHOLE = flow.lines(*range(5), pieces=5)
+WHOLE = harness.lines(*range(5), pieces=5)
 
 
 @settings(derandomize=True, database=None, max_examples=80)
@@ -40,7 +40,7 @@
     with pytest.raises(errors.IncompleteAnswerError):
         follower.check_end()
     follower.drop_part()
-    rest = flow.lines(*range(follower.next_index, 5), pieces=5)
+    rest = harness.lines(*range(follower.next_index, 5), pieces=5)
     assert got + follower.feed(rest) == WHOLE
     follower.check_end()
 
--- a/catkinshunt/entry/tests/test_streams.py
+++ b/catkinshunt/entry/tests/test_streams.py
@@ -7,7 +7,7 @@
 import pytest
 
 from catkinshunt.entry import _request
-from catkinshunt.entry.tests import flow
+from catkinshunt.entry.tests import harness
 from catkinshunt import httpio
 from catkinshunt.httpio import headers
 from catkinshunt import rules
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def run():
-    with flow.Flow(models={}, desk={}) as made:
+    with harness.Flow(models={}, desk={}) as made:
         yield made
 
 
@@ -25,15 +25,15 @@
     Another runner of the same version goes on at the next piece; the caller
     gets each piece once and the whole answer.
     """
-    cut = flow.chunked(flow.lines(0, 1), b'{"index": 2, "te', end=False)
-    rest = flow.chunked(flow.lines(2, pieces=3))
+    cut = harness.chunked(harness.lines(0, 1), b'{"index": 2, "te', end=False)
+    rest = harness.chunked(harness.lines(2, pieces=3))
 
     def reply(request):
         return rest if b'"resume_from": 2' in request else cut
 
     one = run.scripted('a', 'models', reply, is_engine=True)
     two = run.scripted('b', 'models', reply, is_engine=True)
-    answer = flow.texts(run.generate(3))
+    answer = harness.texts(run.generate(3))
     assert answer == (['t0', 't1', 't2'], {'done': True, 'pieces': 3})
     assert (len(one.requests), len(two.requests)) == (1, 1)
 
@@ -41,10 +41,10 @@
 @pytest.mark.parametrize(
     'body',
     [
-        flow.lines(0, 1),
-        flow.lines(0, 1, pieces=3),
-        flow.lines(0, 2, pieces=3),
-        flow.lines(0, 0, 1, pieces=2),
+        harness.lines(0, 1),
+        harness.lines(0, 1, pieces=3),
+        harness.lines(0, 2, pieces=3),
+        harness.lines(0, 0, 1, pieces=2),
         b'{"index": 0}\nnonsense\n',
     ],
     ids=['no end', 'too few', 'gap', 'twice', 'nonsense'],
@@ -55,7 +55,7 @@
     The caller would take a fault explanation that is cut off for the whole.
     It gets a last line that names the error, and no proper end.
     """
-    run.scripted('a', 'models', flow.chunked(body), is_engine=True)
+    run.scripted('a', 'models', harness.chunked(body), is_engine=True)
     got = run.generate_broken(3)
     last = json.loads(got.splitlines()[-1])
     assert last['error']['code'] == 'incomplete'
@@ -67,8 +67,8 @@
 
     Pieces of both would make an answer of neither model.
     """
-    cut = flow.chunked(flow.lines(0), end=False)
-    new = flow.chunked(flow.lines(1, 2, pieces=3), version='v2')
+    cut = harness.chunked(harness.lines(0), end=False)
+    new = harness.chunked(harness.lines(1, 2, pieces=3), version='v2')
 
     def reply(request):
         return new if b'resume_from' in request else cut
@@ -77,8 +77,8 @@
     run.scripted('b', 'models', reply, is_engine=True)
     got = run.generate_broken(3)
     assert json.loads(got.splitlines()[-1])['error']['code'] == 'incomplete'
-    assert got.startswith(flow.lines(0))
-    assert flow.lines(1) not in got
+    assert got.startswith(harness.lines(0))
+    assert harness.lines(1) not in got
 
 
 def test_caller_goes_away_and_the_engine_is_told(run):
@@ -96,7 +96,7 @@
             cancelled.set()
             return httpio.Response.of_json(200, {}).send(start_response)
         kind = ('Content-Type', 'application/x-ndjson')
-        version = ('Model-Version', flow.VERSION)
+        version = ('Model-Version', harness.VERSION)
         return httpio.Response(200, pieces(), (kind, version)).send(
             start_response
         )
@@ -107,13 +107,13 @@
                 assert gone.wait(20)
             if cancelled.is_set():
                 return
-            yield flow.lines(index)
+            yield harness.lines(index)
 
     with httpio.HttpServer(app, threads=4) as server:
         address = httpio.Address(server.host, server.port)
         run.upstream('a', 'models', address, is_engine=True)
         conn = http.client.HTTPConnection(run.entry.host, run.entry.port)
-        asked = {'model': flow.MODEL, 'prompt': 'x'}
+        asked = {'model': harness.MODEL, 'prompt': 'x'}
         conn.request('POST', '/models/generate', json.dumps(asked))
         resp = conn.getresponse()
         assert resp.read1().startswith(b'{"index": 0')
@@ -135,23 +135,23 @@
     def app(environ, start_response):
         asked = json.loads(httpio.read_body(environ))
         kind = ('Content-Type', 'application/x-ndjson')
-        version = ('Model-Version', flow.VERSION)
+        version = ('Model-Version', harness.VERSION)
         return httpio.Response(200, pieces(asked), (kind, version)).send(
             start_response
         )
 
     def pieces(asked):
         if 'resume_from' not in asked:
-            yield flow.lines(0)
+            yield harness.lines(0)
             freed.wait(20)
             return
-        yield flow.lines(*range(asked['resume_from'], 2), pieces=2)
+        yield harness.lines(*range(asked['resume_from'], 2), pieces=2)
 
     with httpio.HttpServer(app, threads=8) as server:
         address = httpio.Address(server.host, server.port)
         for name in ('a', 'b'):
             run.upstream(name, 'models', address, is_engine=True)
-        answer = flow.texts(run.generate(2))
+        answer = harness.texts(run.generate(2))
         freed.set()
     assert answer == (['t0', 't1'], {'done': True, 'pieces': 2})
 
@@ -166,16 +166,16 @@
     def app(environ, start_response):
         httpio.read_body(environ)
         kind = ('Content-Type', 'application/x-ndjson')
-        version = ('Model-Version', flow.VERSION)
+        version = ('Model-Version', harness.VERSION)
         return httpio.Response(200, pieces(), (kind, version)).send(
             start_response
         )
 
     def pieces():
-        yield flow.lines(0)
+        yield harness.lines(0)
         going.set()
         assert freed.wait(20)
-        yield flow.lines(1, pieces=2)
+        yield harness.lines(1, pieces=2)
 
     with httpio.HttpServer(app, threads=4) as server:
         address = httpio.Address(server.host, server.port)
@@ -189,13 +189,16 @@
         side.leave()
         run.entry_app.leave()
         late = run.generate(2)
-        assert (late.status, flow.error_of(late)['code']) == (503, 'leaving')
-        assert flow.error_of(late)['ran'] == 'no'
+        assert (late.status, harness.error_of(late)['code']) == (
+            503,
+            'leaving',
+        )
+        assert harness.error_of(late)['ran'] == 'no'
         assert not run.entry.join(0.05)
         freed.set()
         assert run.entry.join(20) and side.admission.join(20)
         thread.join(20)
-    assert flow.texts(replies[0]) == (
+    assert harness.texts(replies[0]) == (
         ['t0', 't1'],
         {'done': True, 'pieces': 2},
     )
@@ -215,15 +218,15 @@
             ('Model-Version', 'v2' if resumed else 'v1'),
             (headers.EXCHANGE_ID, environ['HTTP_CATKINSHUNT_EXCHANGE_ID']),
         )
-        body = flow.lines(1, pieces=2) if resumed else flow.lines(0)
+        body = harness.lines(1, pieces=2) if resumed else harness.lines(0)
         return httpio.Response(200, iter([body]), given).send(start_response)
 
-    with flow.Flow(models={}) as run, httpio.HttpServer(app) as server:
+    with harness.Flow(models={}) as run, httpio.HttpServer(app) as server:
         address = httpio.Address(server.host, server.port)
         for name in ('a', 'b'):
             run.directory.add(name, 'models', address)
         got = run.generate_broken(2)
-    assert flow.lines(1) not in got
+    assert harness.lines(1) not in got
     assert json.loads(got.splitlines()[-1])['error']['code'] == 'incomplete'
 
 
@@ -242,10 +245,10 @@
             ('Model-Version', 'v1'),
             (headers.EXCHANGE_ID, environ['HTTP_CATKINSHUNT_EXCHANGE_ID']),
         )
-        body = flow.lines(0, pieces=1) if good else flow.lines(0)
+        body = harness.lines(0, pieces=1) if good else harness.lines(0)
         return httpio.Response(200, iter([body]), given).send(start_response)
 
-    with flow.Flow(models={}) as run, httpio.HttpServer(app) as server:
+    with harness.Flow(models={}) as run, httpio.HttpServer(app) as server:
         address = httpio.Address(server.host, server.port)
         run.directory.add('a', 'models', address)
         run.entry_app._retry.max_tries = 1
@@ -258,7 +261,9 @@
 
 
 def test_wait_for_a_piece_is_bounded(run):
-    run.scripted('a', 'models', flow.chunked(flow.lines(0)), is_engine=True)
+    run.scripted(
+        'a', 'models', harness.chunked(harness.lines(0)), is_engine=True
+    )
     relay = run.entry_app._relay
     relay.stall_s = 0.25
     server = run.servers['a']
@@ -268,7 +273,7 @@
         path='/generate',
         method='POST',
         account='',
-        model=flow.MODEL,
+        model=harness.MODEL,
         idempotency_key='',
         deadline=20.0,
         body=b'{}',
--- a/catkinshunt/entry/tests/test_flow.py
+++ b/catkinshunt/entry/tests/test_upstream_failures.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from catkinshunt.entry.tests import flow
+from catkinshunt.entry.tests import harness
 from catkinshunt import httpio
 from catkinshunt.httpio import headers
 from standins import engine
 
-WHOLE = flow.chunked(flow.lines(0, 1), flow.lines(2, pieces=3))
+WHOLE = harness.chunked(harness.lines(0, 1), harness.lines(2, pieces=3))
 BOOKED = b'HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\n{}'
 
 
 @pytest.fixture
 def run():
-    with flow.Flow(models={}, desk={}) as made:
+    with harness.Flow(models={}, desk={}) as made:
         yield made
 
 
@@ -31,7 +31,7 @@
     for number in range(6):
         reply = run.generate(3, prompt=f'p{number}')
         assert reply.status == 200
-        assert flow.texts(reply) == (
+        assert harness.texts(reply) == (
             ['t0', 't1', 't2'],
             {'done': True, 'pieces': 3},
         )
@@ -47,7 +47,7 @@
     two = run.scripted('b', 'desk', b'')
     reply = run.ask('/desk/bookings', {'order': 1})
     assert reply.status == 502
-    assert flow.error_of(reply)['ran'] == 'unknown'
+    assert harness.error_of(reply)['ran'] == 'unknown'
     assert len(one.requests) + len(two.requests) == 1
 
 
@@ -56,7 +56,7 @@
 
     Nothing ran, so even a booking may go to another upstream.
     """
-    gone = flow.ScriptedUpstream(b'')
+    gone = harness.ScriptedUpstream(b'')
     gone.close()
     run.upstream('a', 'desk', gone.address)
     good = run.scripted('b', 'desk', BOOKED)
@@ -70,12 +70,12 @@
 
     The caller gets its refusal at once, as not run, with when to come back.
     """
-    gone = flow.ScriptedUpstream(b'')
+    gone = harness.ScriptedUpstream(b'')
     gone.close()
     run.upstream('a', 'desk', gone.address)
     reply = run.ask('/desk/bookings', {'order': 1})
-    assert (reply.status, flow.error_of(reply)['ran']) == (503, 'no')
-    assert flow.error_of(reply)['retry_after_s'] > 0
+    assert (reply.status, harness.error_of(reply)['ran']) == (503, 'no')
+    assert harness.error_of(reply)['retry_after_s'] > 0
 
 
 def test_short_answer_of_known_length(run):
@@ -89,10 +89,10 @@
     run.scripted('b', 'desk', good)
     for _ in range(4):
         assert run.ask('/desk/stock').body == b'whole'
-    with flow.Flow(desk={}) as alone:
+    with harness.Flow(desk={}) as alone:
         alone.scripted('a', 'desk', short)
         reply = alone.ask('/desk/bookings', {'order': 1})
-        assert flow.error_of(reply)['ran'] in ('yes', 'unknown')
+        assert harness.error_of(reply)['ran'] in ('yes', 'unknown')
 
 
 def test_reply_to_another_exchange_is_refused():
@@ -105,12 +105,12 @@
         given = ((headers.EXCHANGE_ID, 'of another'), ('Content-Length', '3'))
         return httpio.Response(200, [b'999'], given).send(start_response)
 
-    with flow.Flow(desk={}) as run, httpio.HttpServer(wrong) as server:
+    with harness.Flow(desk={}) as run, httpio.HttpServer(wrong) as server:
         address = httpio.Address(server.host, server.port)
         run.directory.add('a', 'desk', address)
         reply = run.ask('/desk/stock')
         assert reply.status == 502
-        assert flow.error_of(reply)['ran'] == 'unknown'
+        assert harness.error_of(reply)['ran'] == 'unknown'
 
 
 def test_late_bytes_on_a_kept_connection_are_not_an_answer():
@@ -200,14 +200,14 @@
         assert side.admission.load == 0
     refused = [reply for reply in replies['large'] if reply.status == 429]
     assert len(refused) == 4
-    assert {flow.error_of(reply)['ran'] for reply in refused} == {'no'}
+    assert {harness.error_of(reply)['ran'] for reply in refused} == {'no'}
     assert b'small' in served[1] or b'small' in served[2]
 
 
 def test_deadline_is_passed_on_and_refused_when_over(run):
     run.scripted('a', 'desk', BOOKED)
     reply = run.ask('/desk/stock', deadline_s=0)
-    assert flow.error_of(reply)['ran'] == 'no'
+    assert harness.error_of(reply)['ran'] == 'no'
 
 
 def test_engine_that_lost_its_model_counts_as_not_run(run):
@@ -216,7 +216,7 @@
     Its "not found" is no answer, as another runner has the model.
     """
     real = engine.Engine()
-    real._models[flow.MODEL] = flow.VERSION
+    real._models[harness.MODEL] = harness.VERSION
     with httpio.HttpServer(engine.Engine().app) as empty:
         with httpio.HttpServer(real.app) as full:
             for name, server in (('a', empty), ('b', full)):
@@ -225,9 +225,9 @@
             for number in range(5):
                 reply = run.generate(4, prompt=f'p{number}')
                 expected = engine.answer_pieces(
-                    flow.MODEL, flow.VERSION, f'p{number}', 4
+                    harness.MODEL, harness.VERSION, f'p{number}', 4
                 )
-                assert flow.texts(reply)[0] == expected
+                assert harness.texts(reply)[0] == expected
 
 
 @pytest.mark.parametrize('prompt', ['p0', 'p1', 'p2', 'p3'])
@@ -237,11 +237,11 @@
     "Not run" would be a lie for the request, whichever came first.
     """
     run.scripted('a', 'models', b'', is_engine=True)
-    gone = flow.ScriptedUpstream(b'')
+    gone = harness.ScriptedUpstream(b'')
     gone.close()
     run.upstream('b', 'models', gone.address, is_engine=True)
     reply = run.generate(3, prompt=prompt)
-    assert flow.error_of(reply)['ran'] == 'unknown'
+    assert harness.error_of(reply)['ran'] == 'unknown'
 
 
 def test_booking_never_goes_on_a_kept_connection():
@@ -259,7 +259,7 @@
         )
         return httpio.Response(200, [b'{}'], given).send(start_response)
 
-    with flow.Flow(desk={}) as run, httpio.HttpServer(app) as server:
+    with harness.Flow(desk={}) as run, httpio.HttpServer(app) as server:
         address = httpio.Address(server.host, server.port)
         run.directory.add('a', 'desk', address)
         run.ask('/desk/stock')
@@ -277,7 +277,7 @@
     """
     for name in ('a', 'b', 'c', 'd'):
         if name in ('a', 'c'):
-            gone = flow.ScriptedUpstream(b'')
+            gone = harness.ScriptedUpstream(b'')
             gone.close()
             run.upstream(name, 'desk', gone.address)
         else:
--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -26,7 +26,7 @@
         permit_client: `places.PermitClient` that requests permits.
         guard: `quarantine.Guard` against requests that crash upstreams, or
             None.
-        return_detector: detects clients that come back after a rejection.
+        client_retry_detector: detects clients that come back after a rejection.
         stopping_since: when this process began to stop, or None.
         version_grace_s: seconds after a version is named in which requests
             may still begin on the previous one.
@@ -36,7 +36,7 @@
     dialect: base.BaseDialect
     chooser: dispatch.Chooser
     clock: object
-    wall: object
+    boot_clock: object
     retry_ratio: float
     retry_burst: float
     random: object
@@ -46,8 +46,8 @@
     tracker: dispatch.UpstreamTracker = attrs.field(
         factory=dispatch.UpstreamTracker
     )
-    return_detector: dispatch.ReturningRequestDetector = attrs.field(
-        factory=dispatch.ReturningRequestDetector
+    client_retry_detector: dispatch.ClientRetryDetector = attrs.field(
+        factory=dispatch.ClientRetryDetector
     )
     stopping_since: float | None = None
     version_grace_s: float = 8.0
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -23,8 +23,8 @@
 NO_UPSTREAM_RETRY_S = 0.8
 #: Priority at an engine by rank, from 0 (highest) to 9; 5 is the default.
 PRIORITY_BY_RANK = {
-    dispatch.Rank.ON_TIME: 4,
-    dispatch.Rank.AT_RISK: 6,
+    dispatch.Rank.EARLY: 4,
+    dispatch.Rank.DOUBTFUL: 6,
     dispatch.Rank.LATE: 7,
 }
 #: Share of the retry burst reserved for requests at upstreams that fail or
@@ -125,7 +125,7 @@
             self.context.catalog,
             self.info,
             self.context.random.random(),
-            self.context.wall(),
+            self.context.boot_clock(),
         )
         self.selection = _selection.Selection(
             self.context, self.info, self.decision
@@ -139,13 +139,15 @@
         limit_s = self.decision.serve.timeout_s
         if self.info.deadline_s is not None:
             limit_s = min(limit_s, self.info.deadline_s)
-            self.progress.before_s = self.context.return_detector.waited_s(
-                self.decision.service, self.info.deadline_s, now
+            self.progress.before_s = (
+                self.context.client_retry_detector.waited_s(
+                    self.decision.service, self.info.deadline_s, now
+                )
             )
         self.deadline = self.req.received_at + limit_s
         if self.info.last_event_id:
             self.progress.last_event_id = int(self.info.last_event_id)
-        self.context.retry_budget(self.decision.service).offer()
+        self.context.retry_budget(self.decision.service).add_request()
         try:
             async with asyncio.timeout(self.deadline - self.context.clock()):
                 await self._run_attempts()
@@ -258,7 +260,7 @@
             if progress.sends
             else None,
             max_tries=serve.max_tries,
-            least_left_s=MIN_REMAINING_S,
+            min_remaining_s=MIN_REMAINING_S,
             reserve=self.context.retry_burst * FAILOVER_RESERVE_SHARE,
         )
         retry = policy.check(
@@ -353,7 +355,9 @@
             # The client disconnected or the deadline passed. Without a first
             # byte, the time so far is a lower bound of the delay.
             now = self.context.clock()
-            if not job.answering and not candidate.state.is_unresponsive(now):
+            if not job.reply_started and not candidate.state.is_unresponsive(
+                now
+            ):
                 self.record_delay(job, now - sent_at)
             raise
         finally:
@@ -371,7 +375,7 @@
         try:
             return await pool.acquire(fresh=fresh)
         except errors.RefusedError:
-            state.back_off(self.context.clock())
+            state.record_refused_connection(self.context.clock())
             raise
 
     def _request_bytes(self, upstream, job):
@@ -397,7 +401,7 @@
         if self.progress.head_sent:
             # The client is reading the stream and disconnects if it stalls;
             # requests of a lower rank wait for seconds in a burst.
-            return dispatch.Rank.ON_TIME
+            return dispatch.Rank.EARLY
         now = self.context.clock()
         return self.context.delay_corrector(self.decision.service).rank(
             now - self.req.received_at + self.progress.before_s,
@@ -418,7 +422,7 @@
 
     def record_delay(self, job, delay_s):
         """Record the time to the first byte of an attempt, in seconds."""
-        if job.rank == dispatch.Rank.ON_TIME:
+        if job.rank == dispatch.Rank.EARLY:
             delay_corrector = self.context.delay_corrector(
                 self.decision.service
             )
@@ -465,7 +469,9 @@
             self.conn.abort()
             return False
         if isinstance(exc, errors.OverloadedError):
-            self.context.return_detector.record_rejection(self.context.clock())
+            self.context.client_retry_detector.record_rejection(
+                self.context.clock()
+            )
         items = self.context.dialect.reply_headers(self.info)
         if exc.retry_after_s is not None and exc.ran == 'no':
             items.append(('Retry-After', f'{exc.retry_after_s:g}'))
@@ -487,7 +493,7 @@
         self.context.metrics.record(
             service, outcome, now - self.req.received_at, self.progress
         )
-        age_s = self.context.catalog.age_s(self.context.wall())
+        age_s = self.context.catalog.age_s(self.context.boot_clock())
         _log.info(
             'Request {} ended as {}.',
             self.info.id if self.info else '?',
--- a/catkinshunt/gateway/_gateway.py
+++ b/catkinshunt/gateway/_gateway.py
@@ -49,7 +49,7 @@
         return (
             self.context.stopping_since is None
             and self.context.catalog.declaration is not None
-            and self.context.catalog.can_trust_keys(self.context.wall())
+            and self.context.catalog.can_trust_keys(self.context.boot_clock())
         )
 
     async def stop(self, grace_s):
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -56,7 +56,7 @@
     def uncount(self):
         """Stop counting it as waiting."""
         if self.is_counted:
-            self.candidate.state.asking -= 1
+            self.candidate.state.pending_permit_requests -= 1
             self.is_counted = False
 
 
@@ -132,7 +132,7 @@
         """Return whether a queued permit is granted within `timeout_s` s."""
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await pending.handle.final_reply()
+                reply = await pending.handle.await_decision()
         except TimeoutError:
             return False
         return isinstance(reply, places.PermitGranted)
@@ -182,7 +182,7 @@
             return False
         except errors.RefusedError as exc:
             self._add_note(candidate, str(exc))
-            candidate.state.back_off(self.context.clock())
+            candidate.state.record_refused_connection(self.context.clock())
             return False
         pool.release(conn)
         self._add_note(candidate, 'accepted a connection')
@@ -224,18 +224,18 @@
             no_wait: whether the sidecar must reject instead of queueing.
             short_timeout: whether to use the shorter reply timeout.
         """
-        handle = self.context.permit_client.request(
+        handle = self.context.permit_client.make_handle(
             _host(candidate),
             lambda number: self._make_request(number, candidate, no_wait),
         )
         pending = _PendingRequest(candidate, handle)
         self._pending.append(pending)
-        candidate.state.asking += 1
+        candidate.state.pending_permit_requests += 1
         try:
             async with asyncio.timeout(
                 NEXT_REPLY_TIMEOUT_S if short_timeout else None
             ):
-                await handle.first_reply()
+                await handle.send_and_wait()
         except TimeoutError:
             pass
         self._record_reply(pending)
@@ -279,7 +279,7 @@
         if _is_reloading(reply):
             self.progress.reloading.add(upstream.key)
             now = self.context.clock()
-            state.rest(now, RELOAD_PAUSE_S, upstream.versions)
+            state.pause(now, RELOAD_PAUSE_S, upstream.versions)
             return
         slots = upstream.slots
         if isinstance(reply, places.PermitGranted):
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -105,7 +105,7 @@
                     part.reason, step='read-reply', peer=self.peer
                 )
             self.state.receive(self.context.clock())
-            self.job.answering = True
+            self.job.reply_started = True
             return part
 
     def _check_version(self):
@@ -114,7 +114,7 @@
         A request can wait in the queue of a full engine for seconds, and
         would then be answered from weights that must no longer serve.
         """
-        if self.job.answering:
+        if self.job.reply_started:
             return
         if self.exchange.selection.is_outdated(self.upstream, POLL_S):
             raise OutdatedVersionError(
@@ -135,7 +135,7 @@
     def _check_head(self, head, reply_info):
         """Raise if the reply must not be relayed."""
         if reply_info.misdirected:
-            self.state.rest(self.context.clock(), MISDIRECTED_PAUSE_S)
+            self.state.pause(self.context.clock(), MISDIRECTED_PAUSE_S)
             raise errors.RefusedError(
                 'unexpected upstream id or version',
                 step='read-reply',
@@ -169,9 +169,9 @@
         now = self.context.clock()
         load = reply_info.load
         if load is not None and load.running < load.slots:
-            self.state.rest(now, LOADING_PAUSE_S, self.upstream.versions)
+            self.state.pause(now, LOADING_PAUSE_S, self.upstream.versions)
         else:
-            self.state.rest(now, FULL_PAUSE_S)
+            self.state.pause(now, FULL_PAUSE_S)
 
     def _is_stream(self, head):
         kind = head.headers.get('content-type') or ''
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -109,7 +109,7 @@
     def _eligible_upstreams(self):
         """Return the upstreams that serve a permitted version."""
         found = self.context.catalog.upstreams(
-            self.decision.service, self.context.wall()
+            self.decision.service, self.context.boot_clock()
         )
         model = self.info.model
         if not model or self.engine_profile() is None:
@@ -129,5 +129,5 @@
         return self.context.catalog.due_version(
             self.info.model,
             self.context.version_grace_s,
-            self.context.wall() + lead_s,
+            self.context.boot_clock() + lead_s,
         )
--- a/catkinshunt/gateway/tests/harness.py
+++ b/catkinshunt/gateway/tests/harness.py
@@ -219,7 +219,7 @@
         dialect=dialect.PlainDialect(),
         chooser=dispatch.Chooser('larisa-a', {}),
         clock=loop.time,
-        wall=loop.time,
+        boot_clock=loop.time,
         retry_ratio=0.1,
         retry_burst=retry_burst,
         random=random.Random(3),
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -93,8 +93,8 @@
     async def main():
         upstream = harness.FakeUpstream('u1', harness.replying())
         async with harness.running_gateway(upstream) as gateway:
-            base = gateway.context.wall
-            gateway.context.wall = lambda: base() + 3.5
+            base = gateway.context.boot_clock
+            gateway.context.boot_clock = lambda: base() + 3.5
             ready = gateway.server.is_ready()
             return (
                 ready,
@@ -137,9 +137,9 @@
 
     async def main():
         async with harness.running_gateway() as gateway:
-            base = gateway.context.wall
+            base = gateway.context.boot_clock
             early = await gateway.request(path, Api_Key=key)
-            gateway.context.wall = lambda: base() + 2.5
+            gateway.context.boot_clock = lambda: base() + 2.5
             return early, await gateway.request(path, Api_Key=key)
 
     early, (status, head, _) = run(main)
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -44,7 +44,7 @@
         self.answer = answer
         self.reply = None
 
-    async def first_reply(self):
+    async def send_and_wait(self):
         if self.answer is places.PermitGranted:
             self.client.in_use += 1
             self.client.granted += 1
@@ -57,9 +57,9 @@
             )
         return self.reply
 
-    async def final_reply(self):
+    async def await_decision(self):
         self.answer = places.PermitGranted
-        return await self.first_reply()
+        return await self.send_and_wait()
 
     def end(self):
         self.client.in_use -= isinstance(self.reply, places.PermitGranted)
@@ -123,9 +123,9 @@
             context.permit_client = FakePermitClient(None, None)
             context.version_grace_s = 8.0
             context.catalog.add_named_version(
-                harness.MODEL, 2, context.wall() - 7.0
+                harness.MODEL, 2, context.boot_clock() - 7.0
             )
-            context.tracker.state(new.listed()).rest(context.clock(), 0.2)
+            context.tracker.state(new.listed()).pause(context.clock(), 0.2)
             return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
 
     status, _, _ = asyncio.run(main())
@@ -145,12 +145,12 @@
             context.version_grace_s = 8.0
 
             class Waiting(FakePermitRequest):
-                async def final_reply(self):
-                    now = context.wall()
+                async def await_decision(self):
+                    now = context.boot_clock()
                     context.catalog.add_named_version(
                         harness.MODEL, 2, now - 9.0
                     )
-                    return await super().final_reply()
+                    return await super().await_decision()
 
             client.request_class = Waiting
             return await gateway.request('/chat/1', 'POST', b'hello', **CHAT)
@@ -325,9 +325,9 @@
     client = FakePermitClient(places.PermitQueued, None)
 
     class Waiting(FakePermitRequest):
-        async def final_reply(self):
+        async def await_decision(self):
             await asyncio.sleep(0.2)
-            return await super().final_reply()
+            return await super().await_decision()
 
     client.request_class = Waiting
 
@@ -348,7 +348,7 @@
     client = FakePermitClient(places.PermitQueued, None)
 
     class Rejecting(FakePermitRequest):
-        async def final_reply(self):
+        async def await_decision(self):
             await asyncio.sleep(2.0)
             return places.PermitRejected(
                 self.request.number, places.NO_ROOM, 1.7
@@ -369,9 +369,9 @@
     client = FakePermitClient(*[None] * 20)
 
     class Slow(FakePermitRequest):
-        async def first_reply(self):
+        async def send_and_wait(self):
             await asyncio.sleep(0.5)
-            return await super().first_reply()
+            return await super().send_and_wait()
 
     client.request_class = Slow
 
@@ -395,9 +395,9 @@
     ended = []
 
     class Recording(FakePermitRequest):
-        async def final_reply(self):
+        async def await_decision(self):
             ended.append(len(ends))
-            return await super().final_reply()
+            return await super().await_decision()
 
         def end(self):
             ends.append(self.request.number)
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -49,7 +49,7 @@
         second = make_engine('u2', harness.streaming(6))
         async with harness.running_gateway(first, second) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(second.listed()).rest(gateway.context.clock(), 0.5)
+            tracker.state(second.listed()).pause(gateway.context.clock(), 0.5)
             return await chat(gateway), second.heads
 
     (_, head, body), heads = run(main)
@@ -72,7 +72,7 @@
         second = make_engine('u2', harness.streaming(6))
         async with harness.running_gateway(unresponsive, second) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(second.listed()).rest(gateway.context.clock(), 0.5)
+            tracker.state(second.listed()).pause(gateway.context.clock(), 0.5)
             return await chat(gateway)
 
     assert run(main)[2] == events(6)
@@ -95,7 +95,7 @@
             unresponsive, other, retry_burst=retry_burst
         ) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(other.listed()).rest(gateway.context.clock(), 0.3)
+            tracker.state(other.listed()).pause(gateway.context.clock(), 0.3)
             sent = [
                 chat(gateway, Request_Id=f'a{n}', Left_Ms='3000')
                 for n in range(count)
@@ -122,7 +122,7 @@
     engine, which would run them after their clients have left. One of four
     entries that share 80 retries has enough for all requests of an engine.
     """
-    burst = retries.BurstShare(burst=80.0).choose(now=0.0)
+    burst = retries.RetryBurstShare(burst=80.0).burst_at(now=0.0)
     assert run(request_while_one_is_frozen(16, burst)) == [200] * 16
 
 
@@ -199,7 +199,7 @@
         second = make_engine('u2', harness.streaming(3))
         async with harness.running_gateway(first, second) as gateway:
             tracker = gateway.context.tracker
-            tracker.state(second.listed()).rest(gateway.context.clock(), 0.5)
+            tracker.state(second.listed()).pause(gateway.context.clock(), 0.5)
             return await chat(gateway)
 
     assert run(main)[2] == events(3)
@@ -243,7 +243,7 @@
         new = make_engine('u2', harness.streaming(2), version=2)
         async with harness.running_gateway(old, new) as gateway:
             gateway.context.version_grace_s = 4.0
-            now = gateway.context.wall()
+            now = gateway.context.boot_clock()
             gateway.context.catalog.add_named_version(
                 harness.MODEL, 2, now - 5
             )
@@ -278,9 +278,9 @@
             context = gateway.context
             context.version_grace_s = 1.0
             context.catalog.add_named_version(
-                harness.MODEL, 2, context.wall() - 0.5
+                harness.MODEL, 2, context.boot_clock() - 0.5
             )
-            context.tracker.state(new.listed()).rest(context.clock(), 0.2)
+            context.tracker.state(new.listed()).pause(context.clock(), 0.2)
             found = await chat(gateway)
             await asyncio.wait_for(old.closed.wait(), 2)
             return found, len(old.heads)
--- a/catkinshunt/instances/_instance.py
+++ b/catkinshunt/instances/_instance.py
@@ -72,7 +72,7 @@
         value['control_address'] = str(control) if control else ''
         return value
 
-    def to_line(self):
+    def to_canonical_json(self):
         """Return the listing as canonical JSON bytes."""
         text = json.dumps(
             self.to_listing(), sort_keys=True, separators=(',', ':')
--- a/catkinshunt/instances/_listing.py
+++ b/catkinshunt/instances/_listing.py
@@ -215,7 +215,9 @@
 def _hash(instance):
     if instance is None:
         return 0
-    digest = hashlib.blake2b(instance.to_line(), digest_size=_DIGEST_BYTES)
+    digest = hashlib.blake2b(
+        instance.to_canonical_json(), digest_size=_DIGEST_BYTES
+    )
     return int.from_bytes(digest.digest(), 'big')
 
 
--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -28,7 +28,7 @@
         True
         >>> admission.offer(second, now=0.0).fut.done()
         False
-        >>> admission.observe(first, now=1.0)
+        >>> admission.finish(first, now=1.0)
         >>> second.fut.done()
         True
     """
@@ -93,13 +93,13 @@
         # It was started or rejected just now.
         ticket.fut.result()
 
-    def observe(self, ticket, now):
+    def finish(self, ticket, now):
         """Record that a request has ended, and start queued ones."""
         took_s = max(0.0, now - ticket.began_at)
         with self._lock:
             self._running -= 1
             self._update_service_time(took_s)
-            self.queue.observe(ticket, took_s)
+            self.queue.finish(ticket, took_s)
             self._start_queued(now)
             if not self._running:
                 self._idle.notify_all()
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -134,7 +134,7 @@
         ticket.cost_s = account.mean_s or service_s
         account.virtual_s += ticket.cost_s / account.weight
 
-    def observe(self, ticket, took_s):
+    def finish(self, ticket, took_s):
         """Correct the charge by the service time of the request."""
         account = self._account(ticket)
         account.virtual_s += (took_s - ticket.cost_s) / account.weight
--- a/catkinshunt/limits/base.py
+++ b/catkinshunt/limits/base.py
@@ -68,5 +68,5 @@
     def begin(self, ticket, service_s):  # noqa: B027
         """Record that a request starts, whether it waited or not."""
 
-    def observe(self, ticket, took_s):  # noqa: B027
+    def finish(self, ticket, took_s):  # noqa: B027
         """Record the service time of a request that ended."""
--- a/catkinshunt/limits/tests/test_admission.py
+++ b/catkinshunt/limits/tests/test_admission.py
@@ -24,7 +24,7 @@
         False
     ] * 3
     assert admission.load == 5
-    admission.observe(tickets[0], 1.0)
+    admission.finish(tickets[0], 1.0)
     assert tickets[2].fut.done()
     assert admission.report()['running'] == 2
 
@@ -42,7 +42,7 @@
     thread = threading.Thread(target=work)
     thread.start()
     assert not waited.is_set()
-    admission.observe(first, 1.0)
+    admission.finish(first, 1.0)
     assert waited.wait(10)
     thread.join(10)
 
@@ -54,7 +54,7 @@
     can be retried elsewhere.
     """
     admission = make_admission()
-    admission.observe(offer(admission), 1.0)
+    admission.finish(offer(admission), 1.0)
     with pytest.raises(errors.OverloadedError) as caught:
         offer(admission, now=2.0, deadline=2.5)
     assert caught.value.retry_after_s == pytest.approx(0.5)
@@ -71,7 +71,7 @@
     second = offer(admission, deadline=0.0)
     with pytest.raises(errors.OverloadedError):
         admission.wait(second, 0.0)
-    admission.observe(first, 1.0)
+    admission.finish(first, 1.0)
     assert admission.load == 0
 
 
@@ -80,7 +80,7 @@
     first = offer(admission)
     late = offer(admission, deadline=1.5)
     good = offer(admission, deadline=50.0)
-    admission.observe(first, 1.0)
+    admission.finish(first, 1.0)
     assert isinstance(late.fut.exception(0), errors.OverloadedError)
     assert good.fut.done()
 
@@ -97,7 +97,7 @@
         offer(admission)
     assert caught.value.ran == 'no'
     assert not admission.join(0)
-    admission.observe(first, 1.0)
+    admission.finish(first, 1.0)
     assert second.fut.done()
-    admission.observe(second, 2.0)
+    admission.finish(second, 2.0)
     assert admission.join(0)
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -23,7 +23,7 @@
 def run_next(queue):
     ticket = queue.choose(0.0)
     queue.begin(ticket, SERVICE_S)
-    queue.observe(ticket, SERVICE_S)
+    queue.finish(ticket, SERVICE_S)
     return ticket.account
 
 
--- a/catkinshunt/places/__init__.py
+++ b/catkinshunt/places/__init__.py
@@ -24,7 +24,7 @@
 from catkinshunt.places._messages import PermitRelease
 from catkinshunt.places._messages import PermitRequest
 from catkinshunt.places._server import PermitServer
-from catkinshunt.places.base import BaseAdmission
+from catkinshunt.places.base import BasePermitAdmission
 
 __all__ = [
     'LATE_MAX_WAIT_S',
@@ -32,7 +32,7 @@
     'NO_ROOM',
     'RELOADING',
     'REPLY_TIMEOUT_S',
-    'BaseAdmission',
+    'BasePermitAdmission',
     'DecodeError',
     'NoPermitError',
     'PermitAllocator',
--- a/catkinshunt/places/_client.py
+++ b/catkinshunt/places/_client.py
@@ -39,7 +39,7 @@
 class PermitHandle:
     """One permit request and the replies to it.
 
-    It is sent by `first_reply` and must be ended by `end`, which releases the
+    It is sent by `send_and_wait` and must be ended by `end`, which releases the
     permit.
 
     Attributes:
@@ -53,7 +53,7 @@
     reply: object = None
     _replies: asyncio.Queue = attrs.field(factory=asyncio.Queue)
 
-    async def first_reply(self):
+    async def send_and_wait(self):
         """Send the request; return the first reply, or None without one."""
         self._client.register(self)
         for _ in range(MAX_SENDS):
@@ -63,7 +63,7 @@
         self._client.record_reply(self._host, self.reply is not None)
         return self.reply
 
-    async def final_reply(self):
+    async def await_decision(self):
         """Return `PermitGranted` or `PermitRejected` for a queued request."""
         timeout_s = (
             max(self.request.wait_s, _allocator.LATE_MAX_WAIT_S) + LOST_REPLY_S
--- a/catkinshunt/places/_server.py
+++ b/catkinshunt/places/_server.py
@@ -9,7 +9,7 @@
 _log = logs.get_logger('places')
 
 
-class PermitServer(asyncio.DatagramProtocol, base.BaseAdmission):
+class PermitServer(asyncio.DatagramProtocol, base.BasePermitAdmission):
     """Passes permit requests of entries to an allocator and sends its replies.
 
     Args:
@@ -52,20 +52,20 @@
             self._send(self.allocator.release(addr, message.number, now))
 
     def reconcile(self, present):
-        """See `base.BaseAdmission.reconcile`."""
+        """See `base.BasePermitAdmission.reconcile`."""
         self._send(self.allocator.reconcile(present, self.clock()))
 
     def close(self, closes_in_s, opens_in_s):
-        """See `base.BaseAdmission.close`."""
+        """See `base.BasePermitAdmission.close`."""
         now = self.clock()
         self.allocator.close(now + closes_in_s, now + opens_in_s)
 
     def open(self):
-        """See `base.BaseAdmission.open`."""
+        """See `base.BasePermitAdmission.open`."""
         self._send(self.allocator.open(self.clock()))
 
     def set_expiry(self, expires_in_s):
-        """See `base.BaseAdmission.set_expiry`."""
+        """See `base.BasePermitAdmission.set_expiry`."""
         self.allocator.set_expiry(self.clock() + expires_in_s)
 
     def _send(self, replies):
--- a/catkinshunt/places/base.py
+++ b/catkinshunt/places/base.py
@@ -3,7 +3,7 @@
 import abc
 
 
-class BaseAdmission(abc.ABC):
+class BasePermitAdmission(abc.ABC):
     """Admits requests to an engine."""
 
     @abc.abstractmethod
--- a/catkinshunt/places/tests/test_datagrams.py
+++ b/catkinshunt/places/tests/test_datagrams.py
@@ -32,7 +32,7 @@
     async def acquire(self):
         """Request a permit; return its handle after the first reply."""
         handle = self.request()
-        await handle.first_reply()
+        await handle.send_and_wait()
         return handle
 
     def stop(self):
@@ -82,7 +82,7 @@
         second = await pair.acquire()
         kind = second.reply.kind
         first.end()
-        return kind, await second.final_reply()
+        return kind, await second.await_decision()
 
     kind, reply = run(main)
     assert kind == 'queued'
@@ -93,8 +93,8 @@
     async def main(pair):
         await pair.acquire()
         handle = pair.request(wait_s=0.05)
-        await handle.first_reply()
-        return await handle.final_reply()
+        await handle.send_and_wait()
+        return await handle.await_decision()
 
     rejection = run(main)
     assert rejection.reason == places.NO_ROOM
@@ -122,7 +122,7 @@
     async def main(pair):
         assert pair.client.is_responsive(SIDECAR)
         handle = pair.request()
-        assert await handle.first_reply() is None
+        assert await handle.send_and_wait() is None
         handle.end()
         return pair.client.is_responsive(SIDECAR)
 
@@ -135,9 +135,9 @@
     async def main(pair):
         await pair.acquire()
         second = pair.request(wait_s=0.05)
-        await second.first_reply()
+        await second.send_and_wait()
         pair.server.stop()
-        return await second.final_reply()
+        return await second.await_decision()
 
     assert run(main).kind == 'refused'
 
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -146,9 +146,9 @@
         dialect=_dialect.PlatformDialect(),
         chooser=dispatch.Chooser(cfg.data_centre, cfg.regions, cfg.name),
         clock=_clocks.monotonic,
-        wall=_clocks.boottime,
+        boot_clock=_clocks.boottime,
         retry_ratio=bounds.retry_ratio * RETRY_RATIO_SHARE,
-        retry_burst=make_burst_share(cfg).choose(_clocks.monotonic()),
+        retry_burst=make_burst_share(cfg).burst_at(_clocks.monotonic()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
         permit_client=places.PermitClient(
@@ -159,8 +159,8 @@
 
 
 def make_burst_share(cfg):
-    """Return the `retries.BurstShare` of an entry."""
-    return retries.BurstShare(cfg.bounds.retry_slack * RETRY_SLACK_SHARE)
+    """Return the `retries.RetryBurstShare` of an entry."""
+    return retries.RetryBurstShare(cfg.bounds.retry_slack * RETRY_SLACK_SHARE)
 
 
 async def _update_retry_burst(cfg, context, live_entries):
@@ -169,7 +169,7 @@
     while True:
         now = _clocks.monotonic()
         share.observe(len(live_entries.names()), now)
-        context.set_retry_burst(share.choose(now))
+        context.set_retry_burst(share.burst_at(now))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(RETRY_BURST_PERIOD_S):
                 await live_entries.wait_for_change()
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -88,7 +88,7 @@
     registry.gauge(
         'chunks_missing',
         'Chunks that are missing, by model and version.',
-        version_store.missing,
+        version_store.missing_counts,
         ('model', 'version'),
     )
     return registry.counter(
--- a/catkinshunt/platform/tests/test_metrics.py
+++ b/catkinshunt/platform/tests/test_metrics.py
@@ -18,7 +18,7 @@
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     registry = metrics.Registry()
     context = _entry.make_context(cfg, registry)
-    context.retry_budget('desk').offer()
+    context.retry_budget('desk').add_request()
     server = gateway.Gateway(context)
     _entry.register_gauges(registry, server, context)
     _process.make_store_client(cfg, registry)
@@ -28,7 +28,7 @@
 def sidecar_registry():
     registry = metrics.Registry()
     version_store = spread.VersionStore()
-    version_store.chunk_store('drafts', 2)
+    version_store.get_or_create('drafts', 2)
     _sidecar.register_metrics(registry, version_store)
     cfg = platform.parse_instance_settings(test_settings.DOCUMENT)
     _process.make_store_client(cfg, registry)
--- a/catkinshunt/quarantine/__init__.py
+++ b/catkinshunt/quarantine/__init__.py
@@ -11,7 +11,7 @@
 from catkinshunt.quarantine._quarantine import Quarantine
 from catkinshunt.quarantine._quarantine import QUARANTINE_S
 from catkinshunt.quarantine._quarantine import RENEW_SHARE
-from catkinshunt.quarantine._quarantine import SETTLE_S
+from catkinshunt.quarantine._quarantine import EVALUATION_DELAY_S
 
 __all__ = [
     'Completion',
@@ -22,7 +22,7 @@
     'Quarantine',
     'Quarantined',
     'RENEW_SHARE',
-    'SETTLE_S',
+    'EVALUATION_DELAY_S',
     'dump',
     'fingerprint',
     'load',
--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -113,7 +113,9 @@
     def _schedule_evaluation(self):
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(_quarantine.SETTLE_S, self._evaluate)
+            self._timer = loop.call_later(
+                _quarantine.EVALUATION_DELAY_S, self._evaluate
+            )
 
     def _evaluate(self):
         self._timer = None
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -16,7 +16,7 @@
 #: Seconds from when a request reaches `MIN_CRASHES` to its evaluation. Reports
 #: of other entries on the same crash, and on completions that clear the
 #: request, arrive in that time.
-SETTLE_S = 0.3
+EVALUATION_DELAY_S = 0.3
 #: Seconds after its last crash for which a suspect is kept.
 SUSPECT_TTL_S = 300.0
 #: Seconds for which a request is quarantined after its last attempt.
@@ -123,7 +123,7 @@
             request
             for request, suspect in self._suspects.items()
             if suspect.eligible_at is not None
-            and now - suspect.eligible_at >= SETTLE_S
+            and now - suspect.eligible_at >= EVALUATION_DELAY_S
             and self._is_culprit(request, suspect)
         ]
         for request in found:
@@ -143,7 +143,7 @@
         """Return whether a suspect is not due for evaluation yet."""
         return any(
             suspect.eligible_at is not None
-            and now - suspect.eligible_at < SETTLE_S
+            and now - suspect.eligible_at < EVALUATION_DELAY_S
             for suspect in self._suspects.values()
         )
 
--- a/catkinshunt/quarantine/tests/test_quarantine.py
+++ b/catkinshunt/quarantine/tests/test_quarantine.py
@@ -1,7 +1,7 @@
 from catkinshunt import quarantine
 from catkinshunt.quarantine import _quarantine
 
-SETTLED = quarantine.SETTLE_S + 0.01
+SETTLED = quarantine.EVALUATION_DELAY_S + 0.01
 
 
 def crash(subject, *crashes, at=0.0):
@@ -98,7 +98,7 @@
 
 
 def test_frequent_crashes_do_not_defer_the_evaluation():
-    """Crashes more frequent than `SETTLE_S` must not defer evaluation."""
+    """Crashes more frequent than `EVALUATION_DELAY_S` must not defer evaluation."""
     subject = quarantine.Quarantine()
     for number in range(8):
         subject.record_crash(str(number), ['p'], number * SETTLED / 2)
--- a/catkinshunt/retries/_budget.py
+++ b/catkinshunt/retries/_budget.py
@@ -20,10 +20,10 @@
 
     Examples:
         >>> budget = Budget(ratio=0.5, burst=1)
-        >>> budget.offer()
-        >>> budget.choose()
+        >>> budget.add_request()
+        >>> budget.try_take()
         True
-        >>> budget.choose()
+        >>> budget.try_take()
         False
     """
 
@@ -33,12 +33,12 @@
         self._lock = threading.Lock()
         self._tokens = None
 
-    def offer(self):
+    def add_request(self):
         """Add the tokens of one request; not called for its retries."""
         with self._lock:
             self._tokens = self._available() + self.ratio
 
-    def choose(self, reserve=0.0):
+    def try_take(self, reserve=0.0):
         """Take a token for one retry; return whether there was one.
 
         Args:
@@ -51,7 +51,7 @@
             return enough
 
     def has_token(self):
-        """Return whether `choose` would take a token now."""
+        """Return whether `try_take` would take a token now."""
         with self._lock:
             return self._available() >= 1
 
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -21,7 +21,7 @@
     Args:
         budget: a `Budget`, or None for no limit, as in benchmarks.
         max_tries: maximum number of attempts, including the first one.
-        least_left_s: time to the deadline below which no retry is made.
+        min_remaining_s: time to the deadline below which no retry is made.
         reserve: tokens of the budget that retries after rejections by full
             upstreams leave to other failures. In a burst most engines are
             full and such retries seldom help; if an engine then stops
@@ -39,17 +39,17 @@
     """
 
     def __init__(
-        self, budget=None, max_tries=3, least_left_s=0.02, reserve=0.0
+        self, budget=None, max_tries=3, min_remaining_s=0.02, reserve=0.0
     ):
         self.budget = budget
         self.max_tries = max_tries
-        self.least_left_s = least_left_s
+        self.min_remaining_s = min_remaining_s
         self.reserve = reserve
 
-    def offer(self):
+    def add_request(self):
         """Count one request towards the budget."""
         if self.budget is not None:
-            self.budget.offer()
+            self.budget.add_request()
 
     def check(self, exc, idempotent, tries, deadline, now):
         """Return the `RetryDecision` on a request whose last attempt failed.
@@ -69,7 +69,7 @@
             return RetryDecision(False, 'may have run')
         if tries >= self.max_tries:
             return RetryDecision(False, f'{tries} tries made')
-        if deadline - now < self.least_left_s:
+        if deadline - now < self.min_remaining_s:
             return RetryDecision(False, 'deadline too near')
         if self.budget is not None and not self._take_token(exc):
             return RetryDecision(False, 'retry budget spent')
@@ -79,4 +79,4 @@
 
     def _take_token(self, exc):
         is_full = isinstance(exc, errors.OverloadedError)
-        return self.budget.choose(self.reserve if is_full else 0.0)
+        return self.budget.try_take(self.reserve if is_full else 0.0)
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -13,7 +13,7 @@
 HOLD_S = 60.0
 
 
-class BurstShare(base.ParamsMixin):
+class RetryBurstShare(base.ParamsMixin):
     """Share of one process in a burst of retries allowed for all processes.
 
     The number of processes changes at run time. A fixed share for the largest
@@ -26,15 +26,17 @@
         hold_s: seconds for which a larger count is kept.
 
     Examples:
-        >>> share = BurstShare(burst=100.0)
+        >>> share = RetryBurstShare(burst=100.0)
         >>> share.observe(5, now=0.0)
-        >>> share.choose(now=1.0)
+        >>> share.burst_at(now=1.0)
         20.0
     """
 
-    def __init__(self, burst=100.0, fewest=MIN_PROCESSES, hold_s=HOLD_S):
+    def __init__(
+        self, burst=100.0, min_processes=MIN_PROCESSES, hold_s=HOLD_S
+    ):
         self.burst = burst
-        self.fewest = fewest
+        self.min_processes = min_processes
         self.hold_s = hold_s
         self._counts = collections.deque()
 
@@ -44,15 +46,17 @@
             self._counts.pop()
         self._counts.append((now, count))
 
-    def choose(self, now):
+    def burst_at(self, now):
         """Return the burst of this process at `now` seconds, at least 1."""
         checks.check_positive(self.burst, 'burst')
-        checks.check_positive(self.fewest, 'fewest')
+        checks.check_positive(self.min_processes, 'fewest')
         # Counts decrease from the first to the last, which does not expire
         # before a newer one is recorded.
         while (
             len(self._counts) > 1 and self._counts[1][0] <= now - self.hold_s
         ):
             self._counts.popleft()
-        processes = max([self.fewest, *(count for _, count in self._counts)])
+        processes = max(
+            [self.min_processes, *(count for _, count in self._counts)]
+        )
         return max(1.0, self.burst / processes)
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -62,14 +62,14 @@
     budget = retries.Budget(ratio=0.1, burst=5.0)
     used = 0
     for count in wanted:
-        budget.offer()
-        used += sum(budget.choose() for _ in range(count))
+        budget.add_request()
+        used += sum(budget.try_take() for _ in range(count))
     assert used <= 5 + 0.1 * len(wanted) + 1e-6
 
 
 def test_invalid_ratio_is_named():
     with pytest.raises(ValueError, match='ratio'):
-        retries.Budget(ratio=2).offer()
+        retries.Budget(ratio=2).add_request()
 
 
 def test_rejections_by_full_upstreams_leave_reserved_tokens():
--- a/catkinshunt/routing/__init__.py
+++ b/catkinshunt/routing/__init__.py
@@ -1,7 +1,7 @@
 """Choice of an upstream for each request."""
 
 from catkinshunt.routing._affinity import PrefixAffinity
-from catkinshunt.routing._health import Health
+from catkinshunt.routing._health import HealthTracker
 from catkinshunt.routing._load import LeastInFlight
 from catkinshunt.routing._load import PowerOfTwoChoices
 from catkinshunt.routing._load import Random
@@ -21,7 +21,7 @@
 __all__ = [
     'BasePolicy',
     'Choice',
-    'Health',
+    'HealthTracker',
     'LeastInFlight',
     'Observation',
     'PowerOfTwoChoices',
--- a/catkinshunt/routing/_health.py
+++ b/catkinshunt/routing/_health.py
@@ -14,7 +14,7 @@
     probing: bool = False
 
 
-class Health(shared.ParamsMixin):
+class HealthTracker(shared.ParamsMixin):
     """Leaves failed upstreams alone, then tries each by one request.
 
     Without the single probe, all waiting requests would run into an upstream
@@ -65,7 +65,7 @@
         record = self._records().get(view.name)
         return record.retry_at if record else 0.0
 
-    def knows(self, name):
+    def has_record(self, name):
         """Return whether replies or failures have marked an upstream."""
         return name in self._records()
 
--- a/catkinshunt/routing/_router.py
+++ b/catkinshunt/routing/_router.py
@@ -39,7 +39,7 @@
         subset_size: upstreams of one service that the entry works with.
         spill_load: requests on each near upstream from which on others are
             taken as well.
-        health: a `Health`.
+        health: a `HealthTracker`.
 
     Examples:
         >>> from catkinshunt import routing
@@ -131,7 +131,7 @@
             self._health().observe(observation, now)
             if observation.load is not None:
                 view.reported_load = observation.load
-                view.own_at_report = view.in_flight
+                view.in_flight_at_report = view.in_flight
                 view.reported_at = now
             versions = observation.model_versions
             if versions is not None:
@@ -148,7 +148,7 @@
 
     def _health(self):
         if self.health is None:
-            self.health = _health.Health()
+            self.health = _health.HealthTracker()
         return self.health
 
     @staticmethod
@@ -164,7 +164,9 @@
             old.model_versions = view.model_versions
         if view.state == base.State.LEAVING:
             old.state = base.State.LEAVING
-        elif old.state == base.State.LEAVING and not health.knows(old.name):
+        elif old.state == base.State.LEAVING and not health.has_record(
+            old.name
+        ):
             old.state = base.State.SERVING
         return old
 
--- a/catkinshunt/routing/_subset.py
+++ b/catkinshunt/routing/_subset.py
@@ -5,7 +5,7 @@
 from catkinshunt.routing import base
 
 
-def rank_upstreams(entry, upstreams, data_centre='', far_one_in=4):
+def rank_upstreams(entry, upstreams, data_centre='', remote_interval=4):
     """Return upstreams in the order in which one entry takes them up.
 
     Each entry has its own order by rendezvous hashing, so that entries spread
@@ -18,7 +18,7 @@
         entry: name of the entry.
         upstreams: `UpstreamView` objects.
         data_centre: the entry's own; its upstreams come first.
-        far_one_in: each such place of the order goes to an upstream of
+        remote_interval: each such place of the order goes to an upstream of
             another data centre, so that a subset outlives the loss of its
             own data centre.
 
@@ -40,15 +40,17 @@
     order = sorted(upstreams, key=weight, reverse=True)
     near = [view for view in order if view.data_centre == data_centre]
     far = [view for view in order if view.data_centre != data_centre]
-    return list(_interleave(near, far, far_one_in))
+    return list(_interleave(near, far, remote_interval))
 
 
-def _interleave(near, far, far_one_in):
+def _interleave(near, far, remote_interval):
     near, far = iter(near), iter(far)
     place = 0
     while True:
         place += 1
-        first, second = (far, near) if place % far_one_in == 0 else (near, far)
+        first, second = (
+            (far, near) if place % remote_interval == 0 else (near, far)
+        )
         view = next(first, None) or next(second, None)
         if view is None:
             return
--- a/catkinshunt/routing/base.py
+++ b/catkinshunt/routing/base.py
@@ -41,7 +41,7 @@
         region: the region of that data centre.
         in_flight: requests of this entry that it has now.
         reported_load: requests it had, of all entries, when it last said so.
-        own_at_report: `in_flight` at that time.
+        in_flight_at_report: `in_flight` at that time.
         reported_at: when that was, in seconds; None if it never did.
         state: whether it may get new work.
         model_versions: what it serves, as ``model/version``; None when not
@@ -56,7 +56,7 @@
     region: str = ''
     in_flight: int = 0
     reported_load: float = 0.0
-    own_at_report: int = 0
+    in_flight_at_report: int = 0
     reported_at: float | None = None
     state: State = attrs.field(default=State.SERVING, converter=State)
     model_versions: frozenset | None = attrs.field(
@@ -142,7 +142,7 @@
 
     Examples:
         >>> view = UpstreamView('a', '127.0.0.1:1', 'model', in_flight=2,
-        ...     reported_load=9, own_at_report=1, reported_at=10.0)
+        ...     reported_load=9, in_flight_at_report=1, reported_at=10.0)
         >>> estimate_load(view, now=10.0)
         10.0
         >>> estimate_load(view, now=26.0)
@@ -150,7 +150,7 @@
     """
     if view.reported_at is None:
         return float(view.in_flight)
-    others = view.reported_load - view.own_at_report
+    others = view.reported_load - view.in_flight_at_report
     if others <= 0:
         return float(view.in_flight)
     age_s = max(0.0, now - view.reported_at)
--- a/catkinshunt/routing/tests/test_router.py
+++ b/catkinshunt/routing/tests/test_router.py
@@ -19,7 +19,7 @@
     router = routing.Router(
         routing.PowerOfTwoChoices(random_state=1),
         entry='e1',
-        health=routing.Health(random_state=1),
+        health=routing.HealthTracker(random_state=1),
         **params,
     )
     router.offer(views)
@@ -103,7 +103,7 @@
     failed = routing.Observation(old.upstream, routing.Result.FAILED)
     router.observe(failed, 0.1)
     assert new.upstream.state == routing.State.SERVING
-    assert not router.health.knows('u0')
+    assert not router.health.has_record('u0')
     assert new.upstream.in_flight == 1
 
 
--- a/catkinshunt/rules/_actions.py
+++ b/catkinshunt/rules/_actions.py
@@ -70,7 +70,7 @@
             lies between.
 
     Examples:
-        >>> Place('tools', '7', lean='origin').lean_fraction
+        >>> Place('tools', '7', lean='origin').time_preference
         0.0
     """
 
@@ -82,7 +82,7 @@
     lean: str | float = attrs.field(default='time', validator=_fields.leaning)
 
     @property
-    def lean_fraction(self):
+    def time_preference(self):
         """The leaning as a number from 0 (origin) to 1 (time)."""
         if isinstance(self.lean, str):
             return _fields.LEANINGS[self.lean]
--- a/catkinshunt/rules/_rules.py
+++ b/catkinshunt/rules/_rules.py
@@ -128,7 +128,7 @@
     @_indexes.default
     def _make_indexes(self):
         return {
-            keyword: self._index(keyword, cls.indexed)
+            keyword: self._index(keyword, cls.indexed_fields)
             for keyword, cls in _subjects.SUBJECTS.items()
         }
 
--- a/catkinshunt/rules/_subjects.py
+++ b/catkinshunt/rules/_subjects.py
@@ -10,7 +10,7 @@
     """A caller's request, as far as rules may look at it."""
 
     keyword = 'request'
-    indexed = ('service', 'host')
+    indexed_fields = ('service', 'host')
 
     service: str = ''
     host: str = ''
@@ -32,7 +32,7 @@
     """
 
     keyword = 'event'
-    indexed = ('service',)
+    indexed_fields = ('service',)
 
     kind: str = ''
     service: str = ''
--- a/catkinshunt/rules/base.py
+++ b/catkinshunt/rules/base.py
@@ -43,4 +43,4 @@
     #: Word under which conditions on it stand in a rules file.
     keyword = ''
     #: Fields by which rules can be looked up, the likeliest one first.
-    indexed = ()
+    indexed_fields = ()
--- a/catkinshunt/sidecar/_forward.py
+++ b/catkinshunt/sidecar/_forward.py
@@ -55,10 +55,10 @@
                 raise errors.RefusedError('caller has gone', step='admit')
             resp = exchange.open()
         except BaseException:
-            self.admission.observe(ticket, time.monotonic())
+            self.admission.finish(ticket, time.monotonic())
             raise
         if isinstance(resp.body, list):
-            self.admission.observe(ticket, time.monotonic())
+            self.admission.finish(ticket, time.monotonic())
             return resp
         return attrs.evolve(resp, body=self._observed(resp.body, ticket))
 
@@ -67,7 +67,7 @@
         try:
             yield from body
         finally:
-            self.admission.observe(ticket, time.monotonic())
+            self.admission.finish(ticket, time.monotonic())
 
     def connect(self, timeout_s, fresh):
         """Return a connection to the upstream, and whether it was kept.
--- a/catkinshunt/sidecar/_placement.py
+++ b/catkinshunt/sidecar/_placement.py
@@ -56,9 +56,9 @@
             self.cfg.link_bytes_per_s,
         ).start()
         self._chunks = weights.ChunkApp(
-            self._agent, self.cfg.deployment_key, self._agent.upload_share
+            self._agent, self.cfg.deployment_key, self._agent.upload_pacer
         )
-        self._slot = engines.WeightsSlot(
+        self._slot = engines.WeightsEndpoint(
             self.cfg.host, self.port, self._agent.transfer
         )
         thread = threading.Thread(
@@ -97,8 +97,8 @@
         """Count bytes of live requests, to which a transfer yields."""
         if self._agent is not None:
             now = time.monotonic()
-            self._agent.upload_share.observe(n_sent, now)
-            self._agent.download_share.observe(n_received, now)
+            self._agent.upload_pacer.observe(n_sent, now)
+            self._agent.download_pacer.observe(n_received, now)
 
     def _run(self):
         seen = None
@@ -156,11 +156,11 @@
         self._wanted = {place.model: place.version}
         if self._served == self._wanted:
             return True
-        wanted = weights.Wanted(
-            place.model, place.version, place.lean_fraction
+        wanted = weights.TargetVersion(
+            place.model, place.version, place.time_preference
         )
         self._agent.offer(wanted)
-        transfer = self._agent.wait_whole(wanted, WHOLE_WAIT_S)
+        transfer = self._agent.wait_complete(wanted, WHOLE_WAIT_S)
         if transfer is None:
             return False
         self._order(transfer.manifest, conf.revision)
@@ -188,7 +188,7 @@
 
     def _list_members(self, wanted):
         """Return the instances that want the same version."""
-        names = control.find_holders(
+        names = control.find_replica_names(
             self.follower.current.rule_set,
             self._instance(),
             self.directory.instances,
--- a/catkinshunt/sidecar/_process.py
+++ b/catkinshunt/sidecar/_process.py
@@ -23,12 +23,12 @@
         """Listen, then follow the configuration."""
         self._control = control.ControlPlane(self.cfg)
         self._placement = _placement.Placement(
-            self.cfg, self._control.keeper, self._control.directory
+            self.cfg, self._control.config_replica, self._control.directory
         )
         self._app = _app.SidecarApp(self.cfg, self._placement)
         registry = metrics.Registry()
-        app = control.RevisionApp(
-            self._app, self._control.keeper, self.cfg.deployment_key
+        app = control.RevisionMiddleware(
+            self._app, self._control.config_replica, self.cfg.deployment_key
         )
         app = weights.LiveTrafficApp(app, self._placement.observe)
         self._server = httpio.HttpServer(
@@ -52,7 +52,7 @@
         return {
             'name': self.cfg.name,
             'state': 'serving' if self._serving else 'leaving',
-            'revision': self._control.keeper.revision,
+            'revision': self._control.config_replica.revision,
             **self._placement.report(),
         }
 
--- a/catkinshunt/sidecar/tests/test_forward.py
+++ b/catkinshunt/sidecar/tests/test_forward.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from catkinshunt.entry.tests import flow
+from catkinshunt.entry.tests import harness
 from catkinshunt import errors
 from catkinshunt import limits
 from catkinshunt import settings
@@ -18,13 +18,13 @@
 
 @pytest.fixture
 def upstream():
-    made = flow.ScriptedUpstream(REPLY)
+    made = harness.ScriptedUpstream(REPLY)
     yield made
     made.close()
 
 
 def make(upstream, is_engine=True):
-    cfg = flow.PLACE | {
+    cfg = harness.PLACE | {
         'service': 'models',
         'upstream': str(upstream.address),
         'is_engine': is_engine,
@@ -114,7 +114,7 @@
 
     A read that is lost on it is sent again at once.
     """
-    kept = flow.ScriptedUpstream(lambda _: REPLY)
+    kept = harness.ScriptedUpstream(lambda _: REPLY)
     try:
         forwarder = make(kept, is_engine=False)
         for _ in range(3):
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -61,7 +61,7 @@
         clock: returns seconds on the steady clock.
         link_mbps: speed of the instance's link.
         byte_counter: counts bytes by source.
-        admission: `places.BaseAdmission` of the engine.
+        admission: `places.BasePermitAdmission` of the engine.
     """
 
     def __init__(
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -95,7 +95,7 @@
     Args:
         engine: `base.BaseEngine`.
         cluster_view: `base.BaseClusterView`.
-        admission: `places.BaseAdmission` of the engine.
+        admission: `places.BasePermitAdmission` of the engine.
         clock: returns seconds on the steady clock.
         staging_lock: held by tasks that write to the engine's staging area.
     """
@@ -131,7 +131,7 @@
         model, version = self._draining_for
         if report.versions.get(model, 0) >= version and not report.is_loading:
             self._draining_for = None
-            self.admission.open()
+            self.admission.end_reload()
             _log.info(
                 'Version {} of {} is loaded.',
                 version,
@@ -196,12 +196,12 @@
         if math.isinf(left_s):
             if self._draining_for is not None:
                 self._draining_for = None
-                self.admission.open()
+                self.admission.end_reload()
             return
         self._draining_for = key
         self._load_at = self.clock() + left_s
         closes_in_s = left_s + DRAIN_S
-        self.admission.close(closes_in_s, closes_in_s + LOAD_S)
+        self.admission.schedule_reload(closes_in_s, closes_in_s + LOAD_S)
 
     def _was_ordered(self, key):
         """Return whether a sent order may still take effect."""
--- a/catkinshunt/spread/tests/fakes.py
+++ b/catkinshunt/spread/tests/fakes.py
@@ -109,7 +109,7 @@
         raise errors.SourceBusyError('not available yet', peer=peer)
 
 
-class FakeAdmission(places.BaseAdmission):
+class FakeAdmission(places.BasePermitAdmission):
     """Records its calls."""
 
     def __init__(self):
@@ -119,10 +119,10 @@
     def reconcile(self, present):
         self.calls.append(('reconcile', present))
 
-    def close(self, closes_in_s, opens_in_s):
+    def schedule_reload(self, closes_in_s, opens_in_s):
         self.calls.append(('close', closes_in_s))
 
-    def open(self):
+    def end_reload(self):
         self.calls.append(('open',))
 
     def set_expiry(self, expires_in_s):
--- a/catkinshunt/tests/test_edit_history.py
+++ b/catkinshunt/tests/test_edit_history.py
@@ -42,7 +42,7 @@
         list(pool.map(lambda who: _edit(recorder, service, who, seen), 'abcd'))
     stop.set()
     faults.join()
-    assert _read(recorder, _editor(service), 'last').held
+    assert _read(recorder, _editor(service), 'last').encoded_rules
     histories.check(recorder.operations, histories.Register())
 
 
@@ -108,4 +108,4 @@
 
 
 def _names(current):
-    return tuple(item.rule.name for item in current.held)
+    return tuple(item.rule.name for item in current.encoded_rules)
--- a/catkinshunt/tests/test_fuzz.py
+++ b/catkinshunt/tests/test_fuzz.py
@@ -158,9 +158,9 @@
 def read_configuration(data):
     """Read, then use what was read as a process does."""
     found = configuration.Configuration.from_bytes(data)
-    keeper = configuration.Keeper()
-    keeper.offer(found, 0.0)
-    keeper.make_update(1)
+    config_replica = configuration.ConfigurationReplica()
+    config_replica.offer(found, 0.0)
+    config_replica.make_update(1)
     found.rule_set.match(_subject())
     assert found.digest
 
@@ -273,7 +273,10 @@
 )
 def test_update_of_a_peer_gives_a_peer_error(update):
     """A process of another build sends what this one cannot apply."""
-    for replica in (configuration.Keeper(), instances.Directory()):
+    for replica in (
+        configuration.ConfigurationReplica(),
+        instances.Directory(),
+    ):
         try:
             replica.apply_update(update, 0.0)
         except errors.PeerError:
--- a/catkinshunt/weights/__init__.py
+++ b/catkinshunt/weights/__init__.py
@@ -2,11 +2,11 @@
 
 from catkinshunt.weights._agent import TransferAgent
 from catkinshunt.weights._agent import TransferReport
-from catkinshunt.weights._agent import Wanted
+from catkinshunt.weights._agent import TargetVersion
 from catkinshunt.weights._app import ChunkApp
-from catkinshunt.weights._gate import UploadGate
-from catkinshunt.weights._link import LinkShare
-from catkinshunt.weights._live import LiveTrafficApp
+from catkinshunt.weights._upload_limiter import UploadLimiter
+from catkinshunt.weights._link_pacer import LinkPacer
+from catkinshunt.weights._live_traffic import LiveTrafficApp
 from catkinshunt.weights._manifest import Manifest
 from catkinshunt.weights._ordered import ChainStrategy
 from catkinshunt.weights._ordered import StripedStrategy
@@ -28,7 +28,7 @@
     'ChainStrategy',
     'ChunkApp',
     'ChunkStore',
-    'LinkShare',
+    'LinkPacer',
     'LiveTrafficApp',
     'Manifest',
     'Member',
@@ -41,7 +41,7 @@
     'TransferReport',
     'TransferView',
     'TreeStrategy',
-    'UploadGate',
-    'Wanted',
+    'UploadLimiter',
+    'TargetVersion',
     'rank',
 ]
--- a/catkinshunt/weights/_agent.py
+++ b/catkinshunt/weights/_agent.py
@@ -9,7 +9,7 @@
 from catkinshunt import errors
 from catkinshunt import httpio
 from catkinshunt import logs
-from catkinshunt.weights import _link
+from catkinshunt.weights import _link_pacer
 from catkinshunt.weights import _manifest
 from catkinshunt.weights import _rendezvous
 from catkinshunt.weights import _sources
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class TargetVersion:
     """A version that an instance is to hold.
 
     Args:
@@ -69,11 +69,11 @@
     Args:
         me: name of this instance.
         key: the deployment's key.
-        list_members: function of a `Wanted` that returns the `Member` tuple.
+        list_members: function of a `TargetVersion` that returns the `Member` tuple.
         origin: `httpio.Address` of the origin.
         weight_store: `httpio.Address` of the weight store, or None.
         link_bytes_per_s: rate of this instance's link, each direction.
-        silence_s: longest silence on a connection.
+        read_timeout_s: longest silence on a connection.
         random_state: seed or generator for ties.
     """
 
@@ -85,7 +85,7 @@
         origin,
         weight_store=None,
         link_bytes_per_s=1.25e9,
-        silence_s=3.0,
+        read_timeout_s=3.0,
         random_state=None,
     ):
         self.me = me
@@ -94,12 +94,12 @@
         self.origin = origin
         self.weight_store = weight_store
         self.link_bytes_per_s = link_bytes_per_s
-        self.silence_s = silence_s
+        self.read_timeout_s = read_timeout_s
         self.random_state = random_state
-        self.upload_share = _link.LinkShare(link_bytes_per_s)
-        self.download_share = _link.LinkShare(link_bytes_per_s)
-        self._pool = httpio.ConnectionPool(silence_s)
-        self._peers = _sources.PeerSource(key, self._pool, self.download_share)
+        self.upload_pacer = _link_pacer.LinkPacer(link_bytes_per_s)
+        self.download_pacer = _link_pacer.LinkPacer(link_bytes_per_s)
+        self._pool = httpio.ConnectionPool(read_timeout_s)
+        self._peers = _sources.PeerSource(key, self._pool, self.download_pacer)
         self._changed = threading.Condition()
         self._wanted = None
         self._transfer = None
@@ -145,7 +145,7 @@
             return None
         return transfer
 
-    def wait_whole(self, wanted, timeout_s):
+    def wait_complete(self, wanted, timeout_s):
         """Return the whole `Transfer` of `wanted`, or None after a while."""
         deadline = time.monotonic() + timeout_s
         with self._changed:
@@ -156,7 +156,7 @@
         if transfer is None:
             return None
         left_s = max(0.0, deadline - time.monotonic())
-        return transfer if transfer.wait_whole(left_s) else None
+        return transfer if transfer.wait_complete(left_s) else None
 
     def report(self, now):
         """Return the `TransferReport` of the present transfer, or None."""
@@ -172,7 +172,7 @@
             peer_bytes=transfer.counters.peer_bytes,
             store_bytes=transfer.origin_source.store_bytes,
             origin_bytes=transfer.origin_source.origin_bytes,
-            sent_bytes=transfer.gate.sent_bytes,
+            sent_bytes=transfer.upload_limiter.sent_bytes,
             corrupt_chunks=transfer.counters.corrupt_chunks,
             failures=transfer.counters.failures,
         )
@@ -238,7 +238,7 @@
         return _sources.OriginSource(
             self.origin,
             self._pool,
-            self.download_share,
+            self.download_pacer,
             self.weight_store,
             wait_for_store=wanted.lean < _LEAN_TO_TIME,
         )
--- a/catkinshunt/weights/_app.py
+++ b/catkinshunt/weights/_app.py
@@ -20,7 +20,7 @@
     Args:
         agent: `TransferAgent`.
         key: the deployment's key.
-        share: `LinkShare` of the outgoing direction.
+        share: `LinkPacer` of the outgoing direction.
     """
 
     def __init__(self, agent, key, share):
@@ -74,13 +74,13 @@
         data = transfer.store.get(int(what))
         if data is None:
             return self._reply(transfer, 404, now)
-        if not transfer.gate.begin(len(data), now):
+        if not transfer.upload_limiter.begin(len(data), now):
             return self._reply(transfer, 503, now)
-        body = _Upload(data, transfer.gate, self.share)
+        body = _Upload(data, transfer.upload_limiter, self.share)
         return self._reply(transfer, 200, now, body, len(data))
 
     def _reply(self, transfer, status, now, body=(), size_bytes=0):
-        copies = transfer.gate.uploaded_copies(now)
+        copies = transfer.upload_limiter.uploaded_copies(now)
         fields = (
             (_sources.HOLDINGS, f'{transfer.store.bitmap:x}'),
             (_sources.UPLOADED, f'{copies:.4f}'),
@@ -93,9 +93,9 @@
 class _Upload:
     """Body of one chunk, paced; gives its place back when closed."""
 
-    def __init__(self, data, gate, share):
+    def __init__(self, data, upload_limiter, share):
         self._data = memoryview(data)
-        self._gate = gate
+        self._gate = upload_limiter
         self._share = share
         self._sent = 0
         self._open = True
--- a/catkinshunt/weights/_link.py
+++ b/catkinshunt/weights/_link_pacer.py
@@ -6,7 +6,7 @@
 from catkinshunt import base
 
 
-class LinkShare(base.ParamsMixin):
+class LinkPacer(base.ParamsMixin):
     """Paces a transfer to what live requests leave of a link.
 
     Without it a transfer fills the link's queue, and a caller waits behind
@@ -19,7 +19,7 @@
         burst_s: seconds of rate that may be sent at once.
 
     Examples:
-        >>> share = LinkShare(rate_bytes_per_s=100, burst_s=0.0)
+        >>> share = LinkPacer(rate_bytes_per_s=100, burst_s=0.0)
         >>> share.reserve(50, now=0.0), share.reserve(50, now=0.0)
         (0.5, 1.0)
     """
@@ -42,7 +42,7 @@
             self._decay(now)
             self._live_rate += n_bytes / self.window_s
 
-    def left_bytes_per_s(self, now):
+    def available_bytes_per_s(self, now):
         """Return the rate left to transfers."""
         with self._lock:
             return self._left(now)
--- a/catkinshunt/weights/_ordered.py
+++ b/catkinshunt/weights/_ordered.py
@@ -45,7 +45,7 @@
         parent = self._parent(view, stripe, now)
         if parent != base.ORIGIN:
             peer = view.peer(parent)
-            wanted &= peer.holdings if peer.busy_until <= now else 0
+            wanted &= peer.bitmap if peer.busy_until <= now else 0
         if not wanted:
             return None
         return _view.Pull((wanted & -wanted).bit_length() - 1, parent)
--- a/catkinshunt/weights/_sources.py
+++ b/catkinshunt/weights/_sources.py
@@ -27,7 +27,7 @@
 class PeerReply:
     """What a peer's reply carried: of itself, and the chunk if it gave it."""
 
-    holdings = attrs.field()
+    bitmap = attrs.field()
     uploaded_copies = attrs.field()
     data = attrs.field(default=None, repr=False)
 
@@ -38,7 +38,7 @@
     Args:
         key: the deployment's key.
         pool: `httpio.ConnectionPool`; its timeout bounds each silence.
-        share: `LinkShare` of the incoming direction.
+        share: `LinkPacer` of the incoming direction.
     """
 
     def __init__(self, key, pool, share):
@@ -90,7 +90,7 @@
         origin: `httpio.Address` of the origin.
         weight_store: `httpio.Address` of the weight store, or None.
         pool: `httpio.ConnectionPool`.
-        share: `LinkShare` of the incoming direction.
+        share: `LinkPacer` of the incoming direction.
         wait_for_store: leave the origin alone while the store only says
             that it is busy.
     """
@@ -234,17 +234,17 @@
             f'status {resp.status}', step='pull chunk', peer=str(address)
         )
     try:
-        holdings = int(resp.getheader(HOLDINGS, ''), 16)
+        bitmap = int(resp.getheader(HOLDINGS, ''), 16)
         copies = float(resp.getheader(UPLOADED, ''))
     except ValueError:
-        holdings = copies = -1
-    if holdings < 0 or not copies >= 0:
+        bitmap = copies = -1
+    if bitmap < 0 or not copies >= 0:
         raise errors.TransferError(
             f'status {resp.status} without holdings',
             step='pull chunk',
             peer=str(address),
         )
-    return PeerReply(holdings, copies, data)
+    return PeerReply(bitmap, copies, data)
 
 
 def _retry_after_s(resp):
--- a/catkinshunt/weights/_store.py
+++ b/catkinshunt/weights/_store.py
@@ -20,9 +20,9 @@
         >>> from catkinshunt import weights
         >>> manifest = weights.Manifest.from_bytes('drafts', '7', b'abc', 2)
         >>> store = ChunkStore(manifest)
-        >>> store.offer(1, b'c'), store.whole
+        >>> store.offer(1, b'c'), store.is_complete
         (True, False)
-        >>> store.offer(0, b'ab'), store.whole, bin(store.bitmap)
+        >>> store.offer(0, b'ab'), store.is_complete, bin(store.bitmap)
         (True, True, '0b11')
     """
 
@@ -42,7 +42,7 @@
         return self._bitmap
 
     @property
-    def whole(self):
+    def is_complete(self):
         """Whether all chunks are held and the whole has its digest."""
         return self._whole
 
@@ -77,7 +77,7 @@
         """Return chunk `index`, or None if it is not held."""
         return self._chunks.get(index)
 
-    def read_whole(self):
+    def iter_chunks(self):
         """Yield the whole, chunk by chunk.
 
         Raises:
--- a/catkinshunt/weights/_swarm.py
+++ b/catkinshunt/weights/_swarm.py
@@ -1,7 +1,7 @@
 """The chunk swarm: rarest chunk first, least loaded sender first."""
 
 from catkinshunt import checks
-from catkinshunt.weights import _draws
+from catkinshunt.weights import _origin_fetches
 from catkinshunt.weights import _rendezvous
 from catkinshunt.weights import _view
 from catkinshunt.weights import base
@@ -79,7 +79,7 @@
         while draws and draws[-1].due_at <= now:
             waiting.append(draws.pop())
         missing = view.missing
-        held = view.holdings
+        held = view.bitmap
         waiting[:] = [one for one in waiting if not held >> one.chunk & 1]
         if not waiting:
             return None
@@ -88,7 +88,7 @@
         for draw in waiting:
             if not missing >> draw.chunk & 1 or (late and draw.extra):
                 continue
-            pull = _draws.choose_draw(view, draw, near, seen, now)
+            pull = _origin_fetches.choose_draw(view, draw, near, seen, now)
             if pull is not None:
                 return pull
         return None
@@ -104,8 +104,8 @@
         for name, peer in view.peers.items():
             fresh = now - peer.observed_at <= self.takeover_s
             if (fresh or name in asked) and view.usable(name, now):
-                seen |= peer.holdings
-                near |= peer.holdings if name in asked else 0
+                seen |= peer.bitmap
+                near |= peer.bitmap if name in asked else 0
         return near, seen
 
     def _is_stuck(self, view, now):
@@ -119,7 +119,7 @@
     def _joins_late(self, view):
         """Whether a peer is whole, so that the origin need not help."""
         everything = (1 << view.n_chunks) - 1
-        return any(one.holdings == everything for one in view.peers.values())
+        return any(one.bitmap == everything for one in view.peers.values())
 
     def _choose_rarest(self, view, now):
         missing = view.missing
@@ -132,10 +132,10 @@
             return None
         wanted = 0
         for name in names:
-            wanted |= view.peers[name].holdings
+            wanted |= view.peers[name].bitmap
         chunk = self._pick(_rarest(view, wanted & missing))
         holders = [
-            name for name in names if view.peers[name].holdings >> chunk & 1
+            name for name in names if view.peers[name].bitmap >> chunk & 1
         ]
         return _view.Pull(chunk, self._least_uploaded(view, holders))
 
@@ -145,7 +145,7 @@
             return False
         if self._depleted(view, name):
             return False
-        return bool(peer.holdings & missing)
+        return bool(peer.bitmap & missing)
 
     def _least_uploaded(self, view, names):
         return min(
@@ -185,7 +185,7 @@
     """What follows from the instance list alone."""
 
     def __init__(self, strategy, view):
-        self.draws = _draws.plan_draws(view, strategy)
+        self.draws = _origin_fetches.plan_draws(view, strategy)
         self.waiting = []
         self.ranked = _rank_neighbours(strategy, view)
 
@@ -214,7 +214,7 @@
     """
     planes = []
     for peer in view.peers.values():
-        carry = peer.holdings & wanted
+        carry = peer.bitmap & wanted
         for index, plane in enumerate(planes):
             planes[index], carry = plane ^ carry, plane & carry
         if carry:
--- a/catkinshunt/weights/_timing.py
+++ b/catkinshunt/weights/_timing.py
@@ -33,7 +33,7 @@
         takeover_s: lateness of a chunk before another drawer steps in.
         avoid_s: time for which a failed peer is left alone at first.
         chunk_s: longest time for one chunk.
-        forget_s: time in which a whole instance forgets one copy sent.
+        budget_decay_s: time in which a whole instance forgets one copy sent.
     """
 
     link_s = attrs.field()
@@ -42,7 +42,7 @@
     takeover_s = attrs.field()
     avoid_s = attrs.field()
     chunk_s = attrs.field()
-    forget_s = attrs.field()
+    budget_decay_s = attrs.field()
 
     @classmethod
     def of(cls, manifest, link_bytes_per_s):
@@ -63,6 +63,6 @@
         return cls(
             link_s=link_s,
             chunk_s=max(slowest_s, _SHORTEST_CHUNK_S),
-            forget_s=_FORGET_COPIES * max(link_s, times['poll_s']),
+            budget_decay_s=_FORGET_COPIES * max(link_s, times['poll_s']),
             **times,
         )
--- a/catkinshunt/weights/_transfer.py
+++ b/catkinshunt/weights/_transfer.py
@@ -9,7 +9,7 @@
 from catkinshunt import base as package_base
 from catkinshunt import errors
 from catkinshunt import logs
-from catkinshunt.weights import _gate
+from catkinshunt.weights import _upload_limiter
 from catkinshunt.weights import _store
 from catkinshunt.weights import _view
 from catkinshunt.weights import base
@@ -70,11 +70,11 @@
         self.origin_source = origin_source
         self.timing = timing
         self.store = _store.ChunkStore(manifest)
-        self.gate = _gate.UploadGate(
+        self.upload_limiter = _upload_limiter.UploadLimiter(
             manifest.size_bytes,
             strategy.budget_copies,
             strategy.max_uploads,
-            timing.forget_s,
+            timing.budget_decay_s,
         )
         self.counters = Counters()
         self.changed = threading.Condition()
@@ -107,17 +107,17 @@
         """Whether the version can never be whole, or was superseded."""
         return self.store.cancelled
 
-    def wait_whole(self, timeout_s):
+    def wait_complete(self, timeout_s):
         """Wait until the version is whole, or has failed; returns whole."""
         with self.changed:
             self.changed.wait_for(
-                lambda: self.store.whole or self.failed, timeout_s
+                lambda: self.store.is_complete or self.failed, timeout_s
             )
-        return self.store.whole
+        return self.store.is_complete
 
     def _run(self):
         self._greet()
-        while not (self.store.whole or self.failed):
+        while not (self.store.is_complete or self.failed):
             with self.changed:
                 now = time.monotonic()
                 self._relist(now)
@@ -125,8 +125,8 @@
                 self.changed.wait(self.timing.poll_s)
         for task in self._tasks.values():
             task.put(_END)
-        if self.store.whole:
-            self.gate.relax(time.monotonic())
+        if self.store.is_complete:
+            self.upload_limiter.start_budget_decay(time.monotonic())
             _log.info(
                 'Version {} of {} is whole.',
                 self.manifest.version,
@@ -147,7 +147,7 @@
 
     def _known(self, name):
         peer = self._view.peer(name)
-        return peer.observed_at > 0 or peer.strikes > 0
+        return peer.observed_at > 0 or peer.consecutive_failures > 0
 
     def _neighbours(self, now):
         return self.strategy.neighbours(self._view, now)
@@ -260,7 +260,7 @@
         with self.changed:
             self._view.observe(
                 name,
-                reply.holdings & everything,
+                reply.bitmap & everything,
                 reply.uploaded_copies,
                 time.monotonic(),
             )
--- a/catkinshunt/weights/_gate.py
+++ b/catkinshunt/weights/_upload_limiter.py
@@ -5,7 +5,7 @@
 from catkinshunt import base
 
 
-class UploadGate(base.ParamsMixin):
+class UploadLimiter(base.ParamsMixin):
     """Admits uploads of one version up to a number and a budget.
 
     Without the budget the instances that hold chunks first would send many
@@ -18,24 +18,28 @@
         size_bytes: length of one copy of the version.
         budget_copies: copies sent at most; None for no bound.
         max_uploads: uploads at a time.
-        forget_s: seconds in which one copy sent is forgotten after
-            `relax`.
+        budget_decay_s: seconds in which one copy sent is forgotten after
+            `start_budget_decay`.
 
     Examples:
-        >>> gate = UploadGate(100, budget_copies=1, max_uploads=2)
-        >>> gate.begin(60, now=0.0), gate.begin(60, now=0.0)
+        >>> upload_limiter = UploadLimiter(100, budget_copies=1, max_uploads=2)
+        >>> upload_limiter.begin(60, now=0.0), upload_limiter.begin(60, now=0.0)
         (True, False)
-        >>> gate.uploaded_copies(now=0.0)
+        >>> upload_limiter.uploaded_copies(now=0.0)
         0.6
     """
 
     def __init__(
-        self, size_bytes, budget_copies=1.04, max_uploads=8, forget_s=60.0
+        self,
+        size_bytes,
+        budget_copies=1.04,
+        max_uploads=8,
+        budget_decay_s=60.0,
     ):
         self.size_bytes = size_bytes
         self.budget_copies = budget_copies
         self.max_uploads = max_uploads
-        self.forget_s = forget_s
+        self.budget_decay_s = budget_decay_s
         self.sent_bytes = 0
         self._lock = threading.Lock()
         self._uploads = 0
@@ -61,7 +65,7 @@
             self.sent_bytes += chunk_bytes
             return True
 
-    def relax(self, now):
+    def start_budget_decay(self, now):
         """Begin to forget what was sent."""
         with self._lock:
             if self._counted_at is None:
@@ -85,5 +89,5 @@
         if since is None:
             return
         self._counted_at = now
-        forgotten = (now - since) / self.forget_s * self.size_bytes
+        forgotten = (now - since) / self.budget_decay_s * self.size_bytes
         self._counted_bytes = max(0.0, self._counted_bytes - forgotten)
--- a/catkinshunt/weights/_view.py
+++ b/catkinshunt/weights/_view.py
@@ -34,10 +34,10 @@
 class PeerView:
     """What is known of one peer; holdings have one bit a chunk."""
 
-    holdings = attrs.field(default=0)
+    bitmap = attrs.field(default=0)
     uploaded_copies = attrs.field(default=0.0)
     pulls = attrs.field(default=0)
-    strikes = attrs.field(default=0)
+    consecutive_failures = attrs.field(default=0)
     avoid_until = attrs.field(default=0.0)
     busy_until = attrs.field(default=0.0)
     observed_at = attrs.field(default=float('-inf'))
@@ -57,7 +57,7 @@
         self.me = me
         self.n_chunks = n_chunks
         self.started_at = started_at
-        self.holdings = 0
+        self.bitmap = 0
         self.pulling = 0
         self.origin_pulls = 0
         self.progress_at = started_at
@@ -73,12 +73,12 @@
     @property
     def missing(self):
         """Chunks neither held nor being pulled."""
-        return ~(self.holdings | self.pulling) & ((1 << self.n_chunks) - 1)
+        return ~(self.bitmap | self.pulling) & ((1 << self.n_chunks) - 1)
 
     @property
-    def whole(self):
+    def is_complete(self):
         """Whether every chunk is held."""
-        return self.holdings == (1 << self.n_chunks) - 1
+        return self.bitmap == (1 << self.n_chunks) - 1
 
     @property
     def n_pulls(self):
@@ -98,10 +98,10 @@
         peer = self.peers.get(name)
         return peer is None or peer.avoid_until <= now
 
-    def observe(self, name, holdings, uploaded_copies, now):
+    def observe(self, name, bitmap, uploaded_copies, now):
         """Take what a reply of `name` said of itself."""
         peer = self.peer(name)
-        peer.holdings = holdings
+        peer.bitmap = bitmap
         peer.uploaded_copies = uploaded_copies
         peer.observed_at = now
 
@@ -117,9 +117,9 @@
         """Note that `pull` brought its chunk, whole and verified."""
         self._end(pull)
         self.progress_at = now
-        self.holdings |= 1 << pull.chunk
+        self.bitmap |= 1 << pull.chunk
         if pull.peer != base.ORIGIN:
-            self.peer(pull.peer).strikes = 0
+            self.peer(pull.peer).consecutive_failures = 0
 
     def postpone(self, pull, until):
         """Note that the source had no place or no chunk; ask it later."""
@@ -137,8 +137,10 @@
     def avoid(self, name, now, avoid_s):
         """Leave `name` alone for `avoid_s`, longer at each repetition."""
         peer = self.peer(name)
-        peer.avoid_until = now + avoid_s * 2**peer.strikes
-        peer.strikes = min(peer.strikes + 1, _MAX_STRIKES)
+        peer.avoid_until = now + avoid_s * 2**peer.consecutive_failures
+        peer.consecutive_failures = min(
+            peer.consecutive_failures + 1, _MAX_STRIKES
+        )
 
     def _end(self, pull):
         self.pulling &= ~(1 << pull.chunk)
--- a/catkinshunt/weights/tests/fleet.py
+++ b/catkinshunt/weights/tests/fleet.py
@@ -31,10 +31,10 @@
             fleet.origin_address,
             fleet.store_address,
             LINK_BYTES_PER_S,
-            silence_s=0.5,
+            read_timeout_s=0.5,
             random_state=1,
         )
-        app = weights.ChunkApp(self.agent, KEY, self.agent.upload_share)
+        app = weights.ChunkApp(self.agent, KEY, self.agent.upload_pacer)
         app = wrap(app) if wrap else app
         self.server = httpio.HttpServer(app, threads=12).start()
         self.address = httpio.Address('127.0.0.1', self.server.port)
@@ -91,7 +91,7 @@
 
     def offer(self, version='v1', lean=0.0, names=None):
         """Offer a version to some or all agents; return the wish."""
-        wanted = weights.Wanted(MODEL, version, lean)
+        wanted = weights.TargetVersion(MODEL, version, lean)
         for name in names or list(self.boxes):
             self.boxes[name].agent.offer(wanted)
         return wanted
@@ -101,8 +101,8 @@
         found = {}
         for name in names or list(self.boxes):
             agent = self.boxes[name].agent
-            transfer = agent.wait_whole(wanted, TIMEOUT_S)
-            found[name] = transfer and b''.join(transfer.store.read_whole())
+            transfer = agent.wait_complete(wanted, TIMEOUT_S)
+            found[name] = transfer and b''.join(transfer.store.iter_chunks())
         return found
 
     def data(self, version):
--- a/catkinshunt/weights/tests/test_agent.py
+++ b/catkinshunt/weights/tests/test_agent.py
@@ -232,7 +232,7 @@
             lambda: box.agent._transfer is not None, fleets.TIMEOUT_S
         )
     assert found
-    assert not box.agent._transfer.wait_whole(fleets.TIMEOUT_S)
+    assert not box.agent._transfer.wait_complete(fleets.TIMEOUT_S)
     assert box.agent.transfer(*wanted.key) is None
 
 
--- a/catkinshunt/weights/tests/test_link.py
+++ b/catkinshunt/weights/tests/test_link_pacer.py
@@ -11,17 +11,17 @@
     If the transfer took all of it, callers would wait behind weights; if it
     got nothing, the new version would never come.
     """
-    share = weights.LinkShare(1000.0, floor_share=0.2, window_s=1.0)
-    assert share.left_bytes_per_s(0.0) == 1000.0
+    share = weights.LinkPacer(1000.0, floor_share=0.2, window_s=1.0)
+    assert share.available_bytes_per_s(0.0) == 1000.0
     share.observe(600, 0.0)
-    assert share.left_bytes_per_s(0.0) == pytest.approx(400.0)
+    assert share.available_bytes_per_s(0.0) == pytest.approx(400.0)
     share.observe(5000, 0.0)
-    assert share.left_bytes_per_s(0.0) == pytest.approx(200.0)
-    assert share.left_bytes_per_s(20.0) == pytest.approx(1000.0, abs=1.0)
+    assert share.available_bytes_per_s(0.0) == pytest.approx(200.0)
+    assert share.available_bytes_per_s(20.0) == pytest.approx(1000.0, abs=1.0)
 
 
 def test_reservations_keep_to_the_rate():
-    share = weights.LinkShare(100.0, burst_s=0.0)
+    share = weights.LinkPacer(100.0, burst_s=0.0)
     waits = [share.reserve(10, 0.0) for _ in range(5)]
     assert waits == pytest.approx([0.1, 0.2, 0.3, 0.4, 0.5])
     assert share.reserve(10, 10.0) == pytest.approx(0.1)
--- a/catkinshunt/weights/tests/test_store.py
+++ b/catkinshunt/weights/tests/test_store.py
@@ -35,9 +35,9 @@
     for index in order:
         assert not store.whole
         with pytest.raises(errors.TransferError, match='not whole'):
-            next(store.read_whole())
+            next(store.iter_chunks())
         store.offer(index, PARTS[index])
-    assert b''.join(store.read_whole()) == DATA
+    assert b''.join(store.iter_chunks()) == DATA
 
 
 def test_chunks_that_fit_a_wrong_whole_are_dropped():
@@ -63,7 +63,7 @@
     store = weights.ChunkStore(MANIFEST)
     for index, part in enumerate(PARTS):
         store.offer(index, part)
-    reader = store.read_whole()
+    reader = store.iter_chunks()
     assert next(reader) == PARTS[0]
     store.cancel()
     with pytest.raises(errors.TransferError, match='superseded'):
--- a/catkinshunt/weights/tests/test_strategies.py
+++ b/catkinshunt/weights/tests/test_strategies.py
@@ -112,7 +112,7 @@
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(name)
         everything = (1 << N_CHUNKS) - 1
-        view.holdings = everything & ~(1 << 3)
+        view.bitmap = everything & ~(1 << 3)
         view.avoid(drawer, 0.0, 1000.0)
         pulls = drain(strategy, view, 15.0)
         if pulls == [weights.Pull(3, weights.ORIGIN)]:
@@ -162,7 +162,7 @@
             continue
         strategy = make_swarm(origin_copy_s=1e-6, max_pulls=N_CHUNKS)
         view = make_view(name)
-        view.holdings = ((1 << N_CHUNKS) - 1) & ~(1 << 3)
+        view.bitmap = ((1 << N_CHUNKS) - 1) & ~(1 << 3)
         view.observe(drawer, 1 << 3, 2.0, 1.0)
         view.peer(drawer).busy_until = 0.0
         assert drain(strategy, view, 1e6) != []
@@ -202,7 +202,7 @@
     view = make_view('instance-0')
     view.observe('instance-1', 0b11, 0.5, 0.0)
     view.set_members(MEMBERS[:5])
-    assert view.peer('instance-1').holdings == 0b11
+    assert view.peer('instance-1').bitmap == 0b11
     assert not view.usable('instance-9', 0.0)
 
 
--- a/standins/experiment/_entries.py
+++ b/standins/experiment/_entries.py
@@ -56,7 +56,7 @@
         self.profile = play.profile
         self.tracker = dispatch.UpstreamTracker()
         self.chooser = dispatch.Chooser('a', {}, name)
-        self.returns = dispatch.ReturningRequestDetector()
+        self.returns = dispatch.ClientRetryDetector()
 
     def come(self, request):
         """Take a request of a caller."""
@@ -152,19 +152,19 @@
             )
             if self.send(request, candidate, rank):
                 return
-            candidate.state.rest(self.events.now, FULL_PAUSE_S)
+            candidate.state.pause(self.events.now, FULL_PAUSE_S)
         self.refuse(request, RETRY_S)
 
     def hear_first(self, request):
         """See `BaseEntry.hear_first`."""
-        request.job.answering = True
+        request.job.reply_started = True
         now = self.events.now
         engine = request.engine
         load = dispatch.Load(
             len(engine.running), len(engine.waiting), self.profile.slots
         )
         self.tracker.state(engine.upstream).report(load, now)
-        if request.rank == dispatch.Rank.ON_TIME:
+        if request.rank == dispatch.Rank.EARLY:
             self.forecast.observe(
                 request.job.predicted_s, now - request.sent_at, now
             )
@@ -203,7 +203,7 @@
         wait_s = request.goal_s - request.waited_s - held_s
         wait_s -= dispatch.first_token_s(self.profile, request.job)
         late = wait_s <= 0
-        request.rank = dispatch.Rank.LATE if late else dispatch.Rank.ON_TIME
+        request.rank = dispatch.Rank.LATE if late else dispatch.Rank.EARLY
         ask = places.PermitRequest(
             number=self.play.next_number(),
             wait_s=max(0.0, wait_s),
@@ -214,7 +214,7 @@
             late=late,
         )
         request.bids[ask.number] = Bid(candidate)
-        candidate.state.asking += 1
+        candidate.state.pending_permit_requests += 1
         door = self.play.doors[candidate.upstream.id]
         self.events.after(WAY_S, door.request, request, ask)
         patience_s = SECOND_S if request.silent else ANSWER_S
@@ -228,7 +228,7 @@
         if bid is None or bid.reply is not None:
             return
         del request.bids[number]
-        bid.candidate.state.asking -= 1
+        bid.candidate.state.pending_permit_requests -= 1
         name = bid.candidate.upstream.id
         self.play.doors[name].give_back(self, number)
         request.silent.append(bid.candidate)
@@ -299,7 +299,7 @@
     def _settle(self, request, kept=None):
         """Give up all bids but one."""
         for number, bid in request.bids.items():
-            bid.candidate.state.asking -= 1
+            bid.candidate.state.pending_permit_requests -= 1
             if number != kept and not isinstance(
                 bid.reply, places.PermitRejected
             ):
@@ -322,4 +322,4 @@
 
     def hear_first(self, request):
         """See `BaseEntry.hear_first`."""
-        request.job.answering = True
+        request.job.reply_started = True
