--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -407,8 +407,8 @@
     Mutation(
         'store-unknown-told-apart',
         'catkinshunt/kvstore/_http.py',
-        '            if not sure:\n'
-        '                kind = errors.StoreUnknownError\n',
+        '            if not outcome_known:\n'
+        '                error_class = errors.StoreUnknownError\n',
         '',
     ),
     # The whole answer to its own request.
--- a/catkinshunt/cli/_experiment.py
+++ b/catkinshunt/cli/_experiment.py
@@ -1,4 +1,4 @@
-"""Plays a scenario against the project's model, which is not shipped."""
+"""Runs a scenario in the simulation, which is not part of the package."""
 
 import importlib
 import json
@@ -17,19 +17,19 @@
 
 
 def experiment(path, plot):
-    """Play the scenario in the file at `path`; print the results as JSON.
+    """Run the scenario in the file at `path`; print the results as JSON.
 
     Args:
         path: file of the scenario, JSON with comments.
-        plot: file for a drawing as SVG, or None.
+        plot: file for an SVG chart, or None.
 
     Raises:
         errors.SettingsError: the scenario or `plot` cannot be used, or the
             model is missing.
     """
-    model = _import('standins.experiment')
+    model = _import_from_sources('standins.experiment')
     if plot is not None:
-        _check_plot(plot)
+        _validate_plot(plot)
     cfg = settings.load_settings(path, model.ExperimentSettings)
     progress = _progress.Progress(
         cfg.name,
@@ -44,13 +44,13 @@
         for load in cfg.loads
     ]
     progress.end()
-    print(json.dumps(_document(cfg, results), indent=2))
+    print(json.dumps(_make_document(cfg, results), indent=2))
     if plot is not None:
-        model.plot(_curves(results), plot, cfg.name)
+        model.plot(_make_curves(results), plot, cfg.name)
 
 
-def _import(name):
-    """Return a module that only a checkout of the sources has."""
+def _import_from_sources(name):
+    """Import and return a module that only a source checkout has."""
     try:
         return importlib.import_module(name)
     except ModuleNotFoundError as exc:
@@ -62,20 +62,20 @@
         ) from exc
 
 
-def _check_plot(plot):
-    """Find out what is wrong with `plot` before the long work."""
+def _validate_plot(plot):
+    """Check `plot` before the long computation."""
     if not plot.endswith('.svg'):
         raise errors.SettingsError(
-            f'--plot: got {settings.show(plot)}, allowed: a file that ends '
-            'with .svg'
+            f'--plot: got {settings.format_value(plot)}, allowed: a file that '
+            'ends with .svg'
         )
     folder = os.path.dirname(plot) or '.'
     if not os.path.isdir(folder):
         raise errors.SettingsError(f'--plot: there is no folder {folder}')
-    _import('pygal')
+    _import_from_sources('pygal')
 
 
-def _document(cfg, results):
+def _make_document(cfg, results):
     scenario = attrs.asdict(
         cfg, filter=lambda _field, value: value is not None
     )
@@ -89,7 +89,7 @@
     return {'scenario': scenario, 'results': rows}
 
 
-def _curves(results):
+def _make_curves(results):
     names = ('in_time', 'late', 'refused', 'bound')
     ordered = sorted(results, key=lambda result: result.load)
     return {
--- a/catkinshunt/cli/_progress.py
+++ b/catkinshunt/cli/_progress.py
@@ -1,24 +1,24 @@
-"""Shows how far long work has come."""
+"""Progress display for long computations."""
 
-#: Seconds after which work counts as long.
-_LONG_S = 1.0
-#: Seconds between two lines in a file or pipe, and two looks at a terminal.
+#: Seconds before progress is displayed.
+_DISPLAY_DELAY_S = 1.0
+#: Seconds between lines in a file or pipe, and between updates on a terminal.
 _LINE_PERIOD_S = 5.0
-_LOOK_PERIOD_S = 0.2
-#: Characters of the bar.
-_WIDTH = 30
+_REFRESH_PERIOD_S = 0.2
+#: Length of the bar in characters.
+_BAR_CHARS = 30
 
 
 class Progress:
-    """A bar on a terminal, and now and then a line elsewhere.
+    """Draws a progress bar on a terminal, or periodic lines elsewhere.
 
-    Work that is done soon shows neither.
+    Short computations display nothing.
 
     Args:
-        name: what is worked on.
-        total: steps of the work.
-        stream: where to write, such as standard error.
-        now: the present time, in seconds.
+        name: name of the computation.
+        total: number of steps.
+        stream: output stream, such as standard error.
+        now: current time in seconds.
 
     Examples:
         >>> import sys
@@ -33,32 +33,33 @@
         self.name = name
         self.total = total
         self.stream = stream
-        self._done = 0
-        self._next = now + _LONG_S
+        self._done_steps = 0
+        self._next_write_at = now + _DISPLAY_DELAY_S
         self._shown = False
 
     def advance(self, now):
-        """Count one step as done."""
-        self._done += 1
-        if now < self._next:
+        """Count one finished step."""
+        self._done_steps += 1
+        if now < self._next_write_at:
             return
         self._shown = True
         if self.stream.isatty():
-            self._next = now + _LOOK_PERIOD_S
+            self._next_write_at = now + _REFRESH_PERIOD_S
             self._write('\r', '')
         else:
-            self._next = now + _LINE_PERIOD_S
+            self._next_write_at = now + _LINE_PERIOD_S
             self._write('', '\n')
 
     def end(self):
-        """Leave a bar on a terminal as it is at the end."""
+        """Draw the final bar on a terminal."""
         if self._shown and self.stream.isatty():
             self._write('\r', '\n')
 
     def _write(self, before, after):
-        marks = _WIDTH * self._done // self.total
-        bar = ('#' * marks).ljust(_WIDTH, '.')
+        marks = _BAR_CHARS * self._done_steps // self.total
+        bar = ('#' * marks).ljust(_BAR_CHARS, '.')
         self.stream.write(
-            f'{before}{self.name}: [{bar}] {self._done} of {self.total}{after}'
+            f'{before}{self.name}: [{bar}] '
+            f'{self._done_steps} of {self.total}{after}'
         )
         self.stream.flush()
--- a/catkinshunt/cli/_relaunch.py
+++ b/catkinshunt/cli/_relaunch.py
@@ -1,10 +1,10 @@
-"""Drops what only the start needed, by running the process anew.
+"""Re-executes the process to free the memory that only start-up needs.
 
-Reading arguments and settings takes fire, json5 and cattrs, some 2.5 MB that
-Python does not give back. The process therefore replaces itself (``exec``:
-the same process, no child) once its settings are checked, and hands them to
-itself through a pipe. They hold a key, which an argument or the environment
-would show to every user of the machine.
+Parsing arguments and settings needs fire, json5 and cattrs, some 2.5 MB that
+Python does not free. Once the settings are checked, the process therefore
+replaces itself (``exec``: the same process, no child) and passes them on
+through a pipe. They contain a key, which an argument or the environment
+would expose to every user of the machine.
 """
 
 import json
@@ -13,27 +13,27 @@
 
 from catkinshunt import errors
 
-#: First argument of the process after it has replaced itself.
-WORD = 'run-checked'
-#: What a pipe surely takes before somebody reads it.
-_MAX_BYTES = 32 * 1024
+#: First argument of the process after the ``exec``.
+RESTART_COMMAND = 'run-checked'
+#: Size that always fits into the buffer of a pipe without a reader.
+_MAX_SETTINGS_BYTES = 32 * 1024
 
 
 def replace_process(role, path, cfg):
-    """Run this program anew with the checked settings `cfg`.
+    """Replace this process by a new run with the checked settings `cfg`.
 
     Args:
         role: ``'entry'`` or ``'sidecar'``.
-        path: path of the settings, shown in the list of processes.
+        path: path of the settings file, shown in the process list.
         cfg: the settings, an `attrs` instance.
     """
     import attrs
 
     content = json.dumps(attrs.asdict(cfg)).encode()
-    if len(content) > _MAX_BYTES:
+    if len(content) > _MAX_SETTINGS_BYTES:
         raise errors.SettingsError(
             f'{path}: settings take {len(content)} bytes, '
-            f'allowed: {_MAX_BYTES}'
+            f'allowed: {_MAX_SETTINGS_BYTES}'
         )
     read_end, write_end = os.pipe()
     os.write(write_end, content)
@@ -41,17 +41,18 @@
     os.set_inheritable(read_end, True)
     given = len(sys.argv) - 1
     start = sys.orig_argv[: len(sys.orig_argv) - given]
-    words = [*start, WORD, role, path, str(read_end)]
+    words = [*start, RESTART_COMMAND, role, path, str(read_end)]
     sys.stdout.flush()
     sys.stderr.flush()
     os.execv(sys.executable, words)
 
 
 def read_settings(role, read_end):
-    """Return the settings that `replace_process` has put into the pipe.
+    """Return the settings that `replace_process` wrote to the pipe.
 
     Raises:
-        errors.SettingsError: there are none; somebody else has used `WORD`.
+        errors.SettingsError: the pipe has no settings, since somebody else
+            used `RESTART_COMMAND`.
     """
     from catkinshunt import settings
 
@@ -63,5 +64,5 @@
         return settings.from_validated(role, value)
     except (OSError, ValueError, KeyError, TypeError) as exc:
         raise errors.SettingsError(
-            f'{WORD} is for the process itself; use {role} SETTINGS'
+            f'{RESTART_COMMAND} is for the process itself; use {role} SETTINGS'
         ) from exc
--- a/catkinshunt/cli/_status.py
+++ b/catkinshunt/cli/_status.py
@@ -1,4 +1,4 @@
-"""Shows what every instance says of itself."""
+"""Prints the status that every instance reports."""
 
 import collections
 import concurrent.futures
@@ -12,20 +12,21 @@
 from catkinshunt import httpio
 from catkinshunt import settings
 
-_PARALLEL = 32
+_MAX_WORKERS = 32
 _UNKNOWN = '-'
 
 
 @attrs.frozen
 class Row:
-    """One instance as it is shown.
+    """One row of the status table, for one instance.
 
     Attributes:
         name: name of the instance.
         service: service of its upstream; ``entry`` for an entry.
-        data_centre: where it stands.
-        state: its own word, else that of the platform's list.
-        revision: configuration revision in force there, or None.
+        data_centre: data centre of the instance.
+        state: the state that it reports, else that in the platform's list.
+        revision: configuration revision in force there; None if it did not
+            respond.
         wanted: pairs of model and version that a rule places there.
         served: pairs of model and version that it serves.
     """
@@ -40,15 +41,15 @@
 
 
 def status(path, watch, every_s):
-    """Show the status; with `watch` until every replica serves."""
+    """Print the status; with `watch` repeat it until every replica serves."""
     cfg = settings.load_settings(path, settings.OperatorSettings)
     while True:
         accepted = _accepted_revision(cfg)
         rows = read_rows(cfg)
         for line in table(rows):
             print(line)
-        done = _show_revision(rows, accepted)
-        done = _show_progress(rows) and done
+        done = _print_revision(rows, accepted)
+        done = _print_progress(rows) and done
         sys.stdout.flush()
         if done or not watch:
             return 0
@@ -56,7 +57,7 @@
 
 
 def _accepted_revision(cfg):
-    """Return the revision accepted last, or None in an outage."""
+    """Return the latest accepted revision, or None in an outage."""
     from catkinshunt import configuration
     from catkinshunt import kvstore
 
@@ -69,7 +70,7 @@
 
 
 def read_rows(cfg):
-    """Ask the platform's list, then each instance on it.
+    """Return the rows of all instances in the platform's list, sorted.
 
     Raises:
         errors.RequestError: the list cannot be read.
@@ -83,12 +84,12 @@
             f'status {reply.status}', step='list instances', peer=str(address)
         )
     listed = json.loads(reply.body)['instances']
-    with concurrent.futures.ThreadPoolExecutor(_PARALLEL) as executor:
-        rows = executor.map(lambda item: _row(cfg, item), listed)
+    with concurrent.futures.ThreadPoolExecutor(_MAX_WORKERS) as executor:
+        rows = executor.map(lambda item: _read_row(cfg, item), listed)
         return sorted(rows, key=lambda row: (row.service, row.name))
 
 
-def _row(cfg, item):
+def _read_row(cfg, item):
     row = Row(
         item['name'],
         item.get('service') or 'entry',
@@ -109,14 +110,14 @@
             row,
             state=value['state'],
             revision=value['revision'],
-            wanted=_pairs(value['wanted']),
-            served=_pairs(value['served']),
+            wanted=_sort_pairs(value['wanted']),
+            served=_sort_pairs(value['served']),
         )
     except (errors.RequestError, ValueError, KeyError, TypeError):
         return row
 
 
-def _pairs(models):
+def _sort_pairs(models):
     return tuple(sorted((model, version) for model, version in models.items()))
 
 
@@ -155,11 +156,14 @@
     )
 
 
-def _show_revision(rows, accepted):
-    """Print where the accepted revision is in force; return if everywhere.
+def _print_revision(rows, accepted):
+    """Print how many instances have the accepted revision.
 
-    Where it is not, what an instance wants and serves may still be what the
-    rules before said, and a rollout would look complete before it began.
+    An instance with an older revision reports what the older rules place
+    there, so a rollout would look complete before it began.
+
+    Returns:
+        Whether it is in force at all instances that responded.
     """
     known = [row.revision for row in rows if row.revision is not None]
     if accepted is None:
@@ -170,8 +174,8 @@
     return count == len(known)
 
 
-def _show_progress(rows):
-    """Print replicas done of wanted; return whether none is missing."""
+def _print_progress(rows):
+    """Print how many wanted replicas serve; return whether all do."""
     wanted = collections.Counter()
     done = collections.Counter()
     for row in rows:
@@ -179,7 +183,7 @@
         done.update(set(row.wanted) & set(row.served))
     for pair, count in sorted(wanted.items()):
         print(f'{pair[0]}@{pair[1]}: {done[pair]} of {count} replicas serve')
-    silent = sum(row.revision is None for row in rows)
-    if silent:
-        print(f'{silent} of {len(rows)} instances gave no answer')
-    return not silent and done == wanted
+    unresponsive = sum(row.revision is None for row in rows)
+    if unresponsive:
+        print(f'{unresponsive} of {len(rows)} instances gave no answer')
+    return not unresponsive and done == wanted
--- a/catkinshunt/cli/tests/test_experiment.py
+++ b/catkinshunt/cli/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Tests of the command that plays a scenario against the model."""
+"""Tests of the command that runs a scenario in the simulation."""
 
 import io
 import json
@@ -27,8 +27,8 @@
 
 
 @pytest.fixture
-def play(tmp_path, capsys):
-    """Give a function that plays a scenario; returns code, out and err."""
+def run_experiment(tmp_path, capsys):
+    """Return a function that runs a scenario; returns code, out and err."""
 
     def run(scenario, *flags):
         path = tmp_path / 'scenario.json'
@@ -40,9 +40,9 @@
     return run
 
 
-def results(played):
-    code, out, _ = played
-    assert code == _main.OK
+def results(finished):
+    code, out, _ = finished
+    assert code == _main.EXIT_OK
     return json.loads(out)['results']
 
 
@@ -87,18 +87,18 @@
         ([SMALL], '(file): got [{'),
     ],
 )
-def test_wrong_field_is_named(play, scenario, words):
-    code, out, err = play(scenario)
-    assert code == _main.USAGE
+def test_wrong_field_is_named(run_experiment, scenario, words):
+    code, out, err = run_experiment(scenario)
+    assert code == _main.EXIT_USAGE
     assert words in err
     assert err.count('\n') == 1
     assert out == ''
 
 
-def test_all_errors_come_at_once(play):
-    """A newcomer mistypes several fields.
+def test_all_errors_are_reported_at_once(run_experiment):
+    """A user mistypes several fields.
 
-    If only the first were told, each would cost one more try.
+    If only the first were reported, each would cost another run.
     """
     wrong = without('name') | {
         'seeds': [],
@@ -106,8 +106,8 @@
         'loads': [-1],
         'slow_engines': SLOW | {'factor': 0.5, 'form_s': 3},
     }
-    code, out, err = play(wrong)
-    assert code == _main.USAGE
+    code, out, err = run_experiment(wrong)
+    assert code == _main.EXIT_USAGE
     for field in (
         'name', 'seeds', 'slots', 'loads', 'slow_engines.factor',
         'slow_engines.form_s',
@@ -126,25 +126,27 @@
         ('--plto=load.svg', '--plto'),
     ],
 )
-def test_wrong_flag_is_told_before_anything_is_played(play, flag, words):
-    code, out, err = play(SMALL, flag)
-    assert code == _main.USAGE
+def test_wrong_flag_is_reported_before_the_simulation(
+    run_experiment, flag, words
+):
+    code, out, err = run_experiment(SMALL, flag)
+    assert code == _main.EXIT_USAGE
     assert words in err
     assert err.count('\n') == 1
     assert out == ''
 
 
-def test_small_scenario_end_to_end(play, tmp_path):
+def test_small_scenario_end_to_end(run_experiment, tmp_path):
     plot = tmp_path / 'load.svg'
-    played = play(SMALL, f'--plot={plot}')
-    calm, burst = results(played)
-    assert json.loads(played[1])['scenario'] == SMALL
-    assert (calm['load'], burst['load']) == (0.5, 1.5)
-    assert calm['in_time'] > 0.9
-    assert calm['bound'] == 1.0
+    finished = run_experiment(SMALL, f'--plot={plot}')
+    moderate, burst = results(finished)
+    assert json.loads(finished[1])['scenario'] == SMALL
+    assert (moderate['load'], burst['load']) == (0.5, 1.5)
+    assert moderate['in_time'] > 0.9
+    assert moderate['bound'] == 1.0
     assert burst['refused'] > 0.1
     assert 0.5 * burst['bound'] < burst['in_time'] < burst['bound'] < 0.9
-    for row in (calm, burst):
+    for row in (moderate, burst):
         ends = ('in_time', 'late', 'refused', 'left')
         assert sum(row[end] for end in ends) == pytest.approx(1.0, abs=3e-4)
     drawn = plot.read_text()
@@ -152,24 +154,27 @@
         assert f'>{name}<' in drawn
 
 
-def test_plot_of_one_load(play, tmp_path):
+def test_plot_of_one_load(run_experiment, tmp_path):
     plot = tmp_path / 'load.svg'
-    results(play(SMALL | {'loads': [1]}, f'--plot={plot}'))
+    results(run_experiment(SMALL | {'loads': [1]}, f'--plot={plot}'))
     assert plot.stat().st_size > 0
 
 
-def test_same_seeds_give_the_same_figures(play):
-    """Someone repeats an experiment; nothing is left of the first play."""
+def test_same_seeds_give_the_same_results(run_experiment):
+    """An experiment is repeated; the first run leaves no state behind."""
     scenario = SMALL | {'slow_engines': SLOW}
-    found = [results(play(scenario)), results(play(scenario))]
+    found = [
+        results(run_experiment(scenario)),
+        results(run_experiment(scenario)),
+    ]
     assert found[0] == found[1]
-    assert found[0] != results(play(scenario | {'seeds': [3, 6]}))
+    assert found[0] != results(run_experiment(scenario | {'seeds': [3, 6]}))
 
 
-def test_figures_do_not_depend_on_the_hashes_of_a_process(tmp_path):
-    """Someone repeats an experiment in another process.
+def test_results_do_not_depend_on_the_hash_seed(tmp_path):
+    """An experiment is repeated in another process.
 
-    There a set of names has another order, which must not decide.
+    There the iteration order of sets differs, which must not matter.
     """
     path = tmp_path / 'scenario.json'
     scenario = SMALL | {'engines': 6, 'slow_engines': SLOW}
@@ -189,47 +194,47 @@
     assert json.loads(found[0])['results']
 
 
-def test_slow_engines_lower_the_bound_and_what_is_in_time(play):
+def test_slow_engines_lower_the_bound_and_what_is_in_time(run_experiment):
     busy = SMALL | {'loads': [0.9]}
     slow = SLOW | {'from_s': 12, 'to_s': 15}
-    (usual,) = results(play(busy))
-    (slowed,) = results(play(busy | {'slow_engines': slow}))
-    # Of two engines, one works at a quarter of its speed throughout.
+    (usual,) = results(run_experiment(busy))
+    (slowed,) = results(run_experiment(busy | {'slow_engines': slow}))
+    # One of two engines runs at a quarter of its speed throughout.
     assert slowed['bound'] == pytest.approx((1 + 1 / 4) / 2 / 0.9, abs=0.1)
     assert usual['bound'] > 0.9
     assert slowed['in_time'] < usual['in_time'] - 0.1
 
 
-def test_fewer_slots_do_not_change_the_load_in_parts(play):
-    """Loads are parts of what engines with these slots can answer."""
-    (many,) = results(play(SMALL | {'loads': [1.5], 'slots': 16}))
-    (few,) = results(play(SMALL | {'loads': [1.5], 'slots': 4}))
+def test_fewer_slots_do_not_change_the_relative_load(run_experiment):
+    """Loads are relative to the capacity of engines with these slots."""
+    (many,) = results(run_experiment(SMALL | {'loads': [1.5], 'slots': 16}))
+    (few,) = results(run_experiment(SMALL | {'loads': [1.5], 'slots': 4}))
     assert few['requests'] < 0.6 * many['requests']
     assert few['bound'] == pytest.approx(many['bound'], abs=0.15)
 
 
-def test_without_the_model_the_operator_is_told(play, monkeypatch):
-    """The command runs from an installation that lacks the model."""
+def test_missing_simulation_is_reported(run_experiment, monkeypatch):
+    """The command runs from an installation without the simulation."""
     monkeypatch.setitem(sys.modules, 'standins', None)
     monkeypatch.delitem(sys.modules, 'standins.experiment', raising=False)
-    code, out, err = play(SMALL)
-    assert code == _main.USAGE
+    code, out, err = run_experiment(SMALL)
+    assert code == _main.EXIT_USAGE
     assert 'needs standins' in err
     assert 'checkout of the sources' in err
     assert err.count('\n') == 1
     assert out == ''
 
 
-def test_without_pygal_the_operator_is_told(play, monkeypatch, tmp_path):
+def test_missing_pygal_is_reported(run_experiment, monkeypatch, tmp_path):
     monkeypatch.setitem(sys.modules, 'pygal', None)
-    code, out, err = play(SMALL, f'--plot={tmp_path}/load.svg')
-    assert code == _main.USAGE
+    code, out, err = run_experiment(SMALL, f'--plot={tmp_path}/load.svg')
+    assert code == _main.EXIT_USAGE
     assert 'needs pygal' in err
     assert out == ''
 
 
-def test_only_this_command_names_the_model():
-    """An entry or a sidecar would not start from the one-file build."""
+def test_only_this_command_refers_to_the_simulation():
+    """Otherwise entries and sidecars of the one-file build cannot start."""
     product = ROOT / 'catkinshunt'
     naming = [
         str(path.relative_to(product))
@@ -240,8 +245,8 @@
     assert naming == ['cli/_experiment.py']
 
 
-def test_command_line_does_not_load_the_model():
-    """Each process that starts would take the time and memory for it."""
+def test_command_line_does_not_import_the_simulation():
+    """Every process would need time and memory for it at start-up."""
     script = (
         'import sys; from catkinshunt import cli; '
         'from catkinshunt.cli import _commands, _serve; '
@@ -268,7 +273,7 @@
     ]  # fmt: skip
 
 
-def test_short_work_shows_no_progress():
+def test_short_computation_displays_no_progress():
     stream = Terminal()
     progress = _progress.Progress('burst', 2, stream, now=10.0)
     progress.advance(10.1)
--- a/catkinshunt/http1/_messages.py
+++ b/catkinshunt/http1/_messages.py
@@ -1,9 +1,9 @@
-"""Heads and bodies of HTTP/1.1 messages."""
+"""Data structures and encoding of HTTP/1.1 messages."""
 
 import attrs
 
-#: Headers that concern one connection only; they are never passed on.
-HOP_BY_HOP = frozenset(
+#: Headers that apply to one connection only; they are never forwarded.
+HOP_BY_HOP_HEADERS = frozenset(
     [
         'connection',
         'keep-alive',
@@ -16,10 +16,10 @@
         'upgrade',
     ]
 )
-#: Headers that tell where a message ends; the sender writes its own.
-FRAMING = frozenset(['content-length', 'expect'])
+#: Headers for the framing of a message; each sender sets its own.
+FRAMING_HEADERS = frozenset(['content-length', 'expect'])
 
-REASONS = {
+REASON_PHRASES = {
     200: 'OK',
     400: 'Bad Request',
     401: 'Unauthorized',
@@ -37,7 +37,7 @@
 
 
 class Headers:
-    """Header fields in the order of arrival; names ignore case.
+    """Header fields in order of arrival, with case-insensitive names.
 
     Examples:
         >>> headers = Headers([('Host', 'a'), ('Connection', 'X-Hop, close')])
@@ -61,42 +61,43 @@
         return default
 
     def get_all(self, name):
-        """Return all values of `name` in order."""
+        """Return all values of `name` in order of arrival."""
         name = name.lower()
         return [value for key, value in self.items if key.lower() == name]
 
     def end_to_end(self, without=frozenset()):
-        """Return the fields that are passed on.
+        """Return the fields to forward, as pairs of name and value.
 
         Args:
-            without: further names to leave out, in lower case.
+            without: further names to exclude, in lower case.
         """
-        named = set()
+        hop_names = set()
         for value in self.get_all('connection'):
-            named.update(word.strip().lower() for word in value.split(','))
+            hop_names.update(word.strip().lower() for word in value.split(','))
         return [
             (key, value)
             for key, value in self.items
-            if not _stays(key.lower(), named, without)
+            if not _is_excluded(key.lower(), hop_names, without)
         ]
 
 
-def _stays(name, named, without):
+def _is_excluded(name, hop_names, without):
     return (
-        name in HOP_BY_HOP
-        or name in FRAMING
-        or name in named
+        name in HOP_BY_HOP_HEADERS
+        or name in FRAMING_HEADERS
+        or name in hop_names
         or name in without
     )
 
 
 @attrs.define
 class Request:
-    """A request that was read whole.
+    """A request that was read completely.
 
     Attributes:
-        received_at: seconds on the steady clock when its last byte came.
-        keep_alive: whether the caller keeps the connection for another.
+        received_at: arrival of its last byte, in seconds on the monotonic
+            clock.
+        keep_alive: whether the caller keeps the connection open.
     """
 
     method: str
@@ -108,7 +109,7 @@
 
     @property
     def path(self):
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition('?')[0]
 
 
@@ -117,7 +118,8 @@
     """Status and header fields of a reply.
 
     Attributes:
-        bodiless: the reply has no body whatever its headers say.
+        bodiless: whether the status rules out a body, whatever the headers
+            say.
     """
 
     status: int
@@ -126,7 +128,7 @@
 
 
 def dump_head(first_line, items):
-    """Return the bytes of a message's head.
+    """Return the encoded head of a message.
 
     Args:
         first_line: the request line or status line.
@@ -142,7 +144,7 @@
 
 
 def dump_reply(status, items, body=b''):
-    """Return the bytes of a whole reply of known length."""
+    """Return an encoded reply with a Content-Length."""
     head = status_line(status)
     items = [*items, ('Content-Length', str(len(body)))]
     return dump_head(head, items) + body
@@ -150,11 +152,11 @@
 
 def status_line(status):
     """Return the status line of `status`."""
-    return f'HTTP/1.1 {status} {REASONS.get(status, "Status")}'
+    return f'HTTP/1.1 {status} {REASON_PHRASES.get(status, "Status")}'
 
 
 def dump_chunk(data):
-    """Return `data` as one chunk of a body without a known length."""
+    """Return `data` as one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(data), data)
 
 
--- a/catkinshunt/kvstore/_http.py
+++ b/catkinshunt/kvstore/_http.py
@@ -1,4 +1,4 @@
-"""The key-value service over HTTP."""
+"""HTTP client for the key-value service."""
 
 import json
 import urllib.parse
@@ -8,18 +8,18 @@
 from catkinshunt import httpio
 from catkinshunt.kvstore import base as kv_base
 
-#: Added to a watch's own time before the connection is given up.
+#: Added to the timeout of a watch for the timeout of its connection.
 WATCH_MARGIN_S = 2.0
-_REVISION = 'Revision'
-_NOT_DONE = 503
+_REVISION_HEADER = 'Revision'
+_STATUS_NOT_APPLIED = 503
 
 
 class HttpKeyValueStore(kv_base.BaseKeyValueStore, base.ParamsMixin):
-    """Speaks to the service with one connection per call.
+    """HTTP client that opens one connection per call.
 
     Args:
         address: `httpio.Address` of the service.
-        timeout_s: seconds after which a call is given up.
+        timeout_s: timeout of a call in seconds.
     """
 
     def __init__(self, address, timeout_s=2.0):
@@ -28,24 +28,24 @@
 
     def get(self, key):
         """Return the `Entry` at `key`, or None."""
-        reply = self._call('GET', _path(key), read_only=True)
+        reply = self._call('GET', _make_path(key), read_only=True)
         if reply.status == 404:
             return None
-        return _entry(reply)
+        return _read_entry(reply)
 
     def put(self, key, value, expected_revision, lease=None):
         """Write `value` if the key is still at `expected_revision`."""
         query = {'expected': expected_revision}
         if lease is not None:
             query['lease'] = lease
-        reply = self._call('PUT', _path(key, query), value)
+        reply = self._call('PUT', _make_path(key, query), value)
         _check_conflict(reply, key)
-        return _revision(reply, errors.StoreUnknownError)
+        return _read_revision(reply, errors.StoreUnknownError)
 
     def delete(self, key, expected_revision):
         """Delete `key` if it is still at `expected_revision`."""
         query = {'expected': expected_revision}
-        reply = self._call('DELETE', _path(key, query))
+        reply = self._call('DELETE', _make_path(key, query))
         _check_conflict(reply, key)
 
     def watch(self, key, after_revision, timeout_s):
@@ -53,13 +53,13 @@
         query = {'after': after_revision, 'timeout_s': timeout_s}
         reply = self._call(
             'GET',
-            _path(key, query),
+            _make_path(key, query),
             timeout_s=timeout_s + WATCH_MARGIN_S,
             read_only=True,
         )
         if reply.status == 204:
             return None
-        return _entry(reply)
+        return _read_entry(reply)
 
     def grant_lease(self, ttl_s):
         """Return the id of a new lease of `ttl_s` seconds."""
@@ -68,7 +68,7 @@
         return json.loads(reply.body)['lease']
 
     def renew_lease(self, lease):
-        """Extend `lease` by its whole time."""
+        """Extend `lease` by its full duration."""
         reply = self._call('POST', f'/leases/{lease}/renew')
         _check_conflict(reply, f'lease {lease}')
 
@@ -87,44 +87,46 @@
                 exc.message, step='connect', peer=peer
             ) from exc
         except errors.OutcomeUnknownError as exc:
-            # The write may be in force although its answer was lost. A
-            # reader has nothing to undo, so only a writer is told so.
-            lost = errors.StoreUnknownError
+            # The write may be in force although its reply was lost. A read
+            # changes nothing, so its failure is reported as unavailable.
+            error_class = errors.StoreUnknownError
             if read_only:
-                lost = errors.StoreUnavailableError
-            raise lost(exc.message, step=method, peer=peer) from exc
+                error_class = errors.StoreUnavailableError
+            raise error_class(exc.message, step=method, peer=peer) from exc
         if reply.status >= 500:
-            # Only 503 says that nothing was done; after any other failure
+            # Only 503 means that nothing was written; after any other failure
             # the write may be in force.
-            sure = read_only or reply.status == _NOT_DONE
-            kind = errors.StoreUnavailableError
-            if not sure:
-                kind = errors.StoreUnknownError
-            raise kind(
-                f'the key-value service answered {reply.status}',
+            outcome_known = read_only or reply.status == _STATUS_NOT_APPLIED
+            error_class = errors.StoreUnavailableError
+            if not outcome_known:
+                error_class = errors.StoreUnknownError
+            raise error_class(
+                f'the key-value service replied with status {reply.status}',
                 step=method,
                 peer=peer,
             )
         return reply
 
 
-def _path(key, query=None):
+def _make_path(key, query=None):
     path = '/kv/' + urllib.parse.quote(key)
     if query:
         path += '?' + urllib.parse.urlencode(query)
     return path
 
 
-def _entry(reply):
-    return kv_base.Entry(reply.body, _revision(reply, errors.StoreError))
+def _read_entry(reply):
+    return kv_base.Entry(reply.body, _read_revision(reply, errors.StoreError))
 
 
-def _revision(reply, kind):
-    """Return the reply's revision; raise `kind` where it has none."""
-    text = reply.headers.get(_REVISION, '')
+def _read_revision(reply, error_class):
+    """Return the revision of the reply; raise `error_class` if it has none."""
+    text = reply.headers.get(_REVISION_HEADER, '')
     if reply.status != 200 or not text.isdigit():
-        # Something else answers at the address, a proxy for instance.
-        raise kind(f'status {reply.status}, no revision', step='read-reply')
+        # Another server replies at this address, such as a proxy.
+        raise error_class(
+            f'status {reply.status}, no revision', step='read-reply'
+        )
     return int(text)
 
 
--- a/catkinshunt/logs/__init__.py
+++ b/catkinshunt/logs/__init__.py
@@ -1,11 +1,11 @@
-"""Log lines: short sentences with a fixed prefix for each part."""
+"""Logging: short sentences with a fixed prefix per component."""
 
-from catkinshunt.logs._rate_limit import BackgroundStream
-from catkinshunt.logs._rate_limit import LineRateLimiter
 from catkinshunt.logs._configure import configure
 from catkinshunt.logs._logger import get_logger
 from catkinshunt.logs._logger import request
 from catkinshunt.logs._outage import OutageLogger
+from catkinshunt.logs._rate_limit import BackgroundStream
+from catkinshunt.logs._rate_limit import LineRateLimiter
 
 __all__ = [
     'BackgroundStream',
--- a/catkinshunt/metrics/_client.py
+++ b/catkinshunt/metrics/_client.py
@@ -1,9 +1,8 @@
-"""Loads the library of the text format, without TLS where that is kept out.
+"""Imports ``prometheus_client``, also where ``ssl`` is blocked.
 
-The library names parts of TLS in its functions that push metrics elsewhere,
-which the product does not use. In a process that keeps ``ssl`` out for its
-memory (some 4 MB), names without function take their place while the
-library is loaded, and only then.
+The library refers to ``ssl`` in its functions that push metrics, which this
+project does not use. In a process that blocks the import of ``ssl`` to save
+memory (some 4 MB), placeholders replace it while the library is imported.
 """
 
 import contextlib
@@ -13,14 +12,14 @@
 
 def load():
     """Return the package ``prometheus_client``."""
-    kept_out = sys.modules.get('ssl', types) is None
-    with _tls_names() if kept_out else contextlib.nullcontext():
+    ssl_excluded = sys.modules.get('ssl', types) is None
+    with _tls_placeholders() if ssl_excluded else contextlib.nullcontext():
         import prometheus_client
     return prometheus_client
 
 
 @contextlib.contextmanager
-def _tls_names():
+def _tls_placeholders():
     import urllib.request
 
     module = types.ModuleType('ssl')
--- a/catkinshunt/settings/__init__.py
+++ b/catkinshunt/settings/__init__.py
@@ -1,8 +1,8 @@
-"""Settings of the processes, read from JSON with comments."""
+"""Settings of the processes, read from JSON5 files."""
 
-from catkinshunt.settings._fields import positive_number
 from catkinshunt.settings._fields import count
 from catkinshunt.settings._fields import make_field
+from catkinshunt.settings._fields import positive_number
 from catkinshunt.settings._fields import text
 from catkinshunt.settings._load import load_document
 from catkinshunt.settings._load import load_settings
@@ -14,8 +14,8 @@
 from catkinshunt.settings._model import PlatformSettings
 from catkinshunt.settings._model import ROLES
 from catkinshunt.settings._model import SidecarSettings
-from catkinshunt.settings._problem import Problem
 from catkinshunt.settings._problem import format_value
+from catkinshunt.settings._problem import Problem
 
 __all__ = [
     'EntrySettings',
@@ -24,14 +24,14 @@
     'Problem',
     'ROLES',
     'SidecarSettings',
-    'positive_number',
     'count',
+    'format_value',
     'from_validated',
     'load_document',
     'load_settings',
     'load_text',
     'make_field',
-    'format_value',
+    'positive_number',
     'structure',
     'text',
 ]
--- a/catkinshunt/settings/_load.py
+++ b/catkinshunt/settings/_load.py
@@ -1,7 +1,7 @@
-"""Reads JSON with comments into `attrs` classes, with all errors at once.
+"""Loads JSON5 into `attrs` classes and reports all errors at once.
 
-json5 reads the text and cattrs makes the classes; both are loaded when the
-first file is read, since they take memory that a process only needs then.
+json5 parses the text and cattrs creates the instances. Both are imported
+when the first file is read, since a process needs their memory only then.
 """
 
 import difflib
@@ -13,7 +13,7 @@
 from catkinshunt.settings import _fields
 from catkinshunt.settings import _problem
 
-_WHOLE_FILE = '(file)'
+_ENTIRE_FILE = '(file)'
 _MISSING = 'nothing'
 _TYPE_NAMES = {
     bool: 'true or false',
@@ -24,7 +24,7 @@
 
 
 class _InvalidValueError(ValueError):
-    """A value that its field does not allow."""
+    """A value that is not allowed for its field."""
 
     def __init__(self, given, allowed):
         super().__init__(allowed)
@@ -36,24 +36,26 @@
     """Return the settings in the file at `path` as an instance of `cls`.
 
     Raises:
-        errors.SettingsError: the file cannot be read or used; its
-            ``problems`` hold everything that is wrong.
+        errors.SettingsError: the file cannot be read or is invalid; its
+            ``problems`` attribute lists all problems.
     """
     return structure(load_document(path), cls, path)
 
 
 def load_document(path):
-    """Return what the file at `path` holds, unchecked.
+    """Return the parsed content of the file at `path`, unchecked.
 
     Raises:
-        errors.SettingsError: the file cannot be read, or is no JSON5.
+        errors.SettingsError: the file cannot be read or is not JSON5.
     """
     try:
         with open(path, encoding='utf-8') as file:
             content = file.read()
     except (OSError, UnicodeDecodeError) as exc:
         reason = getattr(exc, 'strerror', None) or 'not UTF-8 text'
-        _raise([_problem.Problem(path, _WHOLE_FILE, reason, 'a file')])
+        _raise_problems(
+            [_problem.Problem(path, _ENTIRE_FILE, reason, 'a file')]
+        )
     return _parse(content, path)
 
 
@@ -82,15 +84,15 @@
     import json5
 
     try:
-        # Of two fields with one name the last would win without a word.
+        # By default the last of two fields with one name is used silently.
         return json5.loads(content, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
         given = ' '.join(str(exc).split())
-        _raise([_problem.Problem(path, _WHOLE_FILE, given, 'JSON5')])
+        _raise_problems([_problem.Problem(path, _ENTIRE_FILE, given, 'JSON5')])
 
 
 def structure(raw, cls, path='(value)'):
-    """Return `raw`, as a JSON reader gives it, as an instance of `cls`.
+    """Return `raw`, a parsed JSON value, as an instance of `cls`.
 
     Raises:
         errors.SettingsError: as `load_settings`.
@@ -100,14 +102,14 @@
     try:
         value = _make_converter().structure(raw, cls)
     except (cattrs.BaseValidationError, _InvalidValueError) as exc:
-        problems = list(_walk(exc, '', path, cls))
-        _raise(problems)
-    _check_whole(value, path)
+        problems = list(_iter_problems(exc, '', path, cls))
+        _raise_problems(problems)
+    _check_consistency(value, path)
     return value
 
 
-def _check_whole(value, path):
-    """Ask the settings themselves about fields that must fit together."""
+def _check_consistency(value, path):
+    """Run the check of the settings class across its fields, if any."""
     if not hasattr(value, 'check'):
         return
     problems = [
@@ -115,10 +117,10 @@
         for field, given, allowed in value.check()
     ]
     if problems:
-        _raise(problems)
+        _raise_problems(problems)
 
 
-def _raise(problems):
+def _raise_problems(problems):
     message = '\n'.join(str(problem) for problem in problems)
     raise errors.SettingsError(message, problems=tuple(problems))
 
@@ -136,7 +138,7 @@
 
 
 def _strict_hook(cls, name):
-    """Return a hook that takes no other type: ``"5"`` is not a number."""
+    """Return a hook that accepts only `cls`: ``"5"`` is not a number."""
 
     def hook(value, _type):
         kinds = (int, float) if cls is float else cls
@@ -157,14 +159,14 @@
         field.name: gen.override(struct_hook=_field_hook(field, conv))
         for field in attrs.fields(cls)
     }
-    fill = gen.make_dict_structure_fn(
+    structure_dict = gen.make_dict_structure_fn(
         cls, conv, _cattrs_forbid_extra_keys=True, **overrides
     )
 
     def hook(value, type_):
         if not isinstance(value, dict):
             raise _InvalidValueError(value, 'an object {...}')
-        return fill(value, type_)
+        return structure_dict(value, type_)
 
     return hook
 
@@ -176,22 +178,21 @@
     def hook(value, _type):
         try:
             _check_container(value, field.type)
-            made = conv.structure(value, field.type)
+            structured = conv.structure(value, field.type)
         except _InvalidValueError as exc:
             given = exc.given if exc.given is not value else value
             raise _InvalidValueError(given, allowed or exc.allowed) from exc
-        if check is not None and not check(made):
+        if check is not None and not check(structured):
             raise _InvalidValueError(value, allowed)
-        return made
+        return structured
 
     return hook
 
 
 def _check_container(value, type_):
-    """Refuse what is no list where a list is wanted.
+    """Reject a value that is not a list or object where one is expected.
 
-    A text can be walked through like a list, and would be taken as a list
-    of its characters.
+    A string is iterable and would be accepted as a list of its characters.
     """
     origin = getattr(type_, '__origin__', None)
     if origin in (list, tuple) and not isinstance(value, list):
@@ -200,7 +201,7 @@
         raise _InvalidValueError(value, 'an object {...}')
 
 
-def _walk(exc, field, path, cls):
+def _iter_problems(exc, field, path, cls):
     """Yield a `Problem` for each leaf of a tree of cattrs errors."""
     import cattrs
 
@@ -209,44 +210,46 @@
         for sub, note in named:
             name = f'{field}.{note.name}' if field else note.name
             attr = getattr(attrs.fields(exc.cl), note.name)
-            yield from _leaf(sub, name, path, attr)
+            yield from _field_problems(sub, name, path, attr)
         for sub in rest:
-            yield from _unknown_fields(sub, field, path, exc.cl)
+            yield from _unknown_field_problems(sub, field, path, exc.cl)
     elif isinstance(exc, cattrs.IterableValidationError):
         for sub, note in exc.group_exceptions()[0]:
-            yield from _walk(sub, f'{field}[{note.index}]', path, cls)
+            yield from _iter_problems(sub, f'{field}[{note.index}]', path, cls)
     else:
-        yield _of_value(exc, field, path, secret=False)
+        yield _value_problem(exc, field, path, secret=False)
 
 
-def _leaf(exc, name, path, attr):
+def _field_problems(exc, name, path, attr):
     if isinstance(exc, KeyError):
         allowed = attr.metadata.get(_fields.ALLOWED) or _type_name(attr.type)
         yield _problem.Problem(path, name, _MISSING, allowed)
     elif isinstance(exc, _InvalidValueError):
         secret = attr.metadata.get(_fields.SECRET, False)
-        yield _of_value(exc, name, path, secret)
+        yield _value_problem(exc, name, path, secret)
     else:
-        yield from _walk(exc, name, path, attr.type)
+        yield from _iter_problems(exc, name, path, attr.type)
 
 
-def _of_value(exc, field, path, secret):
+def _value_problem(exc, field, path, secret):
     given = getattr(exc, 'given', None)
     shown = '(a secret)' if secret else _problem.format_value(given)
     allowed = getattr(exc, 'allowed', str(exc))
-    return _problem.Problem(path, field or _WHOLE_FILE, shown, allowed)
+    return _problem.Problem(path, field or _ENTIRE_FILE, shown, allowed)
 
 
-def _unknown_fields(exc, field, path, cls):
+def _unknown_field_problems(exc, field, path, cls):
     import cattrs
 
     if not isinstance(exc, cattrs.ForbiddenExtraKeysError):
-        yield _of_value(exc, field, path, secret=False)
+        yield _value_problem(exc, field, path, secret=False)
         return
     known = [attr.name for attr in attrs.fields(cls)]
     for extra in sorted(exc.extra_fields, key=str):
-        near = difflib.get_close_matches(str(extra), known, n=1)
-        allowed = f'{near[0]!r}?' if near else 'one of ' + ', '.join(known)
+        matches = difflib.get_close_matches(str(extra), known, n=1)
+        allowed = (
+            f'{matches[0]!r}?' if matches else 'one of ' + ', '.join(known)
+        )
         name = f'{field}.{extra}' if field else str(extra)
         yield _problem.Problem(path, name, 'an unknown field', allowed)
 
