--- a/catkinshunt/entry/_delivery.py
+++ b/catkinshunt/entry/_delivery.py
@@ -174,7 +174,7 @@
         self._may_have_run |= exc.ran != 'no'
         self._failed_upstreams.add(self._choice.upstream.name)
         self._last_error = exc
-        decision = self.retry.check(
+        decision = self.retry.decide(
             exc,
             self.req.idempotent,
             self._n_attempts,
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -150,7 +150,7 @@
         if self.info.deadline_s is not None:
             limit_s = min(limit_s, self.info.deadline_s)
             self.progress.prior_wait_s = (
-                self.context.client_retry_detector.waited_s(
+                self.context.client_retry_detector.estimate_wait_s(
                     self.decision.service, self.info.deadline_s, now
                 )
             )
@@ -277,7 +277,7 @@
             min_remaining_s=MIN_REMAINING_S,
             reserve=self.context.retry_burst * FAILOVER_RESERVE_SHARE,
         )
-        retry = policy.check(
+        retry = policy.decide(
             exc,
             serve.repeatable,
             progress.sends,
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -105,7 +105,7 @@
     return main
 
 
-def test_requests_at_a_frozen_engine_are_retried_elsewhere():
+def test_all_streams_of_an_engine_that_stands_still_move():
     """An engine freezes with twelve requests, and another one is free.
 
     A known failure (KNOWN-RED.txt): the entry has only five retries beyond
