--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -23,13 +23,12 @@
 #: of upstreams matters.
 PLAIN_REQUEST_S = 0.05
 #: Passes of a full engine from a free slot to the first token of the request
-#: that gets it: half of the current pass, one pass of its own, and the rest
-#: for the prefill of requests that are admitted with it.
+#: that gets it: half of the current pass, its own, and the prefills of other
+#: requests beside it.
 FIRST_TOKEN_PASSES = 3.0
-#: Prefills of other requests per decoding pass, for `occupancy_s`. The
-#: sidecar of an engine that is about to load a version rejects requests whose
-#: occupancy would last into the load; with too high a number it rejects ones
-#: that would have finished before.
+#: Prefills of other requests per decoding pass, for `occupancy_s`. With too
+#: high a number, requests to an engine that is to load a version are rejected
+#: although they would have finished before.
 PREFILLS_PER_PASS = 0.3
 #: Cached rendezvous scores, one per upstream.
 SCORE_CACHE_SIZE = 1 << 14
@@ -91,11 +90,7 @@
     step_s = engine.step_s + engine.step_s_per_request * min(count, slots)
     pass_s = engine.steps_per_pass * step_s
     excess = max(0.0, count + 1 - slots)
-    # Prefills of other prompts are taken to prolong an answer by half.
     answer_s = engine.mean_output_tokens * step_s * 1.5
-    # The first token needs the prefill, then one pass and, in proportion to
-    # the slots in use, one under way; and each request beyond the slots waits
-    # until an answer ends.
     return (
         total_prefill_s
         + pass_s * (1 + count / slots)
--- a/catkinshunt/limits/_admission.py
+++ b/catkinshunt/limits/_admission.py
@@ -62,7 +62,7 @@
         with self._lock:
             if self._is_leaving:
                 raise errors.LeavingError(
-                    'instance is shutting down and accepts no new requests',
+                    'instance is leaving and accepts no new requests',
                     step='queue',
                 )
             ticket.offered_at = now
@@ -111,7 +111,7 @@
                 self._idle.notify_all()
 
     def leave(self):
-        """Reject new requests before a shutdown; queued ones still run."""
+        """Reject new requests from now on; queued ones still run."""
         with self._lock:
             self._is_leaving = True
 
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -74,9 +74,7 @@
         """Enqueue a request.
 
         If the queue is full, it or the newest request of the heaviest account
-        is rejected. The retry time of a request that cannot finish in time is
-        its lateness: by then the backlog is shorter by as much, so that a
-        retry with the same timeout can finish.
+        is rejected.
 
         Raises:
             OverloadedError: it cannot finish in time, or the queue is full.
