--- a/catkinshunt/catalog/__init__.py
+++ b/catkinshunt/catalog/__init__.py
@@ -1,7 +1,7 @@
 """The operator's declaration, the upstreams and the live entries."""
 
+from catkinshunt.catalog._catalog import AnnouncedVersion
 from catkinshunt.catalog._catalog import Catalog
-from catkinshunt.catalog._catalog import NamedVersion
 from catkinshunt.catalog._live_entries import EntryLocation
 from catkinshunt.catalog._live_entries import LiveEntries
 from catkinshunt.catalog._model import Declaration
@@ -13,12 +13,12 @@
 from catkinshunt.catalog._model import Upstream
 
 __all__ = [
+    'AnnouncedVersion',
     'Catalog',
     'Declaration',
     'EngineProfile',
     'EntryLocation',
     'LiveEntries',
-    'NamedVersion',
     'Origin',
     'Serve',
     'Service',
--- a/catkinshunt/catalog/_catalog.py
+++ b/catkinshunt/catalog/_catalog.py
@@ -22,18 +22,18 @@
 
 
 @attrs.define
-class NamedVersion:
+class AnnouncedVersion:
     """A version of a model's weights that the operator wants served.
 
     Attributes:
         version: version number; a higher one is newer.
         learned_at: time in seconds on the catalog's clock at which this
             process learned of the version; minus infinity if it may have
-            been named long before.
-        is_pending: the version was named before this process started, and
+            been announced long before.
+        is_pending: the version was announced before this process started, and
             the store marks it as not due yet.
         found: the version was already in the store at the first read, so it
-            may have been named long before `learned_at`.
+            may have been announced long before `learned_at`.
     """
 
     version: int
@@ -43,7 +43,7 @@
 
 
 class Catalog(base.ParamsMixin):
-    """Newest declaration, named versions, upstreams and their age.
+    """Newest declaration, announced versions, upstreams and their age.
 
     Times are seconds on a clock that also counts during a system suspend.
 
@@ -129,14 +129,14 @@
             self._notifier.notify_all()
         return True
 
-    def add_named_version(self, model, version, now, found=False):
+    def add_announced_version(self, model, version, now, found=False):
         """Record that the operator wants `version` of `model` served.
 
         Args:
             model: name of the model.
             version: version number.
             now: time in seconds on the catalog's clock.
-            found: whether it may have been named long before `now`.
+            found: whether it may have been announced long before `now`.
 
         Returns:
             Whether it is newer than the versions known before.
@@ -145,74 +145,77 @@
         if current is not None and version <= current.version:
             return False
         known = self._versions.setdefault(model, [])
-        known.append(NamedVersion(version, now, found=found))
+        known.append(AnnouncedVersion(version, now, found=found))
         del known[:-MAX_VERSIONS]
         _log.info(
-            'Operator named version {} of {}.', version, model, version=version
+            'Operator announced version {} of {}.',
+            version,
+            model,
+            version=version,
         )
         self._notifier.notify_all()
         return True
 
     def mark_pending(self, model, version, now):
         """Mark a version found at the first read as not due yet."""
-        named = self._find_version(model, version)
-        if named is not None and math.isinf(named.learned_at):
-            named.learned_at = now
-            named.is_pending = True
+        announced = self._find_version(model, version)
+        if announced is not None and math.isinf(announced.learned_at):
+            announced.learned_at = now
+            announced.is_pending = True
             _log.info('Version {} of {} is not due yet.', version, model)
             self._notifier.notify_all()
 
     def end_pending(self, model, version):
         """Remove the pending mark of a version, which may then be due."""
-        named = self._find_version(model, version)
-        if named is not None and named.is_pending:
-            named.learned_at = -math.inf
-            named.is_pending = False
+        announced = self._find_version(model, version)
+        if announced is not None and announced.is_pending:
+            announced.learned_at = -math.inf
+            announced.is_pending = False
             _log.info('Version {} of {} is due.', version, model)
             self._notifier.notify_all()
 
     def pending_versions(self):
         """Return the (model, version) pairs marked as pending."""
         return [
-            (model, named.version)
+            (model, announced.version)
             for model, known in self._versions.items()
-            for named in known
-            if named.is_pending
+            for announced in known
+            if announced.is_pending
         ]
 
     def _find_version(self, model, version):
-        for named in self._versions.get(model, ()):
-            if named.version == version:
-                return named
+        for announced in self._versions.get(model, ()):
+            if announced.version == version:
+                return announced
         return None
 
-    def named_models(self):
-        """Return the models for which a version was named."""
+    def announced_models(self):
+        """Return the models for which a version was announced."""
         return list(self._versions)
 
     def newest_version(self, model):
-        """Return the newest `NamedVersion` of a model, or None."""
+        """Return the newest `AnnouncedVersion` of a model, or None."""
         known = self._versions.get(model)
         return known[-1] if known else None
 
     def next_version(self, model, version):
-        """Return the oldest `NamedVersion` newer than `version`, or None."""
-        for named in self._versions.get(model, ()):
-            if named.version > version:
-                return named
+        """Return the oldest `AnnouncedVersion` above `version`, or None."""
+        for announced in self._versions.get(model, ()):
+            if announced.version > version:
+                return announced
         return None
 
     def due_version(self, model, grace_s, now):
         """Return the newest version that is due, or None.
 
-        A version is due `grace_s` seconds after it was named, even if a newer
-        one was named meanwhile: from then on no request may start on an
-        older version.
+        A version is due `grace_s` seconds after it was announced, even if a
+        newer one was announced meanwhile: from then on no request may start
+        on an older version.
         """
         due = [
-            named.version
-            for named in self._versions.get(model, ())
-            if now - named.learned_at > grace_s
+            announced.version
+            for announced in self._versions.get(model, ())
+            if now - announced.learned_at > grace_s
         ]
         return due[-1] if due else None
 
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -122,7 +122,7 @@
             context = gateway.context
             context.permit_client = FakePermitClient(None, None)
             context.version_grace_s = 8.0
-            context.catalog.add_named_version(
+            context.catalog.add_announced_version(
                 harness.MODEL, 2, context.boot_clock() - 7.0
             )
             context.tracker.state(new.listed()).pause(context.clock(), 0.2)
@@ -147,7 +147,7 @@
             class Waiting(FakePermitRequest):
                 async def await_decision(self):
                     now = context.boot_clock()
-                    context.catalog.add_named_version(
+                    context.catalog.add_announced_version(
                         harness.MODEL, 2, now - 9.0
                     )
                     return await super().await_decision()
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -245,11 +245,11 @@
         async with harness.running_gateway(old, new) as gateway:
             gateway.context.version_grace_s = 4.0
             now = gateway.context.boot_clock()
-            gateway.context.catalog.add_named_version(
+            gateway.context.catalog.add_announced_version(
                 harness.MODEL, 2, now - 5
             )
             first = await chat(gateway)
-            gateway.context.catalog.add_named_version(
+            gateway.context.catalog.add_announced_version(
                 harness.MODEL, 3, now - 4.5
             )
             second = await chat(gateway)
@@ -278,7 +278,7 @@
         async with harness.running_gateway(old, new) as gateway:
             context = gateway.context
             context.version_grace_s = 1.0
-            context.catalog.add_named_version(
+            context.catalog.add_announced_version(
                 harness.MODEL, 2, context.boot_clock() - 0.5
             )
             context.tracker.state(new.listed()).pause(context.clock(), 0.2)
--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -17,15 +17,16 @@
         _log.error('Kept the old configuration: {}.', exc)
 
 
-def apply_version(item, catalog, named_at, found=False):
-    """Add the version that the operator named to the catalog.
+def apply_version(item, catalog, announced_at, found=False):
+    """Add the version that the operator announced to the catalog.
 
     Args:
-        item: `Item` that names it.
+        item: `Item` that announces it.
         catalog: `catalog.Catalog`.
-        named_at: seconds on the clock of the catalog when it was named.
+        announced_at: time of the announcement in seconds on the clock of the
+            catalog.
         found: the item existed when this process first read the store, so
-            the version may have been named long before `named_at`.
+            the version may have been announced long before `announced_at`.
     """
     if item.value is None:
         return
@@ -34,7 +35,7 @@
     except _documents.InvalidDocumentError as exc:
         _log.error('Ignored the invalid item {}: {}.', item.key, exc)
         return
-    catalog.add_named_version(model, version, named_at, found)
+    catalog.add_announced_version(model, version, announced_at, found)
 
 
 def apply_pending(item, catalog, now):
--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -95,14 +95,14 @@
                 _apply.apply_quarantine(
                     item, self.quarantined, self.boottime()
                 )
-        # The store does not record when a version was named. On the first read
-        # it may have been named long ago; later, not before the last time at
-        # which the cached state was current.
-        named_at = self.catalog.confirmed_at
-        if first or named_at is None:
-            named_at = -math.inf
+        # The store does not record when a version was announced. On the first
+        # read it may have been announced long ago; later, not before the last
+        # time at which the cached state was current.
+        announced_at = self.catalog.confirmed_at
+        if first or announced_at is None:
+            announced_at = -math.inf
         for item in operator.items:
-            self._apply_item(item, named_at)
+            self._apply_item(item, announced_at)
         self._replace_pending(system.items, requested_at)
         self.catalog.replace_upstreams(
             _apply.parse_valid_upstreams(listed.items), self.boottime()
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -237,7 +237,7 @@
 
 
 def parse_version(value):
-    """Return (model, version) that the operator named.
+    """Return (model, version) that the operator announced.
 
     Raises:
         InvalidDocumentError: `value` has no model or no version.
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -20,20 +20,20 @@
 
 
 class PendingPublisher:
-    """Writes a key for each version that was named and is not due yet.
+    """Writes a key for each version that was announced and is not due yet.
 
-    An entry that starts reads the named versions from the store without the
-    time at which they were named. When such entries took a version as due
-    that was not, they rejected all requests for up to eight seconds while
+    An entry that starts reads the announced versions from the store without
+    the time at which they were announced. When such entries took a version as
+    due that was not, they rejected all requests for up to eight seconds while
     engines were still loading. The key is bound to a lease that ends no later
     than the version is due, so the version is pending while the key exists.
 
     Args:
         client: `StoreClient`.
-        catalog: `catalog.Catalog` with the named versions.
+        catalog: `catalog.Catalog` with the announced versions.
         live_entries: `catalog.LiveEntries`.
         name: name of this entry.
-        grace_s: seconds after which a named version is due.
+        grace_s: seconds after which an announced version is due.
         boottime: returns seconds on the clock of the catalog.
     """
 
@@ -50,21 +50,21 @@
         """Write keys until cancelled."""
         async with asyncio.TaskGroup() as group:
             while True:
-                for model, named in self._find_unpublished():
-                    group.create_task(self._publish(model, named))
+                for model, announced in self._find_unpublished():
+                    group.create_task(self._publish(model, announced))
                 await self.catalog.wait_for_change()
 
     def _find_unpublished(self):
         """Return (model, version) pairs that this entry has to publish."""
         found = []
-        for model in self.catalog.named_models():
-            named = self.catalog.newest_version(model)
-            key = (model, named.version)
+        for model in self.catalog.announced_models():
+            announced = self.catalog.newest_version(model)
+            key = (model, announced.version)
             if key in self._handled:
                 continue
             self._handled.add(key)
-            if not named.is_pending and self._is_writer(*key):
-                found.append((model, named))
+            if not announced.is_pending and self._is_writer(*key):
+                found.append((model, announced))
         return found
 
     def _is_writer(self, model, version):
@@ -72,9 +72,9 @@
         ranked = rendezvous.rank(f'{model}/{version}', names)
         return self.name in ranked[:WRITER_COUNT]
 
-    async def _publish(self, model, named):
+    async def _publish(self, model, announced):
         """Write the key of one version unless it is due too soon."""
-        due_at = named.learned_at + self.grace_s
+        due_at = announced.learned_at + self.grace_s
         lease_s = due_at - self.boottime() - LEASE_MARGIN_S
         if not math.isfinite(lease_s) or lease_s < MIN_LEASE_S:
             return
@@ -83,12 +83,12 @@
             if self.boottime() + lease_s > due_at:
                 await self.client.revoke_lease(lease)
                 return
-            key = _documents.pending_key(model, named.version)
+            key = _documents.pending_key(model, announced.version)
             await self.client.write(key, b'{}', lease)
         except errors.StoreError as exc:
             _log.warning(
                 'Publishing version {} of {} as pending failed: {}.',
-                named.version,
+                announced.version,
                 model,
                 exc,
             )
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -29,14 +29,14 @@
 
 
 class StoreView(spread.BaseClusterView):
-    """Watches the named versions; reads members and the origin on demand.
+    """Watches the announced versions; reads members and the origin on demand.
 
     Args:
         cfg: `InstanceSettings` of the sidecar.
         client: `StoreClient`.
         catalog: `catalog.Catalog` to update.
         boottime: returns seconds on a clock that includes suspends.
-        due_s: seconds after which a named version is due.
+        due_s: seconds after which an announced version is due.
     """
 
     def __init__(self, cfg, client, catalog, boottime, due_s):
@@ -62,7 +62,7 @@
         )
 
     async def run(self):
-        """Watch the named versions until cancelled."""
+        """Watch the announced versions until cancelled."""
         outage = logs.OutageLogger(
             _log,
             'The store is unreachable: {}.',
@@ -87,8 +87,8 @@
                 _documents.VERSION_PREFIX, self._revision, WATCH_TIMEOUT_S
             )
         for item in page.items:
-            named_at = self.boottime() - (self.due_s if first else 0)
-            _apply.apply_version(item, self.catalog, named_at, found=first)
+            announced_at = self.boottime() - (self.due_s if first else 0)
+            _apply.apply_version(item, self.catalog, announced_at, found=first)
         self._revision = page.revision
 
     def now(self):
@@ -172,17 +172,17 @@
 
     def note_version(self, model, version):
         """See `spread.BaseClusterView.note_version`."""
-        self.catalog.add_named_version(model, version, self.boottime())
+        self.catalog.add_announced_version(model, version, self.boottime())
 
     async def target_version(self, report):
         """See `spread.BaseClusterView.target_version`."""
-        for model in self.catalog.named_models():
-            named = self.catalog.newest_version(model)
-            due_at = named.learned_at + self.due_s
-            return spread.TargetVersion(model, named.version, due_at)
-        # Until the named versions are read, the version of other members may
-        # be outdated. After a power loss all members fetched that one first,
-        # and the named one two seconds later.
+        for model in self.catalog.announced_models():
+            announced = self.catalog.newest_version(model)
+            due_at = announced.learned_at + self.due_s
+            return spread.TargetVersion(model, announced.version, due_at)
+        # Until the announced versions are read, the version of other members
+        # may be outdated. After a power loss all members fetched that one
+        # first, and the announced one two seconds later.
         if report.versions or self._revision is None:
             return None
         return await self._newest_served_version()
@@ -190,7 +190,7 @@
     async def _newest_served_version(self):
         """Return the newest version that other members serve, or None.
 
-        If the operator has named no version, an added engine loads the one
+        If the operator has announced no version, an added engine loads the one
         that the existing engines serve.
         """
         served = [
@@ -217,8 +217,8 @@
     def expires_at(self, model, version):
         """See `spread.BaseClusterView.expires_at`."""
         newer = self.catalog.next_version(model, version)
-        # It is unknown when a version was named that was in the store at the
-        # start; other sidecars may still use the previous one.
+        # It is unknown when a version that was in the store at the start was
+        # announced; other sidecars may still use the previous one.
         if newer is None or newer.found:
             return math.inf
         return newer.learned_at + self.due_s - EXPIRY_MARGIN_S
@@ -245,7 +245,7 @@
     async def _refresh_members(self, now):
         """Read the members; keep the cached ones if the store is unreachable.
 
-        Otherwise a version that is named shortly before an outage of the
+        Otherwise a version that is announced shortly before an outage of the
         store could not be fetched until the outage ends, although all members
         that have it are alive.
         """
--- a/catkinshunt/platform/tests/test_pending_publisher.py
+++ b/catkinshunt/platform/tests/test_pending_publisher.py
@@ -14,7 +14,7 @@
 KEY = _documents.pending_key('drafts', 2)
 
 
-def named(version):
+def announced(version):
     return json.dumps({'model': 'drafts', 'version': version}).encode()
 
 
@@ -45,7 +45,7 @@
     async def main():
         store = fakes.FakeStore()
         async with Publisher(store).running() as publisher:
-            publisher.catalog.add_named_version('drafts', 2, publisher.now)
+            publisher.catalog.add_announced_version('drafts', 2, publisher.now)
             await fakes.wait_until(lambda: KEY in store.items)
         return store.granted_s
 
@@ -71,7 +71,7 @@
                 return await grant(ttl_s)
 
             store.grant_lease = slow
-            publisher.catalog.add_named_version('drafts', 2, publisher.now)
+            publisher.catalog.add_announced_version('drafts', 2, publisher.now)
             await fakes.wait_until(lambda: 'end' in store.calls)
         return store.items
 
@@ -92,7 +92,9 @@
                 for name in names
             ]
             for publisher in publishers:
-                publisher.catalog.add_named_version('drafts', 2, publisher.now)
+                publisher.catalog.add_announced_version(
+                    'drafts', 2, publisher.now
+                )
             await fakes.wait_until(lambda: store.calls.count('write') == 2)
             for _ in range(20):
                 await asyncio.sleep(0)
@@ -107,7 +109,7 @@
     async def main():
         store = fakes.FakeStore()
         async with Publisher(store).running() as publisher:
-            publisher.catalog.add_named_version('drafts', 2, -float('inf'))
+            publisher.catalog.add_announced_version('drafts', 2, -float('inf'))
             for _ in range(20):
                 await asyncio.sleep(0)
         return store.calls
@@ -125,7 +127,7 @@
     """
 
     def prepare(harness):
-        harness.store.put('op/version/drafts', named(2))
+        harness.store.put('op/version/drafts', announced(2))
         if published:
             harness.store.put(KEY, b'{}')
 
@@ -139,7 +141,7 @@
 
 def test_version_is_due_when_its_pending_key_ends():
     def prepare(harness):
-        harness.store.put('op/version/drafts', named(2))
+        harness.store.put('op/version/drafts', announced(2))
         harness.store.put(KEY, b'{}')
 
     async def main(harness):
@@ -158,7 +160,7 @@
     """The entry reads the version before its pending key is written."""
 
     def prepare(harness):
-        harness.store.put('op/version/drafts', named(2))
+        harness.store.put('op/version/drafts', announced(2))
 
     async def main(harness):
         harness.store.put(KEY, b'{}')
@@ -174,7 +176,7 @@
 
 def test_pending_key_that_ended_during_history_loss_counts_as_ended():
     def prepare(harness):
-        harness.store.put('op/version/drafts', named(2))
+        harness.store.put('op/version/drafts', announced(2))
         harness.store.put(KEY, b'{}')
 
     async def main(harness):
@@ -194,7 +196,7 @@
     """Such an entry has the exact time; the lease ends a little earlier."""
 
     async def main(harness):
-        harness.store.put('op/version/drafts', named(2))
+        harness.store.put('op/version/drafts', announced(2))
         harness.store.put(KEY, b'{}')
         await fakes.wait_until(
             lambda: harness.catalog.newest_version('drafts')
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -46,14 +46,14 @@
     return spread.EngineReport({'drafts': version} if version else {})
 
 
-def name(store, version):
+def announce(store, version):
     store.put('op/version/drafts', {'model': 'drafts', 'version': version})
 
 
-def test_newest_named_version_is_the_target():
+def test_newest_announced_version_is_the_target():
     async def main(view, store):
-        name(store, 2)
-        await fakes.wait_until(lambda: view.catalog.named_models())
+        announce(store, 2)
+        await fakes.wait_until(lambda: view.catalog.announced_models())
         return await view.target_version(report(1))
 
     wanted = run(main)
@@ -61,7 +61,7 @@
 
 
 def test_added_engine_gets_the_version_that_others_serve():
-    """An engine is added while no version is named in the store.
+    """An engine is added while no version is announced in the store.
 
     It loads the version that the other engines of the service list.
     """
@@ -96,11 +96,11 @@
     assert origin.address == ('10.9.9.9', 80)
 
 
-def test_no_target_before_the_named_versions_are_read():
-    """All instances restart after a power loss; a new version is named.
+def test_no_target_before_the_announced_versions_are_read():
+    """All instances restart after a power loss; a new version is announced.
 
     Engines are still listed with the previous version. A sidecar that used
-    the list before it has read the named versions would fetch the previous
+    the list before it has read the announced versions would fetch the previous
     version first and delay the new one.
     """
 
@@ -109,9 +109,9 @@
         store.put('servers/i-1', documents.UPSTREAM)
         view = make_view(store)
         early = await view.target_version(report())
-        name(store, 3)
+        announce(store, 3)
         task = asyncio.ensure_future(view.run())
-        await fakes.wait_until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.announced_models())
         task.cancel()
         return early, await view.target_version(report())
 
@@ -166,10 +166,10 @@
     assert run(main).address == ('10.9.9.9', 80)
 
 
-def test_version_named_at_run_time_gets_the_full_time():
+def test_version_announced_at_run_time_gets_the_full_time():
     async def main(view, store):
-        name(store, 2)
-        await fakes.wait_until(lambda: view.catalog.named_models())
+        announce(store, 2)
+        await fakes.wait_until(lambda: view.catalog.announced_models())
         since = view.superseded_at('drafts', 1) - view.now()
         return since
 
@@ -179,22 +179,22 @@
 def test_version_expires_before_a_newer_one_is_due():
     async def main(view, store):
         before = view.expires_at('drafts', 1)
-        name(store, 2)
-        await fakes.wait_until(lambda: view.catalog.named_models())
-        named_at = view.now()
-        name(store, 3)
+        announce(store, 2)
+        await fakes.wait_until(lambda: view.catalog.announced_models())
+        announced_at = view.now()
+        announce(store, 3)
         await fakes.wait_until(
             lambda: view.catalog.newest_version('drafts').version == 3
         )
-        return before, named_at, view.expires_at('drafts', 1)
+        return before, announced_at, view.expires_at('drafts', 1)
 
-    before, named_at, expires_at = run(main)
+    before, announced_at, expires_at = run(main)
     assert before == float('inf')
-    assert expires_at <= named_at + DUE_S - _store_view.EXPIRY_MARGIN_S
+    assert expires_at <= announced_at + DUE_S - _store_view.EXPIRY_MARGIN_S
 
 
 def test_version_found_at_start_expires_nothing():
-    """A sidecar restarts just after a version was named.
+    """A sidecar restarts just after a version was announced.
 
     It cannot determine when that was. If it took the old version as expired,
     its engine would get no requests eight seconds too early.
@@ -202,10 +202,10 @@
 
     async def main():
         store = fakes.FakeStore()
-        name(store, 2)
+        announce(store, 2)
         view = make_view(store)
         task = asyncio.ensure_future(view.run())
-        await fakes.wait_until(lambda: view.catalog.named_models())
+        await fakes.wait_until(lambda: view.catalog.announced_models())
         task.cancel()
         return view.expires_at('drafts', 1)
 
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -296,7 +296,7 @@
 
 
 def test_relayed_version_keeps_the_age_at_the_watcher(monkeypatch):
-    """A follower receives a named version later than the watcher.
+    """A follower receives an announced version later than the watcher.
 
     If the time of receipt counted, it would serve the older version for too
     long.
