--- a/catkinshunt/configuration/_announcing.py
+++ b/catkinshunt/configuration/_announcing.py
@@ -27,7 +27,7 @@
 
     Args:
         configuration: `Configuration` just accepted.
-        peering: a `dissemination.BasePeerTransport`.
+        transport: a `dissemination.BasePeerTransport`.
         members: instances with a control address.
         random_state: seed or `random.Random`.
         min_accepted: number of processes that should accept it.
--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -17,8 +17,8 @@
     """Encodes and decodes messages of the given classes.
 
     Args:
-        kinds: `attrs` classes with a class attribute ``kind``. Field types
-            are int, float, bool, str, and tuple for a tuple of str.
+        message_classes: `attrs` classes with a class attribute ``kind``. Field
+            types are int, float, bool, str, and tuple for a tuple of str.
         max_bytes: maximum size of a datagram that is decoded.
 
     Examples:
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -24,7 +24,7 @@
     Args:
         burst: retries of one service that all processes together may use at
             once.
-        fewest: least number of processes assumed.
+        min_processes: least number of processes assumed.
         hold_s: seconds for which a larger count is kept.
 
     Examples:
--- a/catkinshunt/watch_relay/_watchers.py
+++ b/catkinshunt/watch_relay/_watchers.py
@@ -113,7 +113,8 @@
         if self._is_paused(_REGIONS_KEY, now):
             return None
         regions = {
-            home.region for home in self.live_entries.locations().values()
+            location.region
+            for location in self.live_entries.locations().values()
         }
         first = rendezvous.rank(_REGIONS_KEY, regions | {self.region})[0]
         return (
