--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -145,8 +145,8 @@
     """Chooses the upstream of a service with the least cost for a request.
 
     Ties are broken by rendezvous hashing of the process name. With one order
-    for all processes, each of which sees few of the others' requests, all
-    would choose the same few upstreams while the rest are idle.
+    for all processes, each of which has counts of few of the others' requests,
+    all would choose the same few upstreams while the rest are idle.
 
     Args:
         data_centre: data centre of this process.
--- a/catkinshunt/dispatch/_correction.py
+++ b/catkinshunt/dispatch/_correction.py
@@ -7,8 +7,9 @@
 #: Weight of the newest delay in the running means, which cover about the last
 #: ten.
 NEWEST_WEIGHT = 0.1
-#: Bounds of the correction factor. Predictions see only part of the load of a
-#: shared engine, so they are too low under load and right without a queue.
+#: Bounds of the correction factor. Predictions include only part of the load
+#: of a shared engine, so they are too low under load and right without a
+#: queue.
 MIN_SCALE = 1.0
 MAX_SCALE = 4.0
 #: Half-life of the correction without observations, in seconds. An entry that
@@ -22,8 +23,8 @@
 class DelayCorrector(base.ParamsMixin):
     """Estimates by which factor delays exceed their predictions.
 
-    An entry sees its own requests and only occasional reports of the load by
-    others. In a burst past capacity it would rank too many requests as
+    An entry counts its own requests and gets only occasional reports of the
+    load by others. In a burst past capacity it would rank too many requests as
     `Rank.EARLY`, so that none of them is in time. With the correction fewer
     are ranked so, and those meet their goal.
 
--- a/catkinshunt/dispatch/tests/test_burst.py
+++ b/catkinshunt/dispatch/tests/test_burst.py
@@ -39,8 +39,9 @@
 def test_correction_keeps_requests_in_time_across_entries(entries, seed):
     """A burst past capacity arrives through several entries.
 
-    Each entry sees only part of an engine's queue. Without the correction all
-    rank their requests as early, and hardly any first token is in time.
+    Each entry counts only its part of an engine's queue. Without the
+    correction all rank their requests as early, and hardly any first token is
+    in time.
     """
     corrected, _ = multi_entry.simulate(90.0, entries, seed=seed)
     uncorrected, _ = multi_entry.simulate(
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -32,7 +32,7 @@
 #: become unresponsive.
 FAILOVER_RESERVE_SHARE = 0.5
 #: Seconds after the stop signal in which new requests are still accepted. The
-#: load balancer needs two health checks, a second apart, to notice.
+#: load balancer detects the stop after two health checks, a second apart.
 STOP_ACCEPT_S = 3.0
 #: Least time to the deadline for an attempt, in seconds.
 MIN_REMAINING_S = 0.02
@@ -169,7 +169,7 @@
 
         After a power failure all clients connect at once, to entries that
         load the configuration within a second. If rejected, a client would
-        retry at another entry without configuration until it gives up.
+        retry at another entry without configuration until it stops retrying.
         """
         catalog = self.context.catalog
         if catalog.is_loaded:
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -12,8 +12,8 @@
 from catkinshunt import errors
 from catkinshunt import permits
 
-#: Most sidecars that answer a permit request. Several are asked because an
-#: entry cannot see the load that other entries put on an engine. Only the
+#: Most sidecars that answer a permit request. There are several because an
+#: entry cannot measure the load of other entries on an engine. Only the
 #: first one may queue the request; the others grant or reject it at once. Each
 #: one costs a round trip.
 MAX_SIDECARS = 3
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -152,7 +152,7 @@
                 retry_after_s=BUSY_RETRY_S,
             )
         if head.status in (408, 429, 503):
-            # These statuses tell clients that the request was not run. The
+            # To clients these statuses mean that the request was not run. The
             # upstream did not state that, so they are not relayed.
             raise errors.OutcomeUnknownError(
                 f'upstream answered {head.status}',
--- a/catkinshunt/gateway/tests/test_exchange.py
+++ b/catkinshunt/gateway/tests/test_exchange.py
@@ -111,7 +111,7 @@
 
 
 def test_log_line_of_a_rejected_request_has_the_revision():
-    """It tells a 404 by an outdated configuration from a wrong path."""
+    """It shows whether a 404 is due to an outdated configuration."""
     records = []
     sink = loguru.logger.add(lambda line: records.append(line.record))
 
@@ -317,9 +317,9 @@
 def test_client_disconnect_resets_the_upstream_connection():
     """The client disconnects before the reply.
 
-    The upstream must not go on for it. The connection is reset at once, so
-    that a request still buffered for a suspended instance is dropped, and
-    not run when the instance resumes.
+    The upstream must not continue the request. The connection is reset at
+    once, so that a request still buffered for a suspended instance is
+    dropped, and not run when the instance resumes.
     """
 
     async def slow(head, writer, upstream):
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -194,7 +194,7 @@
 
 
 def test_free_engine_is_preferred_to_a_queued_permit():
-    """An entry does not see the load that other entries put on an engine.
+    """An entry cannot measure the load of other entries on an engine.
 
     The engine it prefers can be full while others are idle.
     """
--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -109,7 +109,7 @@
 
 
 def test_request_that_crashes_upstreams_is_quarantined():
-    """The request is retried at any entry, and each sees some crashes.
+    """The request is retried at any entry, and each detects some crashes.
 
     Without the quarantine all upstreams of a service would crash one after
     the other, together with the other requests that they run.
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -38,7 +38,7 @@
 
 
 def test_broken_stream_is_resumed_at_another_engine():
-    """An engine dies in the middle of an answer, within an event.
+    """An engine crashes in the middle of an answer, within an event.
 
     The client gets the events without gap or repetition, under the headers
     of the first engine. The second engine gets `Last-Event-Id`.
--- a/catkinshunt/permits/_allocator.py
+++ b/catkinshunt/permits/_allocator.py
@@ -56,7 +56,7 @@
 class PermitAllocator(base.ParamsMixin):
     """Grants the permits of one engine and tracks which are in use.
 
-    Each entry sees only part of the load of an engine. Without permits, in a
+    Each entry counts only part of the load of an engine. Without permits, in a
     burst past capacity requests wait for seconds in the engine's queue, are
     late when they start, and block others that could have been in time. With
     permits each request waits at its entry, and the newest goes first: those
@@ -178,7 +178,7 @@
     def reconcile(self, present, now):
         """Correct the permits in use by the engine's count; return replies.
 
-        An entry that dies releases no permits, one that cannot reach this
+        An entry that crashes releases no permits, one that cannot reach this
         process sends requests without permits, and datagrams are lost.
         As many permits as had no request at the engine in two consecutive
         calls are released, the oldest first; only the number matters.
--- a/catkinshunt/permits/tests/test_allocator.py
+++ b/catkinshunt/permits/tests/test_allocator.py
@@ -134,7 +134,7 @@
 
 
 def test_permits_of_a_dead_entry_are_released():
-    """A dead entry releases no permits, and the engine would stay idle.
+    """A crashed entry releases no permits, and the engine would stay idle.
 
     The engine drops requests whose connection closes, which shows in its
     count. A request may not have arrived at the first count, so permits are
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -65,7 +65,7 @@
     several can be causes. Crashes with a quarantined request are attributed
     to it and count for other suspects only towards `MAX_CRASHES`, at which a
     suspect is quarantined in any case. Suspects with the same crashes run one
-    at a time, so that the next crash or completion tells them apart.
+    at a time, so that the next crash or completion separates them.
 
     Requests and crashes are identified by strings that are equal in all
     processes. `now` is in seconds on one clock.
--- a/catkinshunt/quarantine/tests/test_gossip.py
+++ b/catkinshunt/quarantine/tests/test_gossip.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize('count', [2, 5, 36])
 def test_crashes_seen_by_different_entries_add_up(count):
-    """Each attempt reaches another entry, so each entry sees one crash."""
+    """Each attempt reaches another entry, so each entry detects one crash."""
 
     async def main(entries):
         began = asyncio.get_running_loop().time()
--- a/catkinshunt/retries/_budget.py
+++ b/catkinshunt/retries/_budget.py
@@ -16,7 +16,7 @@
     Args:
         ratio: tokens added by one request.
         burst: maximum number of tokens, so that a long time without retries
-            does not allow a flood of them.
+            does not allow a burst of unlimited size.
 
     Examples:
         >>> budget = Budget(ratio=0.5, burst=1)
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -58,7 +58,7 @@
 
         Args:
             exc: the `errors.RequestError` of the last attempt; its `ran`
-                tells whether the request ran.
+                says whether the request ran.
             idempotent: whether the request may safely run twice.
             tries: attempts so far.
             deadline: deadline of the request, in seconds on the monotonic
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -5,7 +5,7 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Least number of processes assumed. A process that has just started sees no
+#: Least number of processes assumed. A process that has just started lists no
 #: others yet and would take all of the allowed retries.
 MIN_PROCESSES = 4
 #: Seconds for which a larger count is kept. A process that lost its connection
--- a/catkinshunt/retries/tests/test_retries.py
+++ b/catkinshunt/retries/tests/test_retries.py
@@ -27,7 +27,7 @@
     ],
 )
 def test_only_safe_retries_are_allowed(exc, idempotent, expected):
-    """An upstream dies, and it is not known which requests ran.
+    """An upstream crashes, and it is unknown which requests ran.
 
     A retried booking that had run would be made twice.
     """
--- a/catkinshunt/retries/tests/test_shares.py
+++ b/catkinshunt/retries/tests/test_shares.py
@@ -14,7 +14,7 @@
 
 
 def test_started_process_does_not_take_all_retries():
-    """A process sees only itself until the others are listed.
+    """A process counts only itself until the others are listed.
 
     After a restart each process would take all of the allowed retries.
     """
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -128,7 +128,7 @@
     def on_chunk_request(self, model, version):
         """Record the version that a peer requested, and offer it if served.
 
-        A sidecar without access to the store learns of new versions this way.
+        A sidecar without access to the store receives new versions this way.
         """
         self.cluster_view.note_version(model, version)
         chunk_store = self.version_store.find(model, version)
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -176,8 +176,8 @@
 
         The number of failed attempts required grows with the number of usable
         members and is zero without one. If all members used the origin when
-        the owner of a chunk dies, its link would carry the chunk once for each
-        of them, and the entire transfer would be delayed.
+        the owner of a chunk fails, its link would carry the chunk once for
+        each of them, and the entire transfer would be delayed.
         """
         if index in self._in_wait_cycle:
             return True
--- a/catkinshunt/spread/base.py
+++ b/catkinshunt/spread/base.py
@@ -83,7 +83,7 @@
 
 
 class BaseClusterView(abc.ABC):
-    """Target versions and members as one sidecar sees them.
+    """Target versions and members as read by one sidecar.
 
     All times are on the clock of `now`.
 
@@ -131,7 +131,7 @@
     async def origin_connections(self):
         """Return the connection limit of the origin, None if unknown.
 
-        Members that see different limits choose different sources.
+        Members with different limits choose different sources.
         """
 
     @abc.abstractmethod
--- a/catkinshunt/spread/tests/test_agent.py
+++ b/catkinshunt/spread/tests/test_agent.py
@@ -70,7 +70,7 @@
 def test_expiry_follows_the_served_version():
     """A newer version is announced but unavailable until it is due.
 
-    Entries may learn of it late, and their requests would start on the older
+    Entries may receive it late, and their requests would start on the older
     version. The admission expires in time and reopens after the load.
     """
 
@@ -264,7 +264,7 @@
 
 
 def test_chunk_request_reveals_a_new_version():
-    """A sidecar without access to the store learns versions from peers."""
+    """A sidecar without access to the store gets versions from peers."""
 
     async def main(sidecar):
         sidecar.agent.on_chunk_request(fakes.MODEL, 7)
--- a/catkinshunt/spread/tests/test_plan.py
+++ b/catkinshunt/spread/tests/test_plan.py
@@ -81,7 +81,7 @@
 
 
 def test_one_failover_owner_replaces_an_unreachable_owner():
-    """The owner of a chunk dies.
+    """The owner of a chunk crashes.
 
     One failover owner fetches the chunk from the origin, and the others fetch
     it from there. If each used the origin, its link would carry the chunk
--- a/catkinshunt/spread/tests/test_sources.py
+++ b/catkinshunt/spread/tests/test_sources.py
@@ -194,7 +194,7 @@
 
 
 def test_source_without_the_version_is_dropped_at_once():
-    """A member does not fetch the version that others expect from it.
+    """A member does not fetch the version that others request from it.
 
     Retried like a member that is about to have it, it delays its queue by
     seconds.
--- a/catkinshunt/spread/tests/test_transfer.py
+++ b/catkinshunt/spread/tests/test_transfer.py
@@ -60,7 +60,7 @@
 
 
 def test_dead_member_is_replaced():
-    """A member dies while it is the source of chunks for others.
+    """A member crashes while it is the source of chunks for others.
 
     The transfer must fetch them elsewhere instead of waiting for it.
     """
--- a/catkinshunt/watch_relay/_regional.py
+++ b/catkinshunt/watch_relay/_regional.py
@@ -159,7 +159,7 @@
         )
 
     def _note_large_value(self, page):
-        """Record a large value; forget it after a period without another.
+        """Record a large value; clear it after a period without another.
 
         Further ones may accumulate while no answer arrives.
         """
