--- a/catkinshunt/gateway/tests/test_quarantine.py
+++ b/catkinshunt/gateway/tests/test_quarantine.py
@@ -109,7 +109,7 @@
 
 
 def test_request_that_crashes_upstreams_is_quarantined():
-    """The request is retried at any entry, and each sees some crashes.
+    """The request is retried at any entry, and each detects some crashes.
 
     Without the quarantine all upstreams of a service would crash one after
     the other, together with the other requests that they run.
@@ -164,9 +164,7 @@
 def test_other_requests_of_the_same_client_are_served():
     async def main(shared):
         await request_repeatedly(shared)
-        return await shared.request(0, body=b'harmless'), await shared.request(
-            0
-        )
+        return await shared.request(0, body=b'sound'), await shared.request(0)
 
     other, bad = run(main)
     assert other[0] == 200
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -38,7 +38,7 @@
 
 
 def test_broken_stream_is_resumed_at_another_engine():
-    """An engine dies in the middle of an answer, within an event.
+    """An engine crashes in the middle of an answer, within an event.
 
     The client gets the events without gap or repetition, under the headers
     of the first engine. The second engine gets `Last-Event-Id`.
@@ -245,11 +245,11 @@
         async with harness.running_gateway(old, new) as gateway:
             gateway.context.version_grace_s = 4.0
             now = gateway.context.boot_clock()
-            gateway.context.catalog.add_named_version(
+            gateway.context.catalog.add_announced_version(
                 harness.MODEL, 2, now - 5
             )
             first = await chat(gateway)
-            gateway.context.catalog.add_named_version(
+            gateway.context.catalog.add_announced_version(
                 harness.MODEL, 3, now - 4.5
             )
             second = await chat(gateway)
@@ -278,7 +278,7 @@
         async with harness.running_gateway(old, new) as gateway:
             context = gateway.context
             context.version_grace_s = 1.0
-            context.catalog.add_named_version(
+            context.catalog.add_announced_version(
                 harness.MODEL, 2, context.boot_clock() - 0.5
             )
             context.tracker.state(new.listed()).pause(context.clock(), 0.2)
@@ -333,21 +333,25 @@
 def test_request_after_the_stop_signal_is_still_served():
     """A process gets the stop signal while clients are connected.
 
-    Requests are still served for a while, since the load balancer has not
-    noticed yet; each connection is closed after its reply.
+    Requests are still served for a while, since the clients have not noticed
+    yet; each connection is closed after its reply.
     """
 
+    async def answer(head, writer, upstream):
+        await harness.streaming(2, breaks_after=9)(head, writer, upstream)
+
     async def main():
-        upstream = make_engine('u1', harness.streaming(2))
+        upstream = make_engine('u1', answer)
         async with harness.running_gateway(upstream) as gateway:
             stopping = asyncio.ensure_future(gateway.server.stop(5.0))
             await asyncio.sleep(0)
             ready = gateway.server.is_ready()
             found = await chat(gateway)
+            replied_at = gateway.context.clock()
             await stopping
-            return ready, found
+            return ready, found, gateway.context.clock() - replied_at
 
-    ready, (status, head, body) = run(main)
+    ready, (status, head, body), _ = run(main)
     assert not ready
     assert (status, body) == (200, events(2))
     assert harness.header(head, 'Connection') == 'close'
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -5,7 +5,7 @@
 from catkinshunt import base
 from catkinshunt import checks
 
-#: Least number of processes assumed. A process that has just started sees no
+#: Least number of processes assumed. A process that has just started lists no
 #: others yet and would take all of the allowed retries.
 MIN_PROCESSES = 4
 #: Seconds for which a larger count is kept. A process that lost its connection
@@ -24,7 +24,7 @@
     Args:
         burst: retries of one service that all processes together may use at
             once.
-        fewest: least number of processes assumed.
+        min_processes: least number of processes assumed.
         hold_s: seconds for which a larger count is kept.
 
     Examples:
