--- a/catkinshunt/watch_relay/__init__.py
+++ b/catkinshunt/watch_relay/__init__.py
@@ -1,7 +1,9 @@
 """Relayed watches on the key-value service.
 
 One process of a region watches the service and relays its changes to the
-others, so that a large value crosses each link only once.
+others, so that a large value crosses each link only once. In this package,
+"the service" is the key-value service, and the process through which another
+one watches is its watcher. Times of pages are seconds on the boot-time clock.
 """
 
 from catkinshunt.watch_relay._messages import load
--- a/catkinshunt/watch_relay/_messages.py
+++ b/catkinshunt/watch_relay/_messages.py
@@ -45,6 +45,7 @@
 def dump(relayed):
     """Return the JSON bytes of a `RelayedPage`."""
     page = relayed.page
+    # The names in the document are part of the protocol.
     document = {
         'revision': page.revision,
         'proved_ago_s': relayed.confirmed_ago_s,
--- a/catkinshunt/watch_relay/_peer.py
+++ b/catkinshunt/watch_relay/_peer.py
@@ -21,7 +21,10 @@
 
 
 class NotCurrentError(errors.StoreUnavailableError):
-    """The process answered, but its state may be out of date."""
+    """The process answered with neither a page nor `_server.STATUS_GONE`.
+
+    With `_server.STATUS_NOT_CURRENT`, its state may be out of date.
+    """
 
 
 class PeerWatchSource(base.BaseWatchSource):
@@ -31,7 +34,7 @@
         host: address of the process.
         port: port of its `WatchRelayServer`.
         clock: function that returns seconds on the monotonic clock.
-        wall: function that returns seconds on the clock of `Page` times.
+        wall: function that returns seconds on the boot-time clock.
         must_be_direct: whether the process must watch the service directly.
     """
 
@@ -51,6 +54,7 @@
         return await self._fetch(_server.WATCH_PATH, query, wait_s)
 
     async def _fetch(self, path, query, wait_s):
+        # reads=1: answer only if the process watches the service directly.
         query['reads'] = int(self.must_be_direct)
         target = f'{path}?{urllib.parse.urlencode(query)}'
         requested_at = self.wall()
@@ -64,7 +68,10 @@
                 exc.message, step='ask-peer', peer=self._pool.peer
             ) from exc
         if head.status == _server.STATUS_GONE:
-            raise HistoryGoneError('history is compacted', step='ask-peer')
+            raise HistoryGoneError(
+                'changes after the requested revision are no longer available',
+                step='ask-peer',
+            )
         if head.status != 200:
             raise NotCurrentError(
                 f'answered with status {head.status}',
--- a/catkinshunt/watch_relay/_regional.py
+++ b/catkinshunt/watch_relay/_regional.py
@@ -1,4 +1,4 @@
-"""Watches the service through another process where one is available."""
+"""Watches the key-value service, through another process if possible."""
 
 import asyncio
 import math
@@ -21,8 +21,9 @@
 #: A value counts as large from this fraction of the size of all values; to
 #: read everything again then costs less than twice as much as the value.
 LARGE_VALUE_RATIO = 0.5
-#: Seconds after a large value during which further ones have probably been
-#: missed if the watcher is lost.
+#: Seconds after a large value for which it is remembered: further ones have
+#: probably been missed if the watcher is lost meanwhile, so the next watch at
+#: the service reads all items again.
 BUSY_S = 3.0
 #: Age in seconds of the latest confirmation from which a watcher counts as
 #: stale: it may be disconnected from the service, which is then used directly.
@@ -57,9 +58,9 @@
         region: region of this entry.
         make_peer: function of a host and of `must_be_direct` that returns the
             `PeerWatchSource` of the process there.
-        wall: function that returns seconds on the clock of `Page` times.
+        wall: function that returns seconds on the boot-time clock.
         prefixes: all watched prefixes. Keys under the last one list the live
-            entries, and are first read from the service itself.
+            entries; `read_prefix` always reads these from the service.
     """
 
     def __init__(
@@ -72,6 +73,8 @@
         self.wall = wall
         self.prefixes = prefixes
         self.cache = _watch_cache.WatchCache(prefixes)
+        # Time of the latest large value, or None. While it is set, a watch
+        # at the service is replaced by reading all items again.
         self._large_value_at = None
         self._source_response_at = -math.inf
         self._remote_response_at = -math.inf
@@ -93,6 +96,9 @@
         """
         if self.is_direct:
             return True
+        # A process of another region is used only if it watches the service
+        # directly, so its answers may be relayed without forming a cycle.
+        # Those of a process of the same region are not relayed further.
         return (
             not must_be_direct
             and self.wall() - self._remote_response_at < DIRECT_VALID_S
@@ -183,14 +189,16 @@
         requested_at = self.wall()
         page = await self.source.watch(prefix, after, wait_s)
         # If this process is suspended, it handles the answer long after its
-        # arrival, so the time of handling confirms nothing.
+        # arrival, so the time of handling confirms nothing. An empty page is
+        # sent only after `wait_s`: nothing had changed until then.
         confirmed_at = requested_at
         if not page.items:
             confirmed_at = min(requested_at + wait_s, self.wall())
         return attrs.evolve(page, confirmed_at=confirmed_at)
 
     def _note_source_failure(self):
-        # Processes that watch through this one switch at once.
+        # `is_direct` becomes false, so processes that require a direct watch
+        # are rejected and stop watching through this one at once.
         self._source_response_at = -math.inf
         self.watchers.note_source_failure(self.wall())
 
@@ -198,7 +206,11 @@
         self._source_response_at = self.wall()
 
     async def _read_from_peer(self, prefix):
-        """Return the page of the chosen watcher, or None."""
+        """Return the page of the chosen watcher, or None.
+
+        A failure is retried only shortly after the start, and otherwise ends
+        the search; after a stale page the next watcher is tried.
+        """
         while (watcher := self._choose_watcher()) is not None:
             try:
                 page = await self._peer_source(watcher).read_prefix(prefix)
@@ -244,7 +256,9 @@
         watcher = self.watchers.choose(self.wall())
         if watcher is not None and watcher != self._current_watcher:
             self._current_watcher = watcher
-            _log.info('Watches the service through {}.', watcher.name)
+            _log.info(
+                'Watches the key-value service through {}.', watcher.name
+            )
         return watcher
 
     def _peer_source(self, watcher):
@@ -259,7 +273,7 @@
         self.watchers.note_failure(watcher, self.wall(), responded)
         self._current_watcher = None
         _log.warning(
-            'Stopped watching the service through {}: {}.',
+            'Paused the use of {} as watcher of the key-value service: {}.',
             watcher.name,
             reason,
         )
--- a/catkinshunt/watch_relay/_server.py
+++ b/catkinshunt/watch_relay/_server.py
@@ -25,7 +25,7 @@
 
     Args:
         source: `RegionalWatchSource` of this process.
-        wall: function that returns seconds on the clock of `Page` times.
+        wall: function that returns seconds on the boot-time clock.
         clock: function that returns seconds on the monotonic clock.
     """
 
@@ -57,6 +57,8 @@
             prefix = query.get('prefix', '')
             wait_s = min(float(query.get('wait_s', 0)), MAX_WAIT_S)
             after = int(query.get('after', 0))
+            # reads=1: answer only if this process watches the service
+            # directly.
             must_be_direct = bool(int(query.get('reads', 0)))
         except ValueError:
             _log.warning('Rejected malformed request {}.', req.target[:100])
@@ -70,8 +72,9 @@
     async def _read(self, prefix, wait_s, must_be_direct):
         cache = self.source.cache
         started_at = self.wall()
-        # A complete cache reads no further prefixes: the process may watch
-        # through another one by now.
+        # Once all prefixes of the cache are read, the process may watch
+        # through another one. It then reads no further prefix from the
+        # service, so this does not wait for one.
         await self._wait(
             lambda: cache.has_read(prefix) or cache.is_complete, wait_s
         )
@@ -90,7 +93,8 @@
             return http1.Reply(STATUS_GONE)
         confirmed_at = cache.confirmed_at
         # A new confirmation is relayed at once. If it were sent only at the
-        # end of each wait, it would be stale after two relays.
+        # end of each wait, it would be stale (`_regional.STALE_S`) after two
+        # relays.
         await self._wait(
             lambda: (
                 cache.revision > after or cache.confirmed_at > confirmed_at
--- a/catkinshunt/watch_relay/_watch_cache.py
+++ b/catkinshunt/watch_relay/_watch_cache.py
@@ -1,11 +1,11 @@
-"""Cache of the service's items that answers reads and watches."""
+"""Cache of the key-value service's items that answers reads and watches."""
 
 import collections
 
 from catkinshunt import notifier
 from catkinshunt.watch_relay import base
 
-#: Maximum number of deletions kept; a client that missed an older one must
+#: Maximum number of deletions kept; a process that missed an older one must
 #: read everything again.
 MAX_TOMBSTONES = 2000
 
@@ -47,7 +47,10 @@
 
     @property
     def confirmed_at(self):
-        """Latest time at which all was up to date; None before any read."""
+        """Latest time at which all prefixes read so far were up to date.
+
+        None before any read.
+        """
         return min(self._confirmed_at.values(), default=None)
 
     @property
@@ -144,7 +147,10 @@
         )
 
     def has_history_since(self, after):
-        """Return whether all changes after a revision are available."""
+        """Return whether all changes after a revision are available.
+
+        Deletions up to `_compacted_revision` may be missing.
+        """
         return after >= self._compacted_revision
 
     def changes_after(self, prefix, after, now):
--- a/catkinshunt/watch_relay/_watchers.py
+++ b/catkinshunt/watch_relay/_watchers.py
@@ -9,16 +9,17 @@
 #: Initial and maximum pause in seconds after a process did not answer.
 INITIAL_PAUSE_S = 1.0
 MAX_PAUSE_S = 16.0
-#: Seconds for which a process uses other watchers of its region after the
-#: service did not answer it.
+#: Seconds after a failed call to the service for which a process watches
+#: through any other process of its region.
 SOURCE_FAILED_S = 2.0
-#: Rendezvous hashing key for the region that watches for all others.
+#: Rendezvous hashing key for the region that watches for all others; also the
+#: key of the pause of all other regions.
 _REGIONS_KEY = 'regions'
 
 
 @attrs.frozen
 class Watcher:
-    """A process that watches the service for others.
+    """The process through which this one watches the key-value service.
 
     Attributes:
         name: name of the process.
@@ -43,14 +44,18 @@
 class WatcherSelector:
     """Selects the process to watch through instead of the service.
 
-    Rendezvous hashing ranks the regions, and the processes of a region. The
-    first process of a region serves the others there. It watches through the
-    first process of the first region, which alone watches the service:
-    otherwise a large value would cross every link between two regions
-    uncompressed. Unresponsive processes are skipped. If the first region is
-    unreachable, the first process of a region watches the service directly.
-    If the service does not answer either, it uses another process of its
-    region, since the service may be unreachable for some processes only.
+    Rendezvous hashing ranks the regions, and the processes of a region.
+    Paused processes are skipped. `choose` returns the first that applies:
+
+    1. The first process of this region, which relays to the others there.
+    2. If this process is that one: the first process of the first region,
+       which alone watches the service. Otherwise a large value would cross
+       every link between two regions uncompressed. Does not apply in the first
+       region, nor while that region is paused as unreachable.
+    3. If a call to the service failed in the last `SOURCE_FAILED_S`: another
+       process of this region that watches the service directly, since the
+       service may be unreachable for some processes only.
+    4. The service itself.
 
     Args:
         live_entries: `catalog.LiveEntries`.
@@ -105,8 +110,8 @@
         self._pause(watcher.name, now)
         if watcher.is_remote and not responded:
             # If the other processes of an unreachable region were tried next,
-            # all that watch through this process would wait for one time-out
-            # after another.
+            # all processes that watch through this one would wait for one
+            # time-out after another. Hence all other regions are paused.
             self._pause(_REGIONS_KEY, now)
 
     def _remote_watcher(self, now):
--- a/catkinshunt/watch_relay/base.py
+++ b/catkinshunt/watch_relay/base.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Item:
-    """A key of the service with its value, or its deletion.
+    """A key of the key-value service with its value, or its deletion.
 
     Attributes:
         key: name of the key.
@@ -27,12 +27,14 @@
     Attributes:
         items: the `Item` objects.
         revision: revision of the service at which they were read.
-        has_more: whether further items follow on another page.
+        has_more: whether further items follow on another page; set only by
+            the client of the service, not on relayed pages.
         confirmed_at: latest time at which the page was known to be up to
-            date, in seconds on the clock of the caller; None if the source
-            does not determine it.
-        seen_ago_s: seconds since the first process on the way learned of the
-            oldest item.
+            date, in seconds on the boot-time clock of this process; None if
+            the source does not determine it.
+        seen_ago_s: seconds since the first process that relays the oldest
+            item received it. After all items are read again, an upper bound:
+            the seconds since the previous confirmation.
     """
 
     items: tuple
@@ -43,7 +45,7 @@
 
 
 class BaseWatchSource(abc.ABC):
-    """Source of the service's items and their changes.
+    """Source of the key-value service's items and their changes.
 
     Calls raise `errors.StoreError` if they fail, and `HistoryGoneError` if the
     requested changes are no longer available.
