--- a/catkinshunt/catalog/_catalog.py
+++ b/catkinshunt/catalog/_catalog.py
@@ -9,10 +9,10 @@
 from catkinshunt import logs
 from catkinshunt import notifier
 
-#: Seconds for which a vanished upstream may still be used if there is no
+#: Seconds for which a removed upstream may still be used if there is no
 #: other. After a store outage, expired entries of live upstreams reappear
 #: within 2 s; requests to an upstream must stop within 2 s of its removal.
-VANISHED_GRACE_S = 1.5
+REMOVED_GRACE_S = 1.5
 #: Newest versions of a model that are kept; each becomes due separately.
 MAX_VERSIONS = 8
 #: Maximum number of upstreams listed in one log line.
@@ -27,13 +27,14 @@
 
     Attributes:
         version: version number; a higher one is newer.
-        learned_at: time in seconds on the catalog's clock at which this
-            process learned of the version; minus infinity if it may have
-            been named long before.
-        is_pending: the version was named before this process started, and
-            the store marks it as not due yet.
+        learned_at: time in seconds on the catalog's clock from which the
+            grace period counts after which the version is due, see
+            `Catalog.due_version`; minus infinity if it is due at once.
+        is_pending: the version was announced before this process started,
+            but the store marks it as not due yet; `learned_at` is then the
+            time at which this process read the mark.
         found: the version was already in the store at the first read, so it
-            may have been named long before `learned_at`.
+            may have been announced long before `learned_at`.
     """
 
     version: int
@@ -69,7 +70,7 @@
         self._versions = {}
         self._confirmed_at = None
         self._upstreams = {}
-        self._vanished = {}
+        self._removed = {}
         self._notifier = notifier.Notifier()
 
     async def wait_for_change(self):
@@ -105,7 +106,7 @@
         return age_s is not None and age_s < self.key_trust_s
 
     def can_trust_absence(self, now):
-        """Return whether anything the declaration lacks can be denied."""
+        """Return whether requests for undeclared names may be rejected."""
         age_s = self.age_s(now)
         return age_s is not None and age_s < self.absence_trust_s
 
@@ -208,6 +209,11 @@
         A version is due `grace_s` seconds after it was named, even if a newer
         one was named meanwhile: from then on no request may start on an
         older version.
+
+        Args:
+            model: name of the model.
+            grace_s: grace period in seconds.
+            now: time in seconds on the catalog's clock.
         """
         due = [
             named.version
@@ -219,6 +225,7 @@
     def put_upstream(self, upstream):
         """Add or replace an upstream."""
         if self._set_upstream(upstream):
+            # "here": accepts new requests.
             _log.info(
                 'Upstream {} of {} is {}.',
                 upstream.id,
@@ -233,8 +240,8 @@
         known = self._upstreams.pop(upstream_id, None)
         if known is None:
             return
-        self._vanished[upstream_id] = (known, now)
-        _log.info('Upstream {} vanished.', upstream_id)
+        self._removed[upstream_id] = (known, now)
+        _log.info('Upstream {} is no longer listed.', upstream_id)
 
     def replace_upstreams(self, upstreams, now):
         """Replace all upstreams; drop those that are not in the list."""
@@ -253,14 +260,14 @@
     def upstreams(self, service, now):
         """Return the upstreams of `service` that accept new requests.
 
-        Recently vanished upstreams are returned only if there is no other.
+        Recently removed upstreams are returned only if there is no other.
         """
         found = [
             upstream
             for upstream in self._upstreams.values()
             if upstream.service == service and not upstream.leaving
         ]
-        return found or self._recently_vanished(service, now)
+        return found or self._recently_removed(service, now)
 
     def members(self, service):
         """Return all upstreams of `service`, including leaving ones."""
@@ -275,7 +282,10 @@
         return list(self._upstreams.values())
 
     def count_upstreams(self):
-        """Return the number of upstreams by (service, state)."""
+        """Return the number of upstreams by (service, state).
+
+        The state is 'leaving', or 'here' if new requests are accepted.
+        """
         return collections.Counter(
             (u.service, 'leaving' if u.leaving else 'here')
             for u in self._upstreams.values()
@@ -288,18 +298,18 @@
     def _set_upstream(self, upstream):
         """Add or replace `upstream`; return whether it changed."""
         known = self._upstreams.get(upstream.id)
-        self._vanished.pop(upstream.id, None)
+        self._removed.pop(upstream.id, None)
         self._upstreams[upstream.id] = upstream
         if known != upstream:
             self._notifier.notify_all()
         return known != upstream
 
-    def _recently_vanished(self, service, now):
-        for upstream_id, (_, since) in list(self._vanished.items()):
-            if now - since > VANISHED_GRACE_S:
-                del self._vanished[upstream_id]
+    def _recently_removed(self, service, now):
+        for upstream_id, (_, since) in list(self._removed.items()):
+            if now - since > REMOVED_GRACE_S:
+                del self._removed[upstream_id]
         return [
             upstream
-            for upstream, _ in self._vanished.values()
+            for upstream, _ in self._removed.values()
             if upstream.service == service and not upstream.leaving
         ]
--- a/catkinshunt/catalog/_model.py
+++ b/catkinshunt/catalog/_model.py
@@ -22,15 +22,16 @@
     Attributes:
         shares: services and their weights.
         timeout_s: maximum time in seconds that the caller waits.
-        goal_s: target in seconds for the time to the answer, or to the first
-            event of a stream.
-        max_tries: maximum number of upstreams that a request is sent to.
+        goal_s: latency target in seconds: the time to the answer, or to the
+            first event of a stream.
+        max_tries: maximum number of attempts, including the first one.
         priority: priority class; 0 is served first.
         idempotent: whether the request may safely run twice.
         streaming: whether the answer is a stream of events.
         resumable: whether another upstream can resume a broken stream.
         public: whether requests need no account key.
-        gap_target_s: target in seconds for the longest gap between events.
+        gap_target_s: target in seconds for the longest gap between two
+            events of a stream.
     """
 
     keyword = 'serve'
@@ -106,8 +107,8 @@
         address: pair of IP address and port.
         data_centre: name of its data centre.
         link_mbps: speed of its link in Mbit/s.
-        max_connections: connections that it accepts from all members
-            together.
+        max_connections: connections that it accepts from all members of a
+            transfer together.
     """
 
     address: tuple[str, int]
