--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -17,8 +17,9 @@
     """Encodes and decodes messages of the given classes.
 
     Args:
-        kinds: `attrs` classes with a class attribute ``kind``. Field types
-            are int, float, bool, str, and tuple for a tuple of str.
+        message_classes: `attrs` classes with a class attribute ``kind``.
+            Field types are int, float, bool, str, and tuple for a tuple of
+            str.
         max_bytes: maximum size of a datagram that is decoded.
 
     Examples:
@@ -50,15 +51,17 @@
             DecodeError: the datagram is not a valid message.
         """
         if len(data) > self.max_bytes:
-            raise DecodeError(f'{len(data)} bytes are too many')
+            raise DecodeError(f'{len(data)} bytes exceed the maximum size')
         try:
             kind, *values = json.loads(data)
             cls = self._by_kind[kind]
         except (ValueError, TypeError, KeyError, RecursionError) as exc:
-            raise DecodeError('not JSON, or unknown kind') from exc
+            raise DecodeError('not a JSON list of a known kind') from exc
         fields = attrs.fields(cls)
         if len(values) != len(fields):
-            raise DecodeError(f'{kind} with {len(values)} fields')
+            raise DecodeError(
+                f'{kind} has a wrong number of fields: {len(values)}'
+            )
         return cls(*map(_check_field, fields, values))
 
 
@@ -78,5 +81,5 @@
     else:
         is_valid = type(value) is field.type
     if not is_valid:
-        raise DecodeError(f'{field.name} is {value!r}'[:80])
+        raise DecodeError(f'invalid value of {field.name}: {value!r}'[:80])
     return value
--- a/catkinshunt/errors.py
+++ b/catkinshunt/errors.py
@@ -66,7 +66,10 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The key-value service is unavailable; the call had no effect."""
+    """The key-value service is unavailable; the call had no effect.
+
+    Also raised if a process that relays a watch gives no usable answer.
+    """
 
 
 class StoreUnknownError(StoreError):
@@ -102,7 +105,8 @@
     #: client that retries automatically could run a request without an
     #: idempotency key twice.
     default_retry_after_s = None
-    #: Whether the request ran: 'no', 'yes' or 'unknown'.
+    #: Whether the request ran, in this or an earlier attempt: 'no', 'yes' or
+    #: 'unknown'.
     ran = 'unknown'
     #: HTTP status code returned to the caller.
     status = 502
@@ -139,7 +143,7 @@
 
 
 class RecordUnavailableError(RefusedError):
-    """Not run now; the record of earlier attempts cannot be read.
+    """Attempt not run; the idempotency record of earlier ones is unreadable.
 
     An earlier attempt may have run, so the caller may retry with the same
     idempotency key but must not use another one.
