--- a/catkinshunt/catalog/tests/test_catalog.py
+++ b/catkinshunt/catalog/tests/test_catalog.py
@@ -34,7 +34,7 @@
     assert [u.id for u in catalog.upstreams('desk', 0.0)] == ['u2']
 
 
-def test_a_vanished_upstream_is_not_used_if_there_are_others():
+def test_a_removed_upstream_is_not_used_if_there_are_others():
     catalog = catalogs.Catalog()
     catalog.put_upstream(upstream('u1'))
     catalog.put_upstream(upstream('u2'))
@@ -42,7 +42,7 @@
     assert [u.id for u in catalog.upstreams('desk', 0.1)] == ['u2']
 
 
-def test_a_vanished_upstream_that_reappears_is_used():
+def test_a_removed_upstream_that_reappears_is_used():
     catalog = catalogs.Catalog()
     catalog.put_upstream(upstream('u1'))
     catalog.drop_upstream('u1', now=0.0)
