--- a/catkinshunt/watch_relay/_watchers.py
+++ b/catkinshunt/watch_relay/_watchers.py
@@ -128,7 +128,8 @@
     def _first_available(self, region, now):
         """Return the first process that is not paused.
 
-        Returns None if this process comes before it, or all are paused.
+        Returns None if this process comes before it in the ranking, or if all
+        are paused.
         """
         for name in rendezvous.rank(region, self._members(region)):
             if name == self.name:
--- a/catkinshunt/watch_relay/tests/test_watch_cache.py
+++ b/catkinshunt/watch_relay/tests/test_watch_cache.py
@@ -12,7 +12,7 @@
 
 
 def test_a_read_of_one_prefix_does_not_confirm_the_others():
-    """Clients would take an outdated configuration for the newest one."""
+    """Processes would take an outdated configuration for the newest one."""
     cache = make_cache(now=1.0)
     cache.apply_read('entries/', watch_relay.Page((), 9), now=5.0)
     assert cache.changes_after('', 7, now=5.0).confirmed_at == 1.0
@@ -33,7 +33,7 @@
 
 
 def test_items_missing_from_a_second_read_are_relayed_as_deleted():
-    """Clients would otherwise have to read all again from the store."""
+    """Processes would otherwise read all items from the service again."""
     cache = watch_relay.WatchCache(PREFIXES)
     kept = watch_relay.Item('entries/1', b'', 3)
     lost = watch_relay.Item('entries/2', b'', 4)
@@ -60,7 +60,7 @@
 
 
 def test_an_older_read_does_not_restore_deleted_items():
-    """Clients would go on sending requests to a removed upstream."""
+    """Processes would go on sending requests to a removed upstream."""
     gone = watch_relay.Item('entries/1', b'', 3)
     lost = watch_relay.Item('entries/1', None, 10)
     cache = watch_relay.WatchCache(PREFIXES)
