--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -193,17 +193,17 @@
         if page.items:
             await asyncio.sleep(BATCH_DELAY_S)
 
-    def _apply_item(self, item, now):
+    def _apply_item(self, item, changed_at):
         if item.key == _documents.CONFIGURATION_KEY:
             _apply.apply_configuration(item, self.catalog)
         elif item.key.startswith(_documents.VERSION_PREFIX):
-            _apply.apply_version(item, self.catalog, now)
+            _apply.apply_version(item, self.catalog, changed_at)
         elif item.key.startswith(_documents.UPSTREAM_PREFIX):
-            self._apply_upstream(item, now)
+            self._apply_upstream(item, changed_at)
         elif item.key.startswith(_documents.ENTRY_PREFIX):
             self._apply_entry(item)
         elif item.key.startswith(_documents.PENDING_PREFIX):
-            _apply.apply_pending(item, self.catalog, now)
+            _apply.apply_pending(item, self.catalog, changed_at)
         elif item.key.startswith(_documents.QUARANTINE_PREFIX):
             _apply.apply_quarantine(item, self.quarantined, self.boottime())
 
@@ -215,13 +215,13 @@
                 _entry_name(item), _apply.parse_location_or_none(item)
             )
 
-    def _apply_upstream(self, item, now):
+    def _apply_upstream(self, item, changed_at):
         if item.revision <= self._upstream_revisions.get(item.key, 0):
             return
         self._upstream_revisions[item.key] = item.revision
         upstream = _apply.parse_upstream_or_none(item)
         if upstream is None:
-            self.catalog.drop_upstream(_apply.upstream_id(item), now)
+            self.catalog.drop_upstream(_apply.upstream_id(item), changed_at)
         else:
             self.catalog.put_upstream(upstream)
 
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -33,16 +33,18 @@
         catalog: `catalog.Catalog` with the named versions.
         live_entries: `catalog.LiveEntries`.
         name: name of this entry.
-        grace_s: seconds after which a named version is due.
+        version_grace_s: seconds after which a named version is due.
         boottime: returns seconds on the clock of the catalog.
     """
 
-    def __init__(self, client, catalog, live_entries, name, grace_s, boottime):
+    def __init__(
+        self, client, catalog, live_entries, name, version_grace_s, boottime
+    ):
         self.client = client
         self.catalog = catalog
         self.live_entries = live_entries
         self.name = name
-        self.grace_s = grace_s
+        self.version_grace_s = version_grace_s
         self.boottime = boottime
         self._handled = set()
 
@@ -74,7 +76,7 @@
 
     async def _publish(self, model, named):
         """Write the key of one version unless it is due too soon."""
-        due_at = named.learned_at + self.grace_s
+        due_at = named.learned_at + self.version_grace_s
         lease_s = due_at - self.boottime() - LEASE_MARGIN_S
         if not math.isfinite(lease_s) or lease_s < MIN_LEASE_S:
             return
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -36,15 +36,15 @@
         client: `StoreClient`.
         catalog: `catalog.Catalog` to update.
         boottime: returns seconds on a clock that includes suspends.
-        due_s: seconds after which a named version is due.
+        version_grace_s: seconds after which a named version is due.
     """
 
-    def __init__(self, cfg, client, catalog, boottime, due_s):
+    def __init__(self, cfg, client, catalog, boottime, version_grace_s):
         self.cfg = cfg
         self.client = client
         self.catalog = catalog
         self.boottime = boottime
-        self.due_s = due_s
+        self.version_grace_s = version_grace_s
         self.regions = cfg.regions
         self._revision = None
         self._origin = None
@@ -87,7 +87,7 @@
                 _documents.VERSION_PREFIX, self._revision, WATCH_TIMEOUT_S
             )
         for item in page.items:
-            named_at = self.boottime() - (self.due_s if first else 0)
+            named_at = self.boottime() - (self.version_grace_s if first else 0)
             _apply.apply_version(item, self.catalog, named_at, found=first)
         self._revision = page.revision
 
@@ -178,7 +178,7 @@
         """See `spread.BaseClusterView.target_version`."""
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
-            due_at = named.learned_at + self.due_s
+            due_at = named.learned_at + self.version_grace_s
             return spread.TargetVersion(model, named.version, due_at)
         # Until the named versions are read, the version of other members may
         # be outdated. After a power loss all members fetched that one first,
@@ -211,7 +211,9 @@
         """See `spread.BaseClusterView.superseded_at`."""
         newer = self.catalog.next_version(model, version)
         return (
-            self.boottime() if newer is None else newer.learned_at + self.due_s
+            self.boottime()
+            if newer is None
+            else newer.learned_at + self.version_grace_s
         )
 
     def expires_at(self, model, version):
@@ -221,7 +223,7 @@
         # start; other sidecars may still use the previous one.
         if newer is None or newer.found:
             return math.inf
-        return newer.learned_at + self.due_s - EXPIRY_MARGIN_S
+        return newer.learned_at + self.version_grace_s - EXPIRY_MARGIN_S
 
     async def members(self):
         """See `spread.BaseClusterView.members`."""
