--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -18,14 +18,17 @@
 
 
 def apply_version(item, catalog, named_at, found=False):
-    """Add the version that the operator named to the catalog.
+    """Add the version that the operator announced to the catalog.
 
     Args:
-        item: `Item` that names it.
+        item: `Item` that announces it.
         catalog: `catalog.Catalog`.
-        named_at: seconds on the clock of the catalog when it was named.
-        found: the item existed when this process first read the store, so
-            the version may have been named long before `named_at`.
+        named_at: seconds on the clock of the catalog when it was
+            announced; minus infinity if that may be long ago, which makes
+            the version due.
+        found: the item was found by a read rather than by a watch, so the
+            version may have been announced long before `named_at`. Only
+            `StoreView.expires_at` uses it.
     """
     if item.value is None:
         return
@@ -40,6 +43,8 @@
 def apply_pending(item, catalog, now):
     """Mark a version as pending or, if its key was deleted, as due.
 
+    See `_documents.PENDING_PREFIX` for both terms.
+
     Args:
         item: `Item` of the key that marks the version as pending.
         catalog: `catalog.Catalog`.
--- a/catkinshunt/platform/_cache_updater.py
+++ b/catkinshunt/platform/_cache_updater.py
@@ -30,6 +30,9 @@
 class CacheUpdater:
     """Reads the store once, then watches it and applies the changes.
 
+    One entry of a region, the watcher, watches the store and relays the
+    changes to the others, its followers (see `watch_relay`).
+
     Args:
         source: `watch_relay.BaseWatchSource` of the store.
         catalog: `catalog.Catalog` to update.
@@ -95,9 +98,10 @@
                 _apply.apply_quarantine(
                     item, self.quarantined, self.boottime()
                 )
-        # The store does not record when a version was named. On the first read
-        # it may have been named long ago; later, not before the last time at
-        # which the cached state was current.
+        # The store does not record when a version was announced. On the first
+        # read that may be long ago, so the version counts as due at once;
+        # later, it is not before the last time at which the cached state was
+        # current.
         named_at = self.catalog.confirmed_at
         if first or named_at is None:
             named_at = -math.inf
@@ -121,7 +125,7 @@
 
         They are read concurrently. A slow store would take longer for three
         reads in sequence than a confirmation stays valid, and the entries
-        that follow this watcher would then call the store too.
+        that follow this one would then call the store too.
         """
         parts = (_documents.OPERATOR_PREFIX, _documents.UPSTREAM_PREFIX)
         if self.live_entries.names():
@@ -181,10 +185,14 @@
         page = await self.source.watch('', self._revision, wait_s)
         now = self.boottime()
         for item in page.items:
+            # The watcher that relays the page may have seen the changes
+            # earlier.
             self._apply_item(item, now - page.seen_ago_s)
         self._revision = max(self._revision, page.revision)
         # An answer can stay buffered while the process is suspended, so the
-        # time at which it is read confirms nothing.
+        # time at which it is read confirms nothing. One with changes may have
+        # been sent at any time since the request; an empty one is sent when
+        # the wait ends.
         confirmed_at = (
             requested_at if page.items else min(requested_at + wait_s, now)
         )
@@ -216,6 +224,8 @@
             )
 
     def _apply_upstream(self, item, changed_at):
+        # The upstreams may have been read at a later revision than that from
+        # which the watch starts.
         if item.revision <= self._upstream_revisions.get(item.key, 0):
             return
         self._upstream_revisions[item.key] = item.revision
--- a/catkinshunt/platform/_dialect.py
+++ b/catkinshunt/platform/_dialect.py
@@ -4,7 +4,8 @@
 from catkinshunt import errors
 from catkinshunt.gateway import base
 
-#: Id of one attempt of the caller.
+#: Id that the caller gives to one of its attempts. It is forwarded unchanged,
+#: also if the gateway sends the request to several upstreams.
 REQUEST_ID = 'Attempt-Id'
 DEADLINE = 'Deadline-Ms'
 #: API key of an account.
@@ -24,7 +25,8 @@
 NOT_EXECUTED = 'Not-Executed'
 #: Running requests, waiting requests and slots, separated by commas.
 LOAD = 'Instance-Load'
-#: Headers of a caller that are never forwarded; some are set again.
+#: Headers of a caller that are never forwarded; `upstream_headers`
+#: sets some of them.
 _REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -22,6 +22,8 @@
 #: Prefixes that an entry watches.
 WATCHED_PREFIXES = (OPERATOR_PREFIX, UPSTREAM_PREFIX, SYSTEM_PREFIX)
 ENTRY_PREFIX = SYSTEM_PREFIX + 'entries/'
+#: Versions that are pending: announced, but not due yet. Once a version is
+#: due, no request may begin on an older one.
 PENDING_PREFIX = SYSTEM_PREFIX + 'pending/'
 QUARANTINE_PREFIX = SYSTEM_PREFIX + 'quarantine/'
 ORIGIN_KEY = SYSTEM_PREFIX + 'origin'
@@ -237,7 +239,7 @@
 
 
 def parse_version(value):
-    """Return (model, version) that the operator named.
+    """Return (model, version) that the operator announced.
 
     Raises:
         InvalidDocumentError: `value` has no model or no version.
@@ -311,6 +313,7 @@
         streaming=kind == 'streaming',
         resumable=bool(item.get('resumable')),
         public=bool(item.get('public')),
+        # The longest gap between events defaults to 1 s.
         gap_target_s=item.get('gap_target_ms', _MS) / _MS,
     )
 
--- a/catkinshunt/platform/_engine.py
+++ b/catkinshunt/platform/_engine.py
@@ -12,8 +12,8 @@
 
 #: Time-out of a call to the engine.
 ENGINE_TIMEOUT_S = 1.5
-#: Time-out of a call to the origin. Up to ten members share its link at the
-#: start of a transfer.
+#: Time-out of a call to the origin. Up to ten members of a transfer share
+#: its link at the start.
 ORIGIN_TIMEOUT_S = 4.0
 #: Time-out of connecting to the origin. The reply to the first packet is
 #: queued behind chunks on the origin's link.
--- a/catkinshunt/platform/_entry.py
+++ b/catkinshunt/platform/_entry.py
@@ -29,22 +29,24 @@
 #: state was last confirmed. The rest covers the transit of a request and the
 #: time between two watches.
 KEY_TRUST_SHARE = 0.7
-#: Share of `Bounds.retry_ratio` that entries use. The rest covers windows of
-#: measurement that fall between two bursts.
+#: Share of `Bounds.retry_ratio` that entries use. The ratio is measured over
+#: windows of time; the rest covers windows that fall between two bursts.
 RETRY_RATIO_SHARE = 0.7
 #: Share of `Bounds.retry_slack` that entries use. The rest covers an entry
-#: that restarts with a full budget.
+#: that restarts, since its retry budget is full again.
 RETRY_SLACK_SHARE = 0.8
-#: Longest time between two updates of the retry burst, which grows some time
-#: after the number of entries has fallen.
+#: Longest time between two updates of the retry burst, the largest number of
+#: retries that this entry may send at once. `retries.RetryBurstShare` keeps a
+#: larger count of entries for some time, so the burst grows some time after
+#: the number of entries has fallen, without a change of the live entries.
 RETRY_BURST_PERIOD_S = 10.0
 #: Part of the time between SIGTERM and SIGKILL that is kept for cancelling the
 #: remaining requests and writing the last log lines.
 STOP_MARGIN_S = 1.0
-#: Entries treat a version as due this long before the bound. The margin
-#: covers the delay until its name is known, the transit of a request over a
-#: busy link and its time in a queue. A request that has not begun by then is
-#: cancelled, but the cancellation needs time in transit too.
+#: Entries treat a version as due this long before `Bounds.version_s` is over.
+#: The margin covers the delay until its announcement is known, the transit of
+#: a request over a busy link and its time in a queue. A request that has not
+#: begun by then is cancelled, but the cancellation needs time in transit too.
 VERSION_MARGIN_S = 0.75
 #: Seconds between two evictions of the state of upstreams that are gone.
 EVICTION_PERIOD_S = 10.0
@@ -141,6 +143,7 @@
     return gateway.Context(
         catalog=catalogs.Catalog(
             key_trust_s=bounds.revoke_s * KEY_TRUST_SHARE,
+            # A cached configuration older than this may lack a rule in force.
             absence_trust_s=bounds.config_s,
         ),
         dialect=_dialect.PlatformDialect(),
@@ -148,6 +151,7 @@
         clock=_clocks.monotonic,
         boot_clock=_clocks.boottime,
         retry_ratio=bounds.retry_ratio * RETRY_RATIO_SHARE,
+        # The initial value; `_update_retry_burst` adjusts it.
         retry_burst=make_burst_share(cfg).burst_at(_clocks.monotonic()),
         random=rng,
         metrics=gateway.GatewayMetrics(registry),
@@ -194,6 +198,7 @@
         'Requests that are being answered.',
         lambda: server.in_progress,
     )
+    # 1 if the readiness check answers 200.
     registry.gauge(
         'ready', 'Whether the balancer is told so.', server.is_ready
     )
--- a/catkinshunt/platform/_origin_publisher.py
+++ b/catkinshunt/platform/_origin_publisher.py
@@ -18,10 +18,10 @@
 class OriginPublisher:
     """Keeps the origin's key equal to the origin in the configuration.
 
-    Sidecars need only this part of the configuration. When all of them read a
-    large one (1,700 rules) after a power loss, the links between regions were
-    saturated for nine seconds. Entries got no configuration meanwhile and
-    rejected all requests.
+    Sidecars need only this part of the configuration. If all of them read a
+    large one (1,700 rules) after a power loss, the links between regions are
+    saturated for nine seconds. Entries get no configuration meanwhile and
+    reject all requests.
 
     Args:
         client: `StoreClient`.
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -20,20 +20,21 @@
 
 
 class PendingPublisher:
-    """Writes a key for each version that was named and is not due yet.
+    """Writes a key for each announced version that is not due yet.
 
-    An entry that starts reads the named versions from the store without the
-    time at which they were named. When such entries took a version as due
-    that was not, they rejected all requests for up to eight seconds while
-    engines were still loading. The key is bound to a lease that ends no later
+    An entry that starts reads the announced versions from the store without
+    the time of their announcement. If such entries treat a version as due
+    too early, they reject all requests for up to eight seconds while engines
+    are still loading. The key is bound to a lease that ends no later
     than the version is due, so the version is pending while the key exists.
 
     Args:
         client: `StoreClient`.
-        catalog: `catalog.Catalog` with the named versions.
+        catalog: `catalog.Catalog` with the announced versions.
         live_entries: `catalog.LiveEntries`.
         name: name of this entry.
-        version_grace_s: seconds after which a named version is due.
+        version_grace_s: seconds from the announcement of a version until it
+            is due.
         boottime: returns seconds on the clock of the catalog.
     """
 
@@ -65,6 +66,7 @@
             if key in self._handled:
                 continue
             self._handled.add(key)
+            # If it is pending, its key was found in the store.
             if not named.is_pending and self._is_writer(*key):
                 found.append((model, named))
         return found
--- a/catkinshunt/platform/_process.py
+++ b/catkinshunt/platform/_process.py
@@ -50,6 +50,7 @@
 
 def make_store_client(cfg, registry):
     """Return a `StoreClient` whose calls are counted in `registry`."""
+    # The result is the HTTP status, or 'lost' if no answer arrived.
     calls = registry.counter(
         'store_calls_total', 'Calls to the store.', ('kind', 'result')
     )
--- a/catkinshunt/platform/_quarantine_publisher.py
+++ b/catkinshunt/platform/_quarantine_publisher.py
@@ -71,7 +71,10 @@
         self._evict_expired(now)
 
     def _is_published(self, fingerprint, until, now):
-        """Return whether its key lasts nearly as long as its quarantine."""
+        """Return whether its key lasts nearly as long as its quarantine.
+
+        It may end earlier by less than `RENEW_SHARE` of the full quarantine.
+        """
         max_gap_s = quarantine.QUARANTINE_S * quarantine.RENEW_SHARE
         return until - self._published_until.get(fingerprint, now) < max_gap_s
 
--- a/catkinshunt/platform/_settings.py
+++ b/catkinshunt/platform/_settings.py
@@ -18,14 +18,18 @@
     """Limits that the system must keep.
 
     Attributes:
-        drain_s: seconds after which a draining upstream gets no new work.
+        drain_s: longest time in seconds after an upstream starts to drain at
+            which it gets new work.
         grace_s: seconds between SIGTERM and SIGKILL.
-        config_s: seconds after which an accepted configuration is in force.
-        revoke_s: seconds after which a revoked API key is not served.
-        version_s: seconds after which no request begins on an older version.
+        config_s: longest time in seconds until an accepted configuration is
+            in force.
+        revoke_s: longest time in seconds for which a revoked API key is
+            still served.
+        version_s: longest time in seconds after a version is announced at
+            which a request begins on an older one.
         retry_ratio: share of the requests that may be retried.
-        retry_slack: retries beyond that share, of all processes together in
-            a window.
+        retry_slack: retries allowed beyond that share in one measurement
+            window, for all processes together.
     """
 
     drain_s: float = 2.0
--- a/catkinshunt/platform/_sidecar.py
+++ b/catkinshunt/platform/_sidecar.py
@@ -91,6 +91,8 @@
         version_store.missing_counts,
         ('model', 'version'),
     )
+    # The ways are 'given' (sent to a member), 'peer' (received from a member)
+    # and 'origin' (received from the origin).
     return registry.counter(
         'chunk_bytes_total', 'Bytes of chunks by way.', ('way',)
     )
--- a/catkinshunt/platform/_store.py
+++ b/catkinshunt/platform/_store.py
@@ -152,6 +152,7 @@
             result = str(head.status)
         except errors.RequestError as exc:
             self._pool.close_idle()
+            # A refused call had no effect; otherwise that is unknown.
             refused = isinstance(exc, errors.RefusedError)
             error = (
                 errors.StoreUnavailableError
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -21,22 +21,26 @@
 #: Time for which the origin is cached.
 ORIGIN_MAX_AGE_S = 10.0
 #: No request begins on the previous version this long before a version is due.
-#: The margin covers the time from the permit to the first token, behind other
-#: requests.
+#: The margin covers the time from the grant of a permit (see `permits`) to the
+#: first token, behind other requests.
 EXPIRY_MARGIN_S = 0.6
 
 _log = logs.get_logger('store')
 
 
 class StoreView(spread.BaseClusterView):
-    """Watches the named versions; reads members and the origin on demand.
+    """Watches announced versions; reads members and the origin on demand.
+
+    The members are the upstreams of the sidecar's own service that are not
+    leaving; they transfer chunks to each other.
 
     Args:
         cfg: `InstanceSettings` of the sidecar.
         client: `StoreClient`.
         catalog: `catalog.Catalog` to update.
         boottime: returns seconds on a clock that includes suspends.
-        version_grace_s: seconds after which a named version is due.
+        version_grace_s: seconds from the announcement of a version until it
+            is due.
     """
 
     def __init__(self, cfg, client, catalog, boottime, version_grace_s):
@@ -62,7 +66,7 @@
         )
 
     async def run(self):
-        """Watch the named versions until cancelled."""
+        """Watch the announced versions until cancelled."""
         outage = logs.OutageLogger(
             _log,
             'The store is unreachable: {}.',
@@ -87,6 +91,7 @@
                 _documents.VERSION_PREFIX, self._revision, WATCH_TIMEOUT_S
             )
         for item in page.items:
+            # A version that is found by a read counts as due at once.
             named_at = self.boottime() - (self.version_grace_s if first else 0)
             _apply.apply_version(item, self.catalog, named_at, found=first)
         self._revision = page.revision
@@ -176,13 +181,14 @@
 
     async def target_version(self, report):
         """See `spread.BaseClusterView.target_version`."""
+        # Only the first model with an announced version is used.
         for model in self.catalog.named_models():
             named = self.catalog.newest_version(model)
             due_at = named.learned_at + self.version_grace_s
             return spread.TargetVersion(model, named.version, due_at)
-        # Until the named versions are read, the version of other members may
-        # be outdated. After a power loss all members fetched that one first,
-        # and the named one two seconds later.
+        # Until the announced versions are read, the version of other members
+        # may be outdated. After a power loss all members would fetch that one
+        # first, and the announced one two seconds later.
         if report.versions or self._revision is None:
             return None
         return await self._newest_served_version()
@@ -190,7 +196,7 @@
     async def _newest_served_version(self):
         """Return the newest version that other members serve, or None.
 
-        If the operator has named no version, an added engine loads the one
+        If the operator has announced no version, an added engine loads the one
         that the existing engines serve.
         """
         served = [
@@ -200,6 +206,7 @@
         ]
         if not served:
             return None
+        # The highest version number, whichever the model.
         version, model = max(served)
         return spread.TargetVersion(model, version, self.boottime())
 
@@ -208,7 +215,10 @@
         await self.catalog.wait_for_change()
 
     def superseded_at(self, model, version):
-        """See `spread.BaseClusterView.superseded_at`."""
+        """See `spread.BaseClusterView.superseded_at`.
+
+        Returns the current time if no newer version is announced.
+        """
         newer = self.catalog.next_version(model, version)
         return (
             self.boottime()
@@ -219,8 +229,8 @@
     def expires_at(self, model, version):
         """See `spread.BaseClusterView.expires_at`."""
         newer = self.catalog.next_version(model, version)
-        # It is unknown when a version was named that was in the store at the
-        # start; other sidecars may still use the previous one.
+        # The announcement time of a version that was in the store at the start
+        # is unknown; other sidecars may still use the previous one.
         if newer is None or newer.found:
             return math.inf
         return newer.learned_at + self.version_grace_s - EXPIRY_MARGIN_S
@@ -247,7 +257,7 @@
     async def _refresh_members(self, now):
         """Read the members; keep the cached ones if the store is unreachable.
 
-        Otherwise a version that is named shortly before an outage of the
+        Otherwise a version that is announced shortly before an outage of the
         store could not be fetched until the outage ends, although all members
         that have it are alive.
         """
--- a/catkinshunt/platform/tests/test_cache_updater.py
+++ b/catkinshunt/platform/tests/test_cache_updater.py
@@ -167,7 +167,7 @@
 
 
 def test_versions_named_before_the_start_are_due_at_once():
-    """A process starts some unknown time after a version was named.
+    """A process starts some unknown time after a version was announced.
 
     If it allowed the older version for the full time again, each restart
     would extend the bound.
--- a/catkinshunt/platform/tests/test_store_view.py
+++ b/catkinshunt/platform/tests/test_store_view.py
@@ -61,7 +61,7 @@
 
 
 def test_added_engine_gets_the_version_that_others_serve():
-    """An engine is added while no version is named in the store.
+    """An engine is added while no version is announced in the store.
 
     It loads the version that the other engines of the service list.
     """
@@ -97,10 +97,10 @@
 
 
 def test_no_target_before_the_named_versions_are_read():
-    """All instances restart after a power loss; a new version is named.
+    """All instances restart after a power loss; a new version is announced.
 
     Engines are still listed with the previous version. A sidecar that used
-    the list before it has read the named versions would fetch the previous
+    the list before it has read the announced versions would fetch the previous
     version first and delay the new one.
     """
 
@@ -194,7 +194,7 @@
 
 
 def test_version_found_at_start_expires_nothing():
-    """A sidecar restarts just after a version was named.
+    """A sidecar restarts just after a version was announced.
 
     It cannot determine when that was. If it took the old version as expired,
     its engine would get no requests eight seconds too early.
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -34,8 +34,8 @@
 def test_entries_that_start_together_read_a_configuration_once():
     """All entries start at the same time after a power loss.
 
-    When five entries of a region each read 1,700 rules over one link, it took
-    nine seconds, and they rejected all requests until then. The watcher may
+    If five entries of a region each read 1,700 rules over one link, it takes
+    nine seconds, and they reject all requests until then. The watcher may
     be the last one to start.
     """
 
@@ -296,7 +296,7 @@
 
 
 def test_relayed_version_keeps_the_age_at_the_watcher(monkeypatch):
-    """A follower receives a named version later than the watcher.
+    """A follower receives an announced version later than the watcher.
 
     If the time of receipt counted, it would serve the older version for too
     long.
