--- a/catkinshunt/platform/_apply.py
+++ b/catkinshunt/platform/_apply.py
@@ -23,10 +23,12 @@
     Args:
         item: `Item` that announces it.
         catalog: `catalog.Catalog`.
-        announced_at: time of the announcement in seconds on the clock of the
-            catalog.
-        found: the item existed when this process first read the store, so
-            the version may have been announced long before `announced_at`.
+        announced_at: seconds on the clock of the catalog when it was
+            announced; minus infinity if that may be long ago, which makes
+            the version due.
+        found: the item was found by a read rather than by a watch, so the
+            version may have been announced long before `announced_at`. Only
+            `StoreView.expires_at` uses it.
     """
     if item.value is None:
         return
@@ -41,6 +43,8 @@
 def apply_pending(item, catalog, now):
     """Mark a version as pending or, if its key was deleted, as due.
 
+    See `_documents.PENDING_PREFIX` for both terms.
+
     Args:
         item: `Item` of the key that marks the version as pending.
         catalog: `catalog.Catalog`.
--- a/catkinshunt/platform/_documents.py
+++ b/catkinshunt/platform/_documents.py
@@ -22,6 +22,8 @@
 #: Prefixes that an entry watches.
 WATCHED_PREFIXES = (OPERATOR_PREFIX, UPSTREAM_PREFIX, SYSTEM_PREFIX)
 ENTRY_PREFIX = SYSTEM_PREFIX + 'entries/'
+#: Versions that are pending: announced, but not due yet. Once a version is
+#: due, no request may begin on an older one.
 PENDING_PREFIX = SYSTEM_PREFIX + 'pending/'
 QUARANTINE_PREFIX = SYSTEM_PREFIX + 'quarantine/'
 ORIGIN_KEY = SYSTEM_PREFIX + 'origin'
@@ -311,6 +313,7 @@
         streaming=kind == 'streaming',
         resumable=bool(item.get('resumable')),
         public=bool(item.get('public')),
+        # The longest gap between events defaults to 1 s.
         gap_target_s=item.get('gap_target_ms', _MS) / _MS,
     )
 
--- a/catkinshunt/platform/_pending_publisher.py
+++ b/catkinshunt/platform/_pending_publisher.py
@@ -20,12 +20,12 @@
 
 
 class PendingPublisher:
-    """Writes a key for each version that was announced and is not due yet.
+    """Writes a key for each announced version that is not due yet.
 
     An entry that starts reads the announced versions from the store without
-    the time at which they were announced. When such entries took a version as
-    due that was not, they rejected all requests for up to eight seconds while
-    engines were still loading. The key is bound to a lease that ends no later
+    the time of their announcement. If such entries treat a version as due
+    too early, they reject all requests for up to eight seconds while engines
+    are still loading. The key is bound to a lease that ends no later
     than the version is due, so the version is pending while the key exists.
 
     Args:
@@ -33,16 +33,19 @@
         catalog: `catalog.Catalog` with the announced versions.
         live_entries: `catalog.LiveEntries`.
         name: name of this entry.
-        grace_s: seconds after which an announced version is due.
+        version_grace_s: seconds from the announcement of a version until it
+            is due.
         boottime: returns seconds on the clock of the catalog.
     """
 
-    def __init__(self, client, catalog, live_entries, name, grace_s, boottime):
+    def __init__(
+        self, client, catalog, live_entries, name, version_grace_s, boottime
+    ):
         self.client = client
         self.catalog = catalog
         self.live_entries = live_entries
         self.name = name
-        self.grace_s = grace_s
+        self.version_grace_s = version_grace_s
         self.boottime = boottime
         self._handled = set()
 
@@ -63,6 +66,7 @@
             if key in self._handled:
                 continue
             self._handled.add(key)
+            # If it is pending, its key was found in the store.
             if not announced.is_pending and self._is_writer(*key):
                 found.append((model, announced))
         return found
@@ -74,7 +78,7 @@
 
     async def _publish(self, model, announced):
         """Write the key of one version unless it is due too soon."""
-        due_at = announced.learned_at + self.grace_s
+        due_at = announced.learned_at + self.version_grace_s
         lease_s = due_at - self.boottime() - LEASE_MARGIN_S
         if not math.isfinite(lease_s) or lease_s < MIN_LEASE_S:
             return
--- a/catkinshunt/platform/_store_view.py
+++ b/catkinshunt/platform/_store_view.py
@@ -21,30 +21,34 @@
 #: Time for which the origin is cached.
 ORIGIN_MAX_AGE_S = 10.0
 #: No request begins on the previous version this long before a version is due.
-#: The margin covers the time from the permit to the first token, behind other
-#: requests.
+#: The margin covers the time from the grant of a permit (see `permits`) to the
+#: first token, behind other requests.
 EXPIRY_MARGIN_S = 0.6
 
 _log = logs.get_logger('store')
 
 
 class StoreView(spread.BaseClusterView):
-    """Watches the announced versions; reads members and the origin on demand.
+    """Watches announced versions; reads members and the origin on demand.
+
+    The members are the upstreams of the sidecar's own service that are not
+    leaving; they transfer chunks to each other.
 
     Args:
         cfg: `InstanceSettings` of the sidecar.
         client: `StoreClient`.
         catalog: `catalog.Catalog` to update.
         boottime: returns seconds on a clock that includes suspends.
-        due_s: seconds after which an announced version is due.
+        version_grace_s: seconds from the announcement of a version until it
+            is due.
     """
 
-    def __init__(self, cfg, client, catalog, boottime, due_s):
+    def __init__(self, cfg, client, catalog, boottime, version_grace_s):
         self.cfg = cfg
         self.client = client
         self.catalog = catalog
         self.boottime = boottime
-        self.due_s = due_s
+        self.version_grace_s = version_grace_s
         self.regions = cfg.regions
         self._revision = None
         self._origin = None
@@ -87,7 +91,10 @@
                 _documents.VERSION_PREFIX, self._revision, WATCH_TIMEOUT_S
             )
         for item in page.items:
-            announced_at = self.boottime() - (self.due_s if first else 0)
+            # A version that is found by a read counts as due at once.
+            announced_at = self.boottime() - (
+                self.version_grace_s if first else 0
+            )
             _apply.apply_version(item, self.catalog, announced_at, found=first)
         self._revision = page.revision
 
@@ -176,12 +183,13 @@
 
     async def target_version(self, report):
         """See `spread.BaseClusterView.target_version`."""
+        # Only the first model with an announced version is used.
         for model in self.catalog.announced_models():
             announced = self.catalog.newest_version(model)
-            due_at = announced.learned_at + self.due_s
+            due_at = announced.learned_at + self.version_grace_s
             return spread.TargetVersion(model, announced.version, due_at)
         # Until the announced versions are read, the version of other members
-        # may be outdated. After a power loss all members fetched that one
+        # may be outdated. After a power loss all members would fetch that one
         # first, and the announced one two seconds later.
         if report.versions or self._revision is None:
             return None
@@ -200,6 +208,7 @@
         ]
         if not served:
             return None
+        # The highest version number, whichever the model.
         version, model = max(served)
         return spread.TargetVersion(model, version, self.boottime())
 
@@ -208,20 +217,25 @@
         await self.catalog.wait_for_change()
 
     def superseded_at(self, model, version):
-        """See `spread.BaseClusterView.superseded_at`."""
+        """See `spread.BaseClusterView.superseded_at`.
+
+        Returns the current time if no newer version is announced.
+        """
         newer = self.catalog.next_version(model, version)
         return (
-            self.boottime() if newer is None else newer.learned_at + self.due_s
+            self.boottime()
+            if newer is None
+            else newer.learned_at + self.version_grace_s
         )
 
     def expires_at(self, model, version):
         """See `spread.BaseClusterView.expires_at`."""
         newer = self.catalog.next_version(model, version)
-        # It is unknown when a version that was in the store at the start was
-        # announced; other sidecars may still use the previous one.
+        # The announcement time of a version that was in the store at the start
+        # is unknown; other sidecars may still use the previous one.
         if newer is None or newer.found:
             return math.inf
-        return newer.learned_at + self.due_s - EXPIRY_MARGIN_S
+        return newer.learned_at + self.version_grace_s - EXPIRY_MARGIN_S
 
     async def members(self):
         """See `spread.BaseClusterView.members`."""
--- a/catkinshunt/platform/tests/test_watch_relay.py
+++ b/catkinshunt/platform/tests/test_watch_relay.py
@@ -34,8 +34,8 @@
 def test_entries_that_start_together_read_a_configuration_once():
     """All entries start at the same time after a power loss.
 
-    When five entries of a region each read 1,700 rules over one link, it took
-    nine seconds, and they rejected all requests until then. The watcher may
+    If five entries of a region each read 1,700 rules over one link, it takes
+    nine seconds, and they reject all requests until then. The watcher may
     be the last one to start.
     """
 
