--- a/catkinshunt/datagrams.py
+++ b/catkinshunt/datagrams.py
@@ -16,27 +16,22 @@
 class Codec:
     """Encodes and decodes messages of the given classes.
 
-        Args:
-    <<<<<<< HEAD
-            message_classes: `attrs` classes with a class attribute ``kind``. Field
-                types are int, float, bool, str, and tuple for a tuple of str.
-    =======
-            message_classes: `attrs` classes with a class attribute ``kind``.
-                Field types are int, float, bool, str, and tuple for a tuple of
-                str.
-    >>>>>>> wording-f4
-            max_bytes: maximum size of a datagram that is decoded.
-
-        Examples:
-            >>> @attrs.frozen
-            ... class Greeting:
-            ...     kind = 'greeting'
-            ...     names: tuple
-            >>> codec = Codec([Greeting], max_bytes=100)
-            >>> codec.dump(Greeting(('a', 'b')))
-            b'["greeting",["a","b"]]'
-            >>> codec.load(b'["greeting",["a","b"]]')
-            Greeting(names=('a', 'b'))
+    Args:
+        message_classes: `attrs` classes with a class attribute ``kind``.
+            Field types are int, float, bool, str, and tuple for a tuple of
+            str.
+        max_bytes: maximum size of a datagram that is decoded.
+
+    Examples:
+        >>> @attrs.frozen
+        ... class Greeting:
+        ...     kind = 'greeting'
+        ...     names: tuple
+        >>> codec = Codec([Greeting], max_bytes=100)
+        >>> codec.dump(Greeting(('a', 'b')))
+        b'["greeting",["a","b"]]'
+        >>> codec.load(b'["greeting",["a","b"]]')
+        Greeting(names=('a', 'b'))
     """
 
     def __init__(self, message_classes, max_bytes):
