--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -106,8 +106,8 @@
     Mutation(
         'given-up-claim-taken-back',
         _CLAIMS,
-        'if not op.complete()',
-        'if op.complete() is None',
+        'if not op.resolve()',
+        'if op.resolve() is None',
     ),
     Mutation(
         'shards-as-written',
--- a/catkinshunt/claims/_attempts.py
+++ b/catkinshunt/claims/_attempts.py
@@ -11,9 +11,10 @@
     """Accepts each attempt at a non-idempotent request once.
 
     A message can reach a sidecar twice after a reconnect, or long after its
-    sender timed out. An attempt is recorded until `skew_s` after its
-    deadline. From then on it is rejected as late, so its record can be
-    removed without the risk of a second execution.
+    sender timed out. From its deadline on, an attempt is rejected as late,
+    so its record can be removed without the risk of a second execution.
+    Records are removed only when `capacity` is reached, and not until
+    `skew_s` after their deadline.
 
     Args:
         capacity: maximum number of recorded attempts. When it is reached,
@@ -50,8 +51,9 @@
 
         Raises:
             errors.DuplicateAttemptError: it was accepted before.
-            errors.RefusedError: its deadline has passed, or too many
-                attempts are recorded; it was not executed.
+            errors.RefusedError: its deadline has passed or is too far in
+                the future, or too many attempts are recorded; it was not
+                executed.
         """
         checks.check_positive(self.capacity, 'capacity')
         with self._lock:
--- a/catkinshunt/claims/_batch.py
+++ b/catkinshunt/claims/_batch.py
@@ -34,8 +34,10 @@
         except errors.OverloadedError as exc:
             self._result = exc
 
-    def complete(self):
+    def resolve(self):
         """Resolve the future; return False if it was cancelled."""
+        # `set_running_or_notify_cancel` raises an error if it is called a
+        # second time for a cancelled future.
         if self.fut.cancelled():
             return False
         if not self.fut.set_running_or_notify_cancel():
@@ -49,10 +51,10 @@
     def fail(self, exc):
         """Resolve the future with `exc`."""
         self._result = exc
-        return self.complete()
+        return self.resolve()
 
     def make_release(self):
-        """Return the operation that releases this claim."""
+        """Return the release of this claim, fenced against its own write."""
         return ReleaseOp(
             self.identity, self.record.attempt, self.now, fence=True
         )
@@ -99,6 +101,8 @@
 class Batch:
     """Operations on one shard.
 
+    Completions are finishes and releases.
+
     Finishes and releases are applied before claims, so that a retry in the
     same batch gets the outcome of the previous attempt.
     """
--- a/catkinshunt/claims/_document.py
+++ b/catkinshunt/claims/_document.py
@@ -11,13 +11,15 @@
 
 FORMAT_VERSION = 1
 _IDENTITY_BYTES = 15
-#: Space reserved for each claim, so that its finish always fits.
+#: Space reserved for each claim, so that the status of its finish always
+#: fits; the body is stored only if there is space left.
 _FINISH_RESERVE_BYTES = 64
 #: Length of the identity prefix that a compacted claim keeps: 72 bits.
 _PREFIX_CHARS = 12
 _HOUR_S = 3600
 _BUCKET_OVERHEAD_BYTES = 20
 _EMPTY_DOCUMENT_BYTES = 64
+#: Last character of the keys of compacted claims in the stored document.
 _FINISHED_MARK = 'r'
 _UNKNOWN_MARK = 'u'
 _STATE_BY_MARK = {
@@ -209,7 +211,11 @@
         return json.dumps(data, separators=(',', ':')).encode()
 
     def compact(self, now, retention_s, answer_kept_s):
-        """Compact claims after `answer_kept_s`; drop after `retention_s`."""
+        """Compact claims after `answer_kept_s`; drop after `retention_s`.
+
+        The retention time of a compacted claim starts at the end of the
+        hour in which it was claimed.
+        """
         self._retry_after_s = answer_kept_s
         for bucket in list(self.compacted):
             if now - _bucket_end(bucket) > retention_s:
@@ -277,7 +283,10 @@
         )
 
     def finish(self, identity, attempt, outcome, body_limit_bytes):
-        """Record `outcome` if `attempt` holds the unfinished claim."""
+        """Record `outcome` if `attempt` holds the unfinished claim.
+
+        Otherwise, for example if the claim is compacted, it is dropped.
+        """
         stored = self.records.get(identity)
         if stored is None or stored.attempt != attempt or stored.status:
             return
--- a/catkinshunt/claims/_ledger.py
+++ b/catkinshunt/claims/_ledger.py
@@ -32,9 +32,12 @@
         prefix: prefix of the keys of the documents.
         shards: number of documents. The first ledger stores the number;
             later ones use the stored number.
-        retention_s: time for which a claim is stored, seconds.
+        retention_s: minimum time for which a claim is stored, seconds; a
+            compacted claim is stored up to one hour longer.
         answer_kept_s: time for which a small response is stored for
-            replay, seconds; afterwards only the state is stored.
+            replay, seconds; afterwards the claim is compacted to its state
+            once its deadline has passed. Also the retry time when a
+            document is full.
         body_limit_bytes: maximum size of a stored response body.
         shard_limit_bytes: maximum size of a document.
         commit_timeout_s: maximum time that a claim waits to be written.
@@ -78,7 +81,7 @@
         self._shard_count = None
         self._outage_until = 0.0
         self._stopping = False
-        self._cached_entries = {}
+        self._cached_documents = {}
 
     def start(self):
         """Check the parameters and start the committer threads."""
@@ -134,7 +137,7 @@
     def report(self):
         """Return counters for operators."""
         return {
-            'cached_shards': len(self._cached_entries),
+            'cached_shards': len(self._cached_documents),
             'pending': self._schedule.count_pending_claims(),
         }
 
@@ -229,26 +232,26 @@
                 _LOG.exception('Write of shard {} failed.', shard)
                 self._fail(shard, batch, exc)
             finally:
-                self._schedule.unlock(shard)
+                self._schedule.end_write(shard)
 
     def _commit(self, shard, batch):
-        entry = self._cached_entries.pop(shard, None)
+        stored = self._cached_documents.pop(shard, None)
         from_store = False
         for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 batch.drop_cancelled()
                 if not batch:
                     return
-                if entry is None:
-                    entry = self.store.get(shard) or kvstore.Entry(None, 0)
+                if stored is None:
+                    stored = self.store.get(shard) or kvstore.Entry(None, 0)
                     from_store = True
-                written = self._write(shard, batch, entry)
+                written = self._write(shard, batch, stored)
             except (errors.ConflictError, errors.StoreUnknownError):
-                # Another entry wrote, or the response was lost. The document
+                # Another process wrote, or the response was lost. The document
                 # is read again: attempts in it are granted, the others are
                 # written again. An earlier write still in flight then fails
                 # by its revision or is found at the next read.
-                entry = None
+                stored = None
                 self._schedule.count_retry()
                 continue
             except errors.StoreError as exc:
@@ -258,16 +261,16 @@
             if written is None and not from_store:
                 # A claim held by another attempt may have been finished or
                 # released since the document was cached.
-                entry = None
+                stored = None
                 continue
-            self._cached_entries[shard] = written or entry
-            self._complete(shard, batch)
+            self._cached_documents[shard] = written or stored
+            self._resolve_claims(shard, batch)
             return
         self._fail(shard, batch, None)
 
-    def _write(self, shard, batch, entry):
+    def _write(self, shard, batch, stored):
         document = _document.Document.decode(
-            entry.value, self.shard_limit_bytes
+            stored.value, self.shard_limit_bytes
         )
         batch.apply(document, self)
         if not document.changed:
@@ -275,18 +278,27 @@
         value = document.encode()
         for op in batch.claim_ops:
             op.maybe_written = True
-        revision = self.store.put(shard, value, entry.revision)
+        revision = self.store.put(shard, value, stored.revision)
         return kvstore.Entry(value, revision)
 
-    def _complete(self, shard, batch):
+    def _resolve_claims(self, shard, batch):
         releases = [
-            op.make_release() for op in batch.claim_ops if not op.complete()
+            op.make_release() for op in batch.claim_ops if not op.resolve()
         ]
         if releases:
             self._schedule.add_completions(shard, releases, 0.0)
 
     def _fail(self, shard, batch, cause):
-        """Fail the claims; requeue the operations that must be written."""
+        """Fail the claims; requeue the operations that must be written.
+
+        While stopping, all pending operations are discarded instead.
+
+        Args:
+            shard: key of the document.
+            batch: `Batch` that was not written.
+            cause: error of the store or of the committer; None if the write
+                failed `MAX_WRITE_ATTEMPTS` times.
+        """
         _LOG.warning('Shard {} could not be written: {}.', shard, cause)
         error = self._make_error('the claim could not be written', cause)
         requeued = list(batch.completion_ops)
--- a/catkinshunt/claims/_schedule.py
+++ b/catkinshunt/claims/_schedule.py
@@ -22,7 +22,7 @@
         self._cond = threading.Condition()
         self._due_times = {}
         self._batches = {}
-        self._locked_shards = set()
+        self._writing_shards = set()
         self._next_write_at = 0.0
         self._closed = False
 
@@ -42,7 +42,7 @@
             self._set_due(shard, delay_s)
 
     def take_batch(self):
-        """Wait for the next due shard, lock it and return it with its batch.
+        """Wait for the next due shard; return it and its batch to write.
 
         Returns None once the schedule is closed and nothing is pending.
         """
@@ -51,18 +51,18 @@
                 if (
                     self._closed
                     and not self._due_times
-                    and not self._locked_shards
+                    and not self._writing_shards
                 ):
                     return None
                 now = time.monotonic()
                 shard = min(
-                    self._unlocked_shards(),
+                    self._idle_shards(),
                     key=self._due_times.get,
                     default=None,
                 )
                 wait_s = self._wait_s(shard, now)
                 if shard is not None and wait_s <= 0:
-                    return self._lock_batch(shard, now)
+                    return self._start_write(shard, now)
                 self._cond.wait(wait_s)
 
     def count_retry(self):
@@ -70,10 +70,10 @@
         with self._cond:
             self._next_write_at += 1 / self.writes_per_s
 
-    def unlock(self, shard):
+    def end_write(self, shard):
         """Allow further writes of `shard`."""
         with self._cond:
-            self._locked_shards.discard(shard)
+            self._writing_shards.discard(shard)
             self._cond.notify_all()
 
     def count_pending_claims(self):
@@ -108,11 +108,11 @@
         self._due_times[shard] = min(due, self._due_times.get(shard, due))
         self._cond.notify()
 
-    def _unlocked_shards(self):
+    def _idle_shards(self):
         return [
             shard
             for shard in self._due_times
-            if shard not in self._locked_shards
+            if shard not in self._writing_shards
         ]
 
     def _wait_s(self, shard, now):
@@ -120,9 +120,9 @@
             return None
         return max(self._due_times[shard], self._next_write_at) - now
 
-    def _lock_batch(self, shard, now):
+    def _start_write(self, shard, now):
         del self._due_times[shard]
-        self._locked_shards.add(shard)
+        self._writing_shards.add(shard)
         self._next_write_at = max(now, self._next_write_at)
         self._next_write_at += 1 / self.writes_per_s
         return shard, self._batches.pop(shard)
--- a/catkinshunt/claims/base.py
+++ b/catkinshunt/claims/base.py
@@ -44,9 +44,12 @@
 
     Attributes:
         identity: digest of the account and the idempotency key.
-        attempt: unique id of the attempt.
+        attempt: unique id of the attempt that made this claim, whether or
+            not it was granted.
         state: `State` of the request.
-        deadline: seconds since the epoch after which it is not dispatched.
+        deadline: deadline of the attempt that holds the claim, or of
+            `attempt` if only a compacted claim is stored; seconds since the
+            epoch.
         outcome: `Outcome` of the request, if it ran and is still stored.
     """
 
@@ -81,7 +84,9 @@
             one attempt, unless the grant is released.
 
         Raises:
-            errors.RefusedError: nothing was granted or dispatched.
+            errors.RefusedError: this attempt is not dispatched. With
+                `errors.RecordUnavailableError` an earlier attempt with the
+                key may have been executed.
         """
 
     @abc.abstractmethod
--- a/catkinshunt/configuration/_announcing.py
+++ b/catkinshunt/configuration/_announcing.py
@@ -44,6 +44,7 @@
             chosen[: min_accepted - n_accepted],
             chosen[min_accepted - n_accepted :],
         )
+        # Each future resolves to the revision of the peer after the offer.
         futs = [transport.offer(peer, update) for peer in batch]
         concurrent.futures.wait(futs, TIMEOUT_S)
         n_accepted += sum(_has_accepted(fut, update) for fut in futs)
--- a/catkinshunt/configuration/_configuration.py
+++ b/catkinshunt/configuration/_configuration.py
@@ -79,7 +79,10 @@
 
     @functools.cached_property
     def document(self):
-        """The document as bytes; equal configurations yield equal bytes."""
+        """The document as stored, encoded: edits, revision and rules.
+
+        Equal configurations yield equal bytes.
+        """
         edits = b','.join(edit.encoded for edit in self.edits)
         lines = b','.join(item.encoded for item in self.encoded_rules)
         return b'{"edits":[%b],"revision":%d,"rules":[%b]}' % (
@@ -149,8 +152,8 @@
         rules.load_rule_set(document, services)
         if len(self.document) > MAX_BYTES:
             raise errors.RuleError(
-                f'the rules take {len(self.document)} bytes, the maximum in '
-                f'the key-value service is {MAX_BYTES}',
+                f'the rules and latest edits take {len(self.document)} bytes, '
+                f'the maximum in the key-value service is {MAX_BYTES}',
                 step='check-rules',
             )
 
--- a/catkinshunt/configuration/_differences.py
+++ b/catkinshunt/configuration/_differences.py
@@ -44,8 +44,10 @@
         >>> describe_differences(load('/a', '/b'), load('/b', '/c'))
         ("retired '/a'", "added '/c' at 1")
     """
-    steps = _edits.plan_operations(_encode_rules(before), _encode_rules(after))
-    return tuple(step.describe() for step in steps)
+    operations = _edits.plan_operations(
+        _encode_rules(before), _encode_rules(after)
+    )
+    return tuple(step.describe() for step in operations)
 
 
 def _encode_rules(rule_set):
--- a/catkinshunt/configuration/_editor.py
+++ b/catkinshunt/configuration/_editor.py
@@ -31,7 +31,7 @@
     Args:
         store: a `kvstore.BaseKeyValueStore`.
         services: names of the known services; None disables the check.
-        tries: maximum attempts at a write whose outcome is unknown.
+        tries: maximum attempts at a write until its outcome is known.
         pause_s: seconds between attempts.
         announce: called with each accepted `Configuration` to push it to
             some processes; see `announce`.
@@ -67,13 +67,13 @@
             dry_run: only check; write nothing.
         """
 
-        def steps(current):
+        def make_operations(current):
             index = (
                 len(current.encoded_rules) if position is None else position
             )
             return (_edits.Add(rule, index),)
 
-        return self._edit(steps, expected_revision, dry_run)
+        return self._edit(make_operations, expected_revision, dry_run)
 
     def move(self, name, position, expected_revision=None, dry_run=False):
         """Move the rule `name`; for the other arguments see `add`."""
@@ -95,21 +95,21 @@
         If they are equal already, nothing is written.
         """
 
-        def steps(current):
+        def make_operations(current):
             items = rules.dump_rule_set(rule_set)['rules']
             wanted = [_edits.EncodedRule.from_document(item) for item in items]
             return _edits.plan_operations(current.encoded_rules, wanted)
 
-        return self._edit(steps, expected_revision, dry_run)
+        return self._edit(make_operations, expected_revision, dry_run)
 
-    def _edit(self, make_steps, expected_revision, dry_run):
+    def _edit(self, make_operations, expected_revision, dry_run):
         current, store_revision = self._read()
         if expected_revision not in (None, current.revision):
             raise _conflict_error(expected_revision, current)
-        steps = make_steps(current)
-        if not steps:
+        operations = make_operations(current)
+        if not operations:
             return current
-        edited = current.edited(uuid.uuid4().hex, steps)
+        edited = current.edited(uuid.uuid4().hex, operations)
         edited.check(self.services)
         if dry_run:
             return edited
@@ -171,6 +171,7 @@
             return None
         if current.find_edit(edited.edits[-1].edit_id) is not None:
             return edited
+        # No later revision was read; the write may still take effect.
         if current.revision <= before.revision:
             return None
         # If some edits since then were dropped, this one may be among them.
--- a/catkinshunt/configuration/_edits.py
+++ b/catkinshunt/configuration/_edits.py
@@ -180,8 +180,8 @@
 
     def describe(self):
         """Return a short description of the edit."""
-        steps = ', '.join(step.describe() for step in self.operations)
-        return f'revision {self.revision} {steps}'
+        descriptions = ', '.join(step.describe() for step in self.operations)
+        return f'revision {self.revision} {descriptions}'
 
 
 def plan_operations(current, wanted):
@@ -194,16 +194,16 @@
     Returns:
         A tuple of operations; empty if the lists are equal.
     """
-    steps = []
+    operations = []
     names = set(_rule_names(wanted))
     for item in current:
         if item.rule.name not in names:
-            steps.append(Retire(item.rule.name))
+            operations.append(Retire(item.rule.name))
     encoded_by_name = {item.rule.name: item.encoded for item in current}
     for item in wanted:
         known = encoded_by_name.get(item.rule.name)
         if known is not None and known != item.encoded:
-            steps.append(Replace(rules.dump_rule(item.rule)))
+            operations.append(Replace(rules.dump_rule(item.rule)))
     order = [item.rule.name for item in current if item.rule.name in names]
     for position, item in enumerate(wanted):
         name = item.rule.name
@@ -211,11 +211,11 @@
             continue
         if name in encoded_by_name:
             order.remove(name)
-            steps.append(Move(name, position))
+            operations.append(Move(name, position))
         else:
-            steps.append(Add(rules.dump_rule(item.rule), position))
+            operations.append(Add(rules.dump_rule(item.rule), position))
         order.insert(position, name)
-    return tuple(steps)
+    return tuple(operations)
 
 
 def _rule_names(encoded_rules):
--- a/catkinshunt/configuration/_source.py
+++ b/catkinshunt/configuration/_source.py
@@ -25,18 +25,18 @@
     def __init__(self, store, config_replica):
         self.store = store
         self.config_replica = config_replica
-        self._seen_revision = 0
+        self._seen_store_revision = 0
 
     def fetch(self, wait_s):
         """See `base.BaseSource.fetch`."""
         key = _configuration.KEY
         if wait_s > 0:
-            entry = self.store.watch(key, self._seen_revision, wait_s)
+            entry = self.store.watch(key, self._seen_store_revision, wait_s)
         else:
             entry = self.store.get(key)
-        if entry is None or entry.revision == self._seen_revision:
+        if entry is None or entry.revision == self._seen_store_revision:
             return
-        self._seen_revision = entry.revision
+        self._seen_store_revision = entry.revision
         try:
             decoded = _configuration.Configuration.from_bytes(
                 entry.value, previous=self.config_replica.current
--- a/catkinshunt/configuration/_updates.py
+++ b/catkinshunt/configuration/_updates.py
@@ -10,7 +10,7 @@
 
 #: Topic of the configuration among the replicated documents.
 TOPIC = 'configuration'
-#: Upper bound of the ratio by which a rules document can be compressed.
+#: Assumed maximum ratio by which a rules document can be compressed.
 MAX_COMPRESSION_RATIO = 25
 #: Protects against decompression bombs.
 MAX_DOCUMENT_BYTES = 2 * _configuration.MAX_BYTES
@@ -20,7 +20,8 @@
     """Return the update for a process at `after_revision`.
 
     It contains the edits, which are much smaller, if the process is a few
-    revisions behind, and the complete document if it has just started.
+    revisions behind, and the complete document if it has just started. For
+    a process that is not behind it only states the revision.
     """
     if configuration.revision <= after_revision:
         return base.Update(TOPIC, configuration.revision)
@@ -29,8 +30,8 @@
         edits = configuration.edits_after(after_revision)
     if edits is not None:
         lines = tuple(edit.encoded for edit in edits)
-        # The document is not compressed where the edits are certainly
-        # smaller: compressing 1,000 rules takes 10 ms, in each process that
+        # The document is not compressed where the edits are assumed to
+        # be smaller: compressing 1,000 rules takes 10 ms, in each process that
         # forwards the update.
         size = sum(map(len, lines))
         small = MAX_COMPRESSION_RATIO * size <= len(configuration.document)
--- a/catkinshunt/rules/_actions.py
+++ b/catkinshunt/rules/_actions.py
@@ -45,6 +45,8 @@
 class Refuse(base.BaseAction):
     """Reject the request unexecuted, or place no model on the instance.
 
+    For an event only the action itself counts; the arguments are ignored.
+
     Args:
         reason: reason given to the client.
         retry_after_s: seconds after which the client may retry.
@@ -66,8 +68,9 @@
         model: name of the model.
         version: version of its weights.
         replicas: number of instances that hold it; None for all.
-        lean: objective of the transfer. ``'time'`` minimizes the time to N
-            replicas, ``'origin'`` the bytes from the origin; a number from
+        lean: objective of the transfer as written in the rules file, see
+            `time_preference`. ``'time'`` minimizes the time to N replicas,
+            ``'origin'`` the bytes from the origin; a number from
             0 (origin) to 1 (time) weighs the two.
 
     Examples:
--- a/catkinshunt/rules/_reachability.py
+++ b/catkinshunt/rules/_reachability.py
@@ -34,6 +34,7 @@
     yield from by_service[rule.when.subject, None]
     services = _services(rule)
     if services:
+        # A rule that covers `rule` lists all its services, so one is enough.
         yield from by_service[rule.when.subject, services[0]]
 
 
--- a/catkinshunt/rules/_rules.py
+++ b/catkinshunt/rules/_rules.py
@@ -16,7 +16,12 @@
 
 @attrs.frozen
 class When:
-    """Kind of subject and the clauses that a subject must all meet."""
+    """Conditions of a rule.
+
+    Attributes:
+        subject: keyword of the kind of subject, ``request`` or ``event``.
+        clauses: clauses that a subject must all meet.
+    """
 
     subject: str
     clauses: tuple[Clause, ...] = attrs.field(default=(), converter=tuple)
