--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -172,7 +172,7 @@
     Mutation(
         'retries-kept-for-moves',
         'catkinshunt/retries/_policy.py',
-        'self.budget.try_take(self.reserve if is_full else 0.0)',
+        'self.budget.try_take(self.reserve if is_overload else 0.0)',
         'self.budget.try_take()',
     ),
     Mutation(
--- a/catkinshunt/dispatch/_choice.py
+++ b/catkinshunt/dispatch/_choice.py
@@ -8,8 +8,9 @@
 from catkinshunt.dispatch import _state
 from catkinshunt import rendezvous
 
-#: Seconds added to the delay of a remote upstream. Traffic between data
-#: centres costs more than a short wait.
+#: Seconds added to the delay of an upstream in another data centre of the same
+#: region, and in another or an unknown region. Traffic between data centres
+#: costs more than a short wait.
 OTHER_DATA_CENTRE_PENALTY_S = 0.06
 OTHER_REGION_PENALTY_S = 0.09
 #: Seconds added at a failure rate of 1. One failure in five outweighs an
@@ -69,7 +70,8 @@
         job: `Job` that is to be sent.
         now: seconds on the monotonic clock.
     """
-    # Late requests that have not started are queued behind this one.
+    # If this request is not late, late ones that have not started are queued
+    # behind it; the prediction assumes so.
     preceding = [
         other
         for other in state.jobs
@@ -90,6 +92,8 @@
     step_s = engine.step_s + engine.step_s_per_request * min(count, slots)
     pass_s = engine.steps_per_pass * step_s
     excess = max(0.0, count + 1 - slots)
+    # The sum of the prefills, a pass that grows with the share of slots in
+    # use, and the wait for a slot where requests exceed the slots.
     answer_s = engine.mean_output_tokens * step_s * 1.5
     return (
         total_prefill_s
--- a/catkinshunt/dispatch/_client_retry.py
+++ b/catkinshunt/dispatch/_client_retry.py
@@ -20,15 +20,18 @@
 INITIAL_SHARE = 0.5
 #: Weight of the newest request in that share, which covers about the last ten.
 NEWEST_WEIGHT = 0.1
-#: Latest timeouts kept per service. Those during bursts of rejections are not
-#: sampled, since many belong to client retries.
+#: Latest timeouts kept per service. Those during bursts are not sampled, since
+#: many belong to client retries. A burst lasts until no request of any service
+#: was rejected for as long as the longest timeout of the sampled service.
 MAX_SAMPLES = 200
 #: Number of new samples after which the estimate is updated; before the first
 #: update no client retry is detected where timeouts vary.
 UPDATE_PERIOD = 15
-#: A timeout is that of a client retry if it is below this quantile of the
-#: samples by more than this share of the longest sample.
-OUTLIER_SHARE = 0.02
+#: Quantile of the samples that is taken as the shortest timeout of a first
+#: attempt.
+LOWER_QUANTILE = 0.02
+#: Share of the longest sample by more than which the timeout of a client
+#: retry is below that quantile.
 MARGIN_SHARE = 0.03
 
 
@@ -60,10 +63,10 @@
         if self.sample_count % UPDATE_PERIOD:
             return
         ordered = sorted(self.samples)
-        min_s = ordered[int(OUTLIER_SHARE * len(ordered))]
+        quantile_s = ordered[int(LOWER_QUANTILE * len(ordered))]
         median_s = ordered[len(ordered) // 2]
         self.first_attempt_bounds = (
-            min_s - MARGIN_SHARE * ordered[-1],
+            quantile_s - MARGIN_SHARE * ordered[-1],
             median_s,
         )
 
@@ -135,5 +138,5 @@
         """
         if timeouts.first_attempt_bounds is None:
             return 0.0
-        min_s, median_s = timeouts.first_attempt_bounds
-        return 0.0 if timeout_s >= min_s else median_s - timeout_s
+        lower_bound_s, median_s = timeouts.first_attempt_bounds
+        return 0.0 if timeout_s >= lower_bound_s else median_s - timeout_s
--- a/catkinshunt/dispatch/_correction.py
+++ b/catkinshunt/dispatch/_correction.py
@@ -10,10 +10,10 @@
 #: Bounds of the correction factor. Predictions include only part of the load
 #: of a shared engine, so they are too low under load and right without a
 #: queue.
-MIN_SCALE = 1.0
-MAX_SCALE = 4.0
+MIN_FACTOR = 1.0
+MAX_FACTOR = 4.0
 #: Half-life of the correction without observations, in seconds. An entry that
-#: ranks all its requests below `Rank.EARLY` observes no delays, and without
+#: ranks no request as `Rank.EARLY` observes no delays, and without
 #: the decay would keep ranking them so after the burst. The half-life is
 #: shorter than a burst, and longer than the pauses in which engines load a
 #: version.
@@ -40,6 +40,7 @@
 
     def __init__(self, newest_weight=NEWEST_WEIGHT):
         self.newest_weight = newest_weight
+        # Equal values: the factor is 1 until a delay is observed.
         self._predicted_s = 0.1
         self._delay_s = 0.1
         self._observed_at = 0.0
@@ -47,7 +48,7 @@
     def observe(self, predicted_s, delay_s, now):
         """Record the delay of a request of rank `Rank.EARLY`.
 
-        Delays of lower ranks include the wait behind requests of higher ones
+        Delays of other ranks include the wait behind requests of earlier ranks
         and would raise the factor.
 
         Args:
@@ -83,7 +84,7 @@
 
     def scale(self, now):
         """Return the correction factor, at least 1."""
-        scale = self._delay_s / max(self._predicted_s, 1e-3)
-        scale = min(max(scale, MIN_SCALE), MAX_SCALE)
+        factor = self._delay_s / max(self._predicted_s, 1e-3)
+        factor = min(max(factor, MIN_FACTOR), MAX_FACTOR)
         age_s = max(0.0, now - self._observed_at)
-        return 1.0 + (scale - 1.0) * 0.5 ** (age_s / HALF_LIFE_S)
+        return 1.0 + (factor - 1.0) * 0.5 ** (age_s / HALF_LIFE_S)
--- a/catkinshunt/dispatch/_state.py
+++ b/catkinshunt/dispatch/_state.py
@@ -90,7 +90,8 @@
             the load is due to other entries.
         reply_due_since: when the last byte arrived or the first job was sent;
             None while no reply is due.
-        failures_in_row: refused connections since the last success.
+        failures_in_row: refused connections since the last success; other
+            failures do not count.
         paused_until: end of the pause.
         versions_at_pause: versions that the upstream served when a pause
             began that ends with a change of them; None for any other pause.
@@ -149,7 +150,7 @@
         return since is not None and now - since > UNRESPONSIVE_S
 
     def record_success(self, now):
-        """Record a successful request."""
+        """Record a successful request and end any pause."""
         self.failures_in_row = 0
         self.paused_until = 0.0
         self._failure_rate = self.failure_rate(now) * (1 - FAILURE_WEIGHT)
--- a/catkinshunt/dispatch/tests/multi_entry.py
+++ b/catkinshunt/dispatch/tests/multi_entry.py
@@ -82,7 +82,7 @@
         if corrector and not sent.request.job.rank:
             corrector.observe(sent.predicted_s, sent.request.first_s, now)
 
-    def leave(self, sent, now):
+    def disconnect(self, sent, now):
         """Remove the request of a client that disconnects without a token."""
         request = sent.request
         if request.first_s is not None:
@@ -146,7 +146,7 @@
                 end = payload.run_pass(now)
                 heapq.heappush(events, (end, next(order), 'pass', payload))
         else:
-            payload.engine.leave(payload, now)
+            payload.engine.disconnect(payload, now)
     in_time = [c for c in sent_requests if (c.request.first_s or 9) <= GOAL_S]
     served = [c for c in sent_requests if c.is_served]
     return len(in_time) / len(sent_requests), len(served) / len(sent_requests)
--- a/catkinshunt/limits/_fair.py
+++ b/catkinshunt/limits/_fair.py
@@ -73,8 +73,8 @@
     def push(self, ticket, rate_per_s, service_s, now):
         """Enqueue a request.
 
-        If the queue is full, it or the newest request of the heaviest account
-        is rejected.
+        If the queue is full, it is rejected, or the newest request of the
+        account with the most waiting requests relative to its weight.
 
         Raises:
             OverloadedError: it cannot finish in time, or the queue is full.
@@ -174,19 +174,26 @@
         )
 
     def _evict_newest(self, account, rate_per_s):
-        """Reject the newest request of the account with the most waiting."""
-        heaviest = max(
+        """Reject the newest request of the account with the longest queue.
+
+        Queues are compared relative to the weights of their accounts.
+
+        Raises:
+            OverloadedError: with the new request, the queue of `account` is
+                at least as long; the new request is rejected instead.
+        """
+        longest = max(
             self._accounts.values(),
             key=lambda each: len(each.tickets) / each.weight,
         )
-        share = len(heaviest.tickets) / heaviest.weight
+        share = len(longest.tickets) / longest.weight
         rejection = self._rejection(
             f'queue is full: {self.limit} requests',
             self._length / rate_per_s,
         )
         if (len(account.tickets) + 1) / account.weight >= share:
             raise rejection
-        evicted = heaviest.tickets.pop()
+        evicted = longest.tickets.pop()
         self._length -= 1
         evicted.fut.set_exception(rejection)
 
--- a/catkinshunt/limits/base.py
+++ b/catkinshunt/limits/base.py
@@ -51,7 +51,7 @@
         Args:
             ticket: the `Ticket`.
             rate_per_s: requests that end per second; infinite if unknown.
-            service_s: estimated service time of one request, in seconds.
+            service_s: upper bound of the service time, in seconds.
             now: seconds on the monotonic clock.
 
         Raises:
@@ -67,7 +67,12 @@
         """Remove a waiting request; return whether it was there."""
 
     def begin(self, ticket, service_s):  # noqa: B027
-        """Record that a request starts, whether it waited or not."""
+        """Record that a request starts, whether it waited or not.
+
+        Args:
+            ticket: the `Ticket`.
+            service_s: mean service time, in seconds.
+        """
 
     def finish(self, ticket, took_s):  # noqa: B027
         """Record that a request has ended, and its service time."""
--- a/catkinshunt/limits/tests/test_fair.py
+++ b/catkinshunt/limits/tests/test_fair.py
@@ -76,7 +76,7 @@
     offer(queue, 'b', deadline=1.05)
 
 
-def test_full_queue_evicts_the_newest_of_the_heaviest_account():
+def test_full_queue_evicts_the_newest_of_the_longest_queue():
     """The queue is full of requests of one account when another sends one.
 
     The newest request of the large account is rejected as not run, and the
--- a/catkinshunt/permits/_allocator.py
+++ b/catkinshunt/permits/_allocator.py
@@ -39,8 +39,9 @@
 #: Seconds after the expected end of loading at which requests are admitted
 #: anyway, in case the engine gave up loading or `end_reload` was not called.
 REOPEN_TIMEOUT_S = 3.0
-#: Reasons of a rejection, as sent in messages: no permit is free in time; the
-#: engine is about to load another version, or the one it serves has expired.
+#: Reasons of a rejection, as sent in messages: no permit is free now, or none
+#: is expected in time; the engine is about to load another version, or the one
+#: it serves has expired.
 NO_ROOM = 'no-room'
 RELOADING = 'reloading'
 
@@ -59,8 +60,10 @@
     Each entry counts only part of the load of an engine. Without permits, in a
     burst past capacity requests wait for seconds in the engine's queue, are
     late when they start, and block others that could have been in time. With
-    permits each request waits at its entry, and the newest goes first: those
-    that have waited longest are the ones that will miss their goal.
+    permits each request waits at its entry, and of the requests in time the
+    newest goes first: those that have waited longest are the ones that will
+    miss their goal. Resumed requests go before these; late ones go last, the
+    oldest first.
 
     Args:
         spare: permits beyond the slots of the engine.
@@ -106,7 +109,7 @@
 
     @property
     def in_use(self):
-        """Number of permits in use, including requests without a permit."""
+        """Number of granted permits and of requests sent without one."""
         return len(self._granted) + self._without_permit
 
     @property
@@ -224,7 +227,7 @@
         return self._grant_free(now)
 
     def set_expiry(self, expires_at):
-        """Grant no permit to a request that would start after `expires_at`.
+        """Grant no permit if the prompt would be prefilled after `expires_at`.
 
         The version that the engine serves expires then. Its sidecar is
         notified of a new version at once; an entry that reads a large
@@ -241,10 +244,10 @@
         return self._slots + self.spare - self.in_use
 
     def _is_past_cutoff(self, request, now):
-        """Return whether a request would start or end too late.
+        """Return whether a request would be prefilled or end too late.
 
-        That is, start after the served version expires, or end after the
-        engine has to be empty.
+        That is, its prefill would end after the served version expires, or
+        its answer after the engine has to be empty.
         """
         if now + request.prefill_s >= self._expires_at:
             return True
@@ -265,7 +268,10 @@
         return request.resumed or now >= self._prefill_ready_at()
 
     def _must_queue(self, request):
-        """Return whether queued requests go before this one."""
+        """Return whether a request is queued even if a permit is free.
+
+        If others are queued, `_next_key` chooses among all of them.
+        """
         if request.resumed:
             return False
         return bool(self._queue) or (request.late and bool(self._late_queue))
@@ -339,9 +345,10 @@
     def _compute_retry_after_s(self, reason, now):
         """Return the retry time of a rejected request.
 
-        Retry times are spread at the rate at which late requests recently got
-        permits. With the same one for all, they would return together to
-        engines that are still full.
+        For `RELOADING` it ends when the engine is expected to serve again,
+        within bounds. Other retry times are spread at the rate at which late
+        requests recently got permits. With the same one for all, they would
+        return together to engines that are still full.
         """
         if reason == RELOADING:
             return min(
--- a/catkinshunt/permits/_client.py
+++ b/catkinshunt/permits/_client.py
@@ -12,7 +12,7 @@
 
 #: Seconds without a reply after which a permit request is sent again or, the
 #: last time, the sidecar counts as unresponsive. On a link saturated by chunks
-#: a datagram takes up to 0.05 s each way.
+#: of weights a datagram takes up to 0.05 s each way.
 REPLY_TIMEOUT_S = 0.08
 #: Times that a permit request is sent.
 MAX_SENDS = 2
@@ -24,6 +24,7 @@
 INITIAL_BACK_OFF_S = 1.0
 MAX_BACK_OFF_S = 8.0
 
+#: The logger name is part of the log output and stays fixed.
 _log = logs.get_logger('places')
 
 
@@ -32,7 +33,9 @@
 
 
 class ReloadingError(errors.OverloadedError):
-    """Not run: all engines are about to load another version.
+    """Not run: an engine is to load another version or serves an expired one.
+
+    Where several rejected the request, all of them did so for this reason.
 
     Raised by the gateway.
     """
--- a/catkinshunt/permits/_server.py
+++ b/catkinshunt/permits/_server.py
@@ -6,6 +6,7 @@
 from catkinshunt.permits import _messages
 from catkinshunt.permits import base
 
+#: The logger name is part of the log output and stays fixed.
 _log = logs.get_logger('places')
 
 
--- a/catkinshunt/permits/base.py
+++ b/catkinshunt/permits/base.py
@@ -4,7 +4,9 @@
 
 
 class BasePermitAdmission(abc.ABC):
-    """Admission of requests to an engine, as seen by its version loader.
+    """Admission of requests to an engine, as controlled by its sidecar.
+
+    It is called by the agent and the loader of the package `transfer`.
 
     `PermitServer` implements it with permits.
     """
@@ -32,7 +34,7 @@
 
     @abc.abstractmethod
     def set_expiry(self, expires_in_s):
-        """Admit no request that would start after `expires_in_s`.
+        """Admit no request whose prefill would end after `expires_in_s`.
 
         Args:
             expires_in_s: seconds until the version that the engine serves
--- a/catkinshunt/retries/_policy.py
+++ b/catkinshunt/retries/_policy.py
@@ -85,5 +85,5 @@
         )
 
     def _take_token(self, exc):
-        is_full = isinstance(exc, errors.OverloadedError)
-        return self.budget.try_take(self.reserve if is_full else 0.0)
+        is_overload = isinstance(exc, errors.OverloadedError)
+        return self.budget.try_take(self.reserve if is_overload else 0.0)
--- a/catkinshunt/retries/_shares.py
+++ b/catkinshunt/retries/_shares.py
@@ -8,7 +8,8 @@
 #: Least number of processes assumed. A process that has just started lists no
 #: others yet and would take all of the allowed retries.
 MIN_PROCESSES = 4
-#: Seconds for which a larger count is kept. A process that lost its connection
+#: Seconds for which a larger count is kept after a smaller one is observed. A
+#: process that lost its connection
 #: to the store is no longer listed but still uses its share.
 HOLD_S = 60.0
 
@@ -25,7 +26,8 @@
         burst: retries of one service that all processes together may use at
             once.
         min_processes: least number of processes assumed.
-        hold_s: seconds for which a larger count is kept.
+        hold_s: seconds for which a larger count is kept after a smaller one
+            is observed.
 
     Examples:
         >>> share = RetryBurstShare(burst=100.0)
