--- a/benchmarks/mutations.py
+++ b/benchmarks/mutations.py
@@ -204,7 +204,7 @@
     Mutation(
         'one-member-stands-in',
         'catkinshunt/spread/_fetcher.py',
-        'return self._failed_attempts[index] >= members * self._max_attempts',
+        'return self._failed_attempts[index] >= members * self._min_attempts',
         'return True',
     ),
     Mutation(
--- a/catkinshunt/spread/_agent.py
+++ b/catkinshunt/spread/_agent.py
@@ -61,7 +61,7 @@
         version_store: `VersionStore`.
         clock: returns seconds on the monotonic clock.
         link_mbps: speed of the instance's link.
-        byte_counter: counts bytes by way: received from a 'peer' or the
+        byte_counter: counts bytes by source: received from a 'peer' or the
             'origin'.
         admission: `permits.BasePermitAdmission` of the engine.
     """
@@ -84,13 +84,15 @@
         self._retry_at = -math.inf
         self._manifest_probe = None
         self._transfer_target = None
-        self._offering = set()
+        self._starting_to_serve = set()
         self._progress = {}
         self._wakeup = asyncio.Event()
         self._staging_lock = asyncio.Lock()
         self._loader = _loader.Loader(
             engine, cluster_view, admission, clock, self._staging_lock
         )
+        # A failure may also be one of the cluster view; its end is logged as
+        # soon as the engine reports.
         self._outage = logs.OutageLogger(
             _log, 'Reconciling the engine failed: {}.', 'Engine reports again.'
         )
@@ -126,15 +128,18 @@
             self._wakeup.clear()
 
     def on_chunk_request(self, model, version):
-        """Record the version that a peer requested, and offer it if served.
+        """Record the version that a peer requested, and serve it if loaded.
 
         A sidecar without access to the store receives new versions this way.
         """
         self.cluster_view.note_version(model, version)
         chunk_store = self.version_store.find(model, version)
-        if chunk_store is None and (model, version) not in self._offering:
-            self._offering.add((model, version))
-            asyncio.ensure_future(self._offer_staged(model, version))
+        if (
+            chunk_store is None
+            and (model, version) not in self._starting_to_serve
+        ):
+            self._starting_to_serve.add((model, version))
+            asyncio.ensure_future(self._serve_staged(model, version))
 
     async def _reconcile(self):
         report = await self.engine.report()
@@ -228,8 +233,9 @@
                 return
             if self._finishes_older_first(
                 target
-            ) or not self._has_manifest_or_probe(target):
+            ) or not self._has_manifest_else_probe(target):
                 return
+            # Field `left_share`: the missing share of the cancelled version.
             _log.info(
                 'Cancelled the transfer of version {} of {} for version {}.',
                 self._transfer_target.version,
@@ -246,7 +252,7 @@
         self._prune_progress()
         self._transfer = asyncio.ensure_future(self._run_transfer(target))
 
-    def _has_manifest_or_probe(self, newer):
+    def _has_manifest_else_probe(self, newer):
         """Return whether the manifest of the newer version is present.
 
         Otherwise starts to fetch it. If the older transfer were cancelled
@@ -317,7 +323,7 @@
             return
         except errors.CatkinshuntError as exc:
             _log.warning(
-                'Transfer of {} failed: {}; retried after {} s.',
+                'Transfer of {} failed: {}; retrying in {} s.',
                 target.model,
                 exc,
                 RETRY_S,
@@ -325,7 +331,7 @@
             )
         except ExceptionGroup as group:
             _log.warning(
-                'Transfer of {} failed: {!r}; retried after {} s.',
+                'Transfer of {} failed: {!r}; retrying in {} s.',
                 target.model,
                 group.exceptions[0],
                 RETRY_S,
@@ -392,7 +398,7 @@
 
     # Serving the version that the engine has loaded.
 
-    async def _offer_staged(self, model, version):
+    async def _serve_staged(self, model, version):
         """Serve the staged chunks of the loaded version to peers."""
         try:
             report = await self.engine.report()
@@ -417,4 +423,4 @@
                 exc,
             )
         finally:
-            self._offering.discard((model, version))
+            self._starting_to_serve.discard((model, version))
--- a/catkinshunt/spread/_chunk_server.py
+++ b/catkinshunt/spread/_chunk_server.py
@@ -114,7 +114,7 @@
         version_store: `VersionStore`.
         clock: returns seconds on the monotonic clock.
         link_mbps: speed of the instance's link.
-        byte_counter: counts bytes by way; here 'given', sent to peers.
+        byte_counter: counts bytes by source, or 'given': sent to peers.
         on_request: called with the model and version of each request.
     """
 
@@ -241,7 +241,9 @@
     """Return the headers of a reply without a chunk.
 
     Wait chains, if any, if the requester should retry here; otherwise
-    `UNABLE_HEADER`, after which it uses another source.
+    `UNABLE_HEADER`, after which it uses another source. A complete version
+    may have the chunk but refuse an idle-only request while another chunk is
+    sent.
     """
     if chunk_store is not None and (
         chunk_store.is_expecting(indices) or chunk_store.is_complete
--- a/catkinshunt/spread/_chunk_store.py
+++ b/catkinshunt/spread/_chunk_store.py
@@ -189,7 +189,7 @@
         return self._chunk_stores.get((model, version))
 
     def newest_complete(self):
-        """Return the newest complete version by tuple of metric labels."""
+        """Return the newest complete version by (model,), metric labels."""
         newest = {}
         for (model, version), chunk_store in self._chunk_stores.items():
             if chunk_store.is_complete:
--- a/catkinshunt/spread/_fetcher.py
+++ b/catkinshunt/spread/_fetcher.py
@@ -13,13 +13,16 @@
 from catkinshunt.spread import _source_speeds
 
 #: Consecutive requests without a chunk, the last of them failed, after which
-#: the queue of a source fails over to the next sources.
+#: the queue of a source fails over to the next sources. Only corrupt chunks
+#: count as such a last failure; after other errors the source is excluded and
+#: its queue fails over at once.
 MAX_UNSUCCESSFUL = 2
 #: A chunk is fetched from the origin after members * (MIN_FAILED_ATTEMPTS +
 #: FAILED_ATTEMPTS_PER_S * origin_copy_s) failed attempts, where `members` is
 #: the number of usable members and `origin_copy_s` the time in which the
-#: origin sends one copy. Owners that share a slow origin have no chunks for a
-#: while; after two attempts only, all members would use the origin at once.
+#: origin sends one copy. Only busy replies and corrupt chunks count as failed
+#: attempts. Owners that share a slow origin have no chunks for a while; after
+#: two attempts only, all members would use the origin at once.
 MIN_FAILED_ATTEMPTS = 2
 FAILED_ATTEMPTS_PER_S = 1.0
 #: Least length of a queue from which an idle source steals; the busy source
@@ -61,7 +64,7 @@
         origin: `base.BaseOrigin`.
         clock: returns seconds on the monotonic clock.
         stage_chunk: coroutine function of (index, data).
-        byte_counter: counts bytes by way: received from a 'peer' or the
+        byte_counter: counts bytes by source: received from a 'peer' or the
             'origin'.
         copy_s: function of the size of a copy in bytes; returns the seconds in
             which it crosses this instance's link. Infinite seconds disable the
@@ -85,7 +88,7 @@
         self.origin_copy_s = origin_copy_s
         self._health = _source_health.SourceHealth(chunk_store, clock)
         self._speeds = _source_speeds.SourceSpeeds(clock)
-        self._max_attempts = MIN_FAILED_ATTEMPTS
+        self._min_attempts = MIN_FAILED_ATTEMPTS
         self._corrupt_in_row = 0
         self._queues = {}
         self._active_sources = set()
@@ -98,8 +101,9 @@
         """Fetch all missing chunks.
 
         Raises:
-            errors.ManifestError: the manifest seems damaged; it was dropped
-                with all chunks verified with it.
+            ExceptionGroup: with an `errors.ManifestError` if the manifest
+                seems damaged; it was dropped with all chunks verified with
+                it.
         """
         self._apply_manifest(self.chunk_store.manifest)
         report_task = asyncio.ensure_future(self._report())
@@ -139,10 +143,10 @@
         self.plan.set_chunk_count(len(manifest.chunks))
         self._speeds.start(self.copy_s(size))
         attempts = self.origin_copy_s(size) * FAILED_ATTEMPTS_PER_S
-        self._max_attempts = MIN_FAILED_ATTEMPTS + round(attempts)
+        self._min_attempts = MIN_FAILED_ATTEMPTS + round(attempts)
 
     def _assign(self, index):
-        """Append a chunk to the queue of its best source."""
+        """Append a chunk to the queue of its best source not tried yet."""
         tried = self._tried.setdefault(index, set())
         usable = self._health.usable(self._sources_of(index))
         if _plan.ORIGIN in usable and not self._may_use_origin(index, usable):
@@ -182,7 +186,7 @@
         if index in self._in_wait_cycle:
             return True
         members = sum(source != _plan.ORIGIN for source in usable)
-        return self._failed_attempts[index] >= members * self._max_attempts
+        return self._failed_attempts[index] >= members * self._min_attempts
 
     async def _run_worker(self, source):
         """Fetch the queue of one source, then steal from longer queues."""
@@ -201,9 +205,9 @@
                 self.origin.release()
 
     async def _process_queue(self, source, queue):
-        failures = 0
+        unsuccessful = 0
         while queue:
-            self._drop_damaged_manifest()
+            self._raise_if_manifest_damaged()
             self._disable_upload_if_link_slow()
             if self._break_wait_cycles(source, queue):
                 continue
@@ -211,15 +215,17 @@
                 continue
             outcome = await self._fetch_one(source, queue)
             if outcome is _Outcome.RECEIVED:
-                failures = 0
+                unsuccessful = 0
                 self._speeds.record_chunk(source)
                 if self._speeds.is_slow(source, self._queue_lengths()):
                     await self._fail_over(source, queue, kept=1)
                 continue
-            failures += 1
+            unsuccessful += 1
             if self._health.is_excluded(source):
                 await self._fail_over(source, queue)
-            elif failures >= MAX_UNSUCCESSFUL and outcome is _Outcome.FAILED:
+            elif (
+                unsuccessful >= MAX_UNSUCCESSFUL and outcome is _Outcome.FAILED
+            ):
                 await self._fail_over(source, queue)
             elif outcome is _Outcome.BUSY:
                 self._reassign_from_busy(source, queue)
@@ -358,6 +364,7 @@
         ]
         reported_shares = [s for s in reported if s is not None]
         if self._speeds.is_local_link_slow(present_share, reported_shares):
+            # Field `has`: the present share of the version.
             _log.info(
                 'Disabled uploads of version {} of {}; the link of this '
                 'instance is too slow.',
@@ -444,7 +451,7 @@
             self.chunk_store, self.plan, self.peers, self.origin, self._health
         )
 
-    def _drop_damaged_manifest(self):
+    def _raise_if_manifest_damaged(self):
         """Drop the manifest and all chunks if the manifest seems damaged.
 
         If it was damaged in transit, the chunks of all sources are rejected
--- a/catkinshunt/spread/_loader.py
+++ b/catkinshunt/spread/_loader.py
@@ -22,13 +22,15 @@
 #: Least lead of the last wave before the version is due. From the due time
 #: on, engines at the older version receive no requests.
 LAST_WAVE_LEAD_S = 0.75
-#: Time after the order in which admitted requests may still finish.
+#: Time after the order in which admitted requests may still finish; requests
+#: that would last longer are rejected ahead of the order.
 DRAIN_S = 0.4
 #: Estimated load time of a drained engine.
 LOAD_S = 0.3
 #: Longest time from the due time of a version until a newer one is complete
 #: for which the last wave skips the version and is idle meanwhile. A load
-#: interrupts service, whereas an idle engine still finishes its requests.
+#: interrupts service, whereas an engine that receives no new requests still
+#: finishes those in progress.
 MAX_SKIP_GAP_S = 2.9
 #: Time before a load from which on the engine is polled frequently.
 FREQUENT_POLL_LEAD_S = 0.5
@@ -150,7 +152,8 @@
         Args:
             report: the current `base.EngineReport`.
             chunk_store: the `ChunkStore` of the version.
-            complete_in_s: estimated seconds until it is complete; 0 if it is.
+            complete_in_s: estimated seconds until it is complete; 0 if it is
+                (`LoadTiming` then has the time since, negative).
             newer_complete_in_s: the same for a newer version; infinite if
                 there is none.
         """
@@ -195,7 +198,10 @@
         )
 
     def _update_admission(self, key, left_s):
-        """Close the admission ahead of a load, or reopen it without one.
+        """Schedule the reload in the admission, or reopen it without one.
+
+        Requests that would not end within DRAIN_S after the order are
+        rejected.
 
         Args:
             key: model and version to load.
--- a/catkinshunt/spread/_peer_client.py
+++ b/catkinshunt/spread/_peer_client.py
@@ -60,6 +60,8 @@
         """Return (index, bytes) of one of these chunks if the peer is idle.
 
         Raises:
+            errors.SourceUnableError: no chunk will be available soon; a
+                subclass of `SourceBusyError`.
             errors.SourceBusyError: the peer has none, or is sending another.
             errors.TransferError: the peer did not answer.
         """
--- a/catkinshunt/spread/_plan.py
+++ b/catkinshunt/spread/_plan.py
@@ -1,9 +1,10 @@
 """Assigns sources to chunks without communication between members.
 
-Every sidecar lists the members of its service from the store. Each chunk has
-an owner, which fetches it from the origin. In every other data centre one
-member, the first receiver, fetches it from the owner and relays it to the
-rest. A chunk thus leaves the origin once and enters each data centre once.
+Every sidecar lists the members of its service from the store that all
+sidecars share (see `base.BaseClusterView`). Each chunk has an owner, which
+fetches it from the origin. In every other data centre one member, the first
+receiver, fetches it from the owner and relays it to the rest. A chunk thus
+leaves the origin once and enters each data centre once.
 Members whose engines already serve the version are its holders and are
 preferred as sources.
 
@@ -31,7 +32,7 @@
 #: Assumed connection limit of the origin if it is unknown.
 UNKNOWN_CONNECTIONS = 20
 #: Members tried after the best source and before the origin. Most members of
-#: the same data centre wait for this member themselves.
+#: the same data centre wait for the fetching member themselves.
 MAX_FALLBACKS = 2
 #: Owners tried for the manifest before the origin.
 MAX_MANIFEST_OWNERS = 3
@@ -126,9 +127,10 @@
         """Return the names of the sources of a chunk, best first.
 
         The order is: local holders, the local member that receives the chunk
-        first, the sender in another data centre, further local members that
-        receive it before this one. If this member receives it first in its
-        data centre, remote holders precede the senders. The origin is last.
+        first, the owner or failover owner in another data centre, further
+        local members that receive it before this one. If this member receives
+        it first in its data centre, remote holders precede the owners. The
+        origin is last.
         """
         receivers = self._first_receivers_of(index)
         owner = receivers[0]
@@ -167,7 +169,8 @@
         """Return the members that send a chunk to this data centre.
 
         The first one is the source of the first local receiver, and a
-        fallback for the others.
+        fallback for the others. The first local receiver also has a second
+        one as a fallback.
         """
         if self._is_local(owner):
             return []
@@ -213,7 +216,10 @@
         )
 
     def wave(self, waves):
-        """Return the wave of this member, from 0 to `waves` - 1."""
+        """Return the wave of this member, from 0 to `waves` - 1.
+
+        The engines of one wave load the version at the same time.
+        """
         names = sorted(member.name for member in self.members)
         order = rendezvous.rank(f'{self.model}/{self.version}', names)
         return order.index(self.local_member.name) % waves
@@ -317,7 +323,9 @@
             local = [
                 m for m in self._rank(index) if m.data_centre == data_centre
             ]
-            # If all exceed the mean, the member with the fewest uploads.
+            # A member may exceed the mean by up to half of the uploads for
+            # one chunk. If all would exceed that, the member with the fewest
+            # uploads is chosen.
             receiver = next(
                 (
                     m
--- a/catkinshunt/spread/_source_health.py
+++ b/catkinshunt/spread/_source_health.py
@@ -60,14 +60,17 @@
             self.log_failure(source, exc)
 
     def record_answer(self, source):
-        """Reset the exclusion time of a source that answered to its minimum.
+        """Reset the duration of the next exclusion of a source that answered.
 
         A running exclusion is kept.
         """
         self._failures.pop(source, None)
 
     def record_success(self, source):
-        """Reset the exclusion time of a source that sent a chunk."""
+        """Reset the duration of the next exclusion; log a recovery.
+
+        A running exclusion is kept.
+        """
         self.record_answer(source)
         if source in self._failing:
             self._failing.discard(source)
--- a/catkinshunt/spread/_source_speeds.py
+++ b/catkinshunt/spread/_source_speeds.py
@@ -7,9 +7,10 @@
 
 #: Part of the copy time after which slow sources are detected.
 MIN_ELAPSED_SHARE = 0.9
-#: A source is slow if its estimated end exceeds the first multiple of the copy
-#: time while the median of the others is below the second. Normal delays at
-#: the start must not count: chunks would be fetched from the origin again.
+#: A source is slow if its estimated end exceeds SLOW_END_RATIO copy times
+#: while the median of the others is below MEDIAN_END_RATIO copy times. Normal
+#: delays at the start must not count: chunks would be fetched from the origin
+#: again.
 SLOW_END_RATIO = 2.0
 MEDIAN_END_RATIO = 1.4
 #: This instance's link is slow if the present share of the version is below
@@ -17,7 +18,8 @@
 #: link speed. A link at a quarter of its speed reaches 0.25 of both.
 SLOW_LINK_RATIO = 0.45
 #: Conditions of that check: least number of peers with a reported share, least
-#: median of these shares, and time since the start of the transfer.
+#: median of these shares, and time since the start of the transfer. The check
+#: ends after one copy time.
 MIN_REPORTS = 3
 MIN_MEDIAN_SHARE = 0.12
 LINK_CHECK_AFTER_S = 1.0
@@ -64,6 +66,7 @@
         """
         if self._elapsed_s() < MIN_ELAPSED_SHARE * self.copy_s:
             return False
+        # One chunk stays with a slow source; only the rest is reassigned.
         if queue_lengths[source] < 2 or source == _plan.ORIGIN:
             return False
         others = sorted(
--- a/catkinshunt/spread/_staging.py
+++ b/catkinshunt/spread/_staging.py
@@ -1,4 +1,4 @@
-"""Reads and verifies the staging area of the engine."""
+"""Reads and repairs the staging area of the engine."""
 
 from catkinshunt import errors
 from catkinshunt import logs
@@ -32,7 +32,7 @@
 
 
 async def verify_staged(chunk_store, engine):
-    """Replace staged chunks that differ from `chunk_store`.
+    """Compare staged chunks with `chunk_store`; replace those that differ.
 
     Chunks can be corrupted after they were staged, and an engine that loads
     them would serve damaged weights. Each is read back right before the order.
--- a/catkinshunt/spread/_wait_graph.py
+++ b/catkinshunt/spread/_wait_graph.py
@@ -56,7 +56,9 @@
     def find_cycle(self, index, local_name, now):
         """Return the names of the members of a wait cycle with `local_name`.
 
-        Empty if there is none.
+        This member waits along the chain. The cycle is closed by this member
+        itself on the chain, or by a member on it that requested the chunk
+        here in the last REQUEST_TTL_S seconds. Empty if there is none.
         """
         chain = self._chains.get(index, ())
         requesters = self._requesters.get(index, {})
--- a/catkinshunt/spread/base.py
+++ b/catkinshunt/spread/base.py
@@ -85,6 +85,9 @@
 class BaseClusterView(abc.ABC):
     """Target versions and members as read by one sidecar.
 
+    Their source is the store that all sidecars share, and for new versions
+    also the requests of peers (`note_version`).
+
     All times are on the clock of `now`.
 
     Attributes:
@@ -112,15 +115,18 @@
     def superseded_at(self, model, version):
         """Return the due time of the version after `version`.
 
-        From then on, engines at `version` receive no requests. Versions after
-        the next one do not postpone it.
+        From then on, engines at `version` receive no requests. Only the next
+        version counts; later ones do not postpone the time. Not specified if
+        there is no newer version.
         """
 
     @abc.abstractmethod
     def expires_at(self, model, version):
         """Return the time after which no request may start on `version`.
 
-        Infinite if it is not known, such as after a restart.
+        Derived from the same due time as `superseded_at`. Infinite if there is
+        no newer version, or if its due time is not known, such as after a
+        restart.
         """
 
     @abc.abstractmethod
@@ -140,4 +146,7 @@
 
     @abc.abstractmethod
     def note_version(self, model, version):
-        """Record that a peer requested chunks of this version."""
+        """Record that a peer requested chunks of this version.
+
+        It may become the target version.
+        """
