--- a/catkinshunt/quarantine/_gossip.py
+++ b/catkinshunt/quarantine/_gossip.py
@@ -75,7 +75,10 @@
                 self._send(_messages.Quarantined(request, left_s), host)
 
     def report_crash(self, crash, requests):
-        """Record the requests of a crashed upstream, and forward new ones."""
+        """Record the requests of a crashed upstream, and forward new ones.
+
+        Reports come from this entry or from a datagram.
+        """
         new = self.quarantine.record_crash(crash, requests, self.clock())
         step = _messages.MAX_REQUESTS
         for begin in range(0, len(new), step):
--- a/catkinshunt/quarantine/_guard.py
+++ b/catkinshunt/quarantine/_guard.py
@@ -44,8 +44,8 @@
 
     Args:
         gossip: `Gossip` to report crashes and completions to.
-        is_down: coroutine function of an address that returns whether its
-            process has ended.
+        is_down: coroutine function of an address that returns whether it
+            refuses connections, which shows that its process has ended.
     """
 
     def __init__(self, gossip, is_down=refuses_connections):
--- a/catkinshunt/quarantine/_quarantine.py
+++ b/catkinshunt/quarantine/_quarantine.py
@@ -20,7 +20,7 @@
 EVALUATION_DELAY_S = 0.3
 #: Seconds after its last crash for which a suspect is kept.
 SUSPECT_TTL_S = 300.0
-#: Seconds for which a request is quarantined after its last attempt.
+#: Seconds of a quarantine; later attempts renew it, see `RENEW_SHARE`.
 QUARANTINE_S = 600.0
 #: An attempt renews the quarantine once less than this share of it is left.
 RENEW_SHARE = 0.5
@@ -67,8 +67,8 @@
     suspect is quarantined in any case. Suspects with the same crashes run one
     at a time, so that the next crash or completion separates them.
 
-    Requests and crashes are identified by strings that are equal in all
-    processes. `now` is in seconds on one clock.
+    Requests (by their fingerprints) and crashes are identified by strings
+    that are equal in all processes. `now` is in seconds on one clock.
 
     Examples:
         >>> quarantine = Quarantine()
@@ -96,7 +96,7 @@
         """Record the requests that an upstream ran when it crashed.
 
         Args:
-            crash: id of the crash.
+            crash: id of the upstream's start that ended in the crash.
             requests: fingerprints.
             now: time in seconds.
 
@@ -145,7 +145,10 @@
         return found
 
     def has_pending(self, now):
-        """Return whether a suspect is not due for evaluation yet."""
+        """Return whether a suspect is not due for evaluation yet.
+
+        Suspects that an evaluation left undecided are not included.
+        """
         return any(
             suspect.eligible_at is not None
             and now - suspect.eligible_at < EVALUATION_DELAY_S
@@ -156,7 +159,8 @@
         """Quarantine a request for at least `for_s` seconds.
 
         Returns:
-            Whether it was not quarantined before, or for a much shorter time.
+            Whether it was not quarantined before, or for less than
+            `RENEW_SHARE` of `for_s`.
         """
         before_s = self.remaining_s(request, now)
         if for_s <= before_s:
@@ -166,7 +170,9 @@
         while len(self._quarantined) > MAX_QUARANTINED:
             dropped, _ = self._quarantined.popitem(last=False)
             _log.warning(
-                'Too many quarantined requests; released {}.', dropped
+                'Too many quarantined requests; ended the quarantine of the'
+                ' request with fingerprint {}.',
+                dropped,
             )
         for crash, recorded in self._crashes.items():
             if request in recorded:
