--- a/catkinshunt/gateway/_context.py
+++ b/catkinshunt/gateway/_context.py
@@ -107,7 +107,7 @@
     def delay_corrector(self, service):
         """Return the `dispatch.DelayCorrector` of a service.
 
-        It corrects predicted delays by measured ones, and ranks requests by
-        their predicted and corrected delays.
+        It corrects predicted delays by measured ones, and assigns a
+        `dispatch.Rank` to requests by their predicted and corrected delays.
         """
         return self._delay_correctors[service]
--- a/catkinshunt/gateway/_exchange.py
+++ b/catkinshunt/gateway/_exchange.py
@@ -17,19 +17,20 @@
 from catkinshunt import permits
 from catkinshunt import retries
 
-#: Seconds for which a request waits for an eligible upstream.
+#: Seconds for which a request waits for a configuration and then for an
+#: eligible upstream, together.
 UPSTREAM_WAIT_S = 1.0
 #: `Retry-After` in seconds if there was none by then.
 NO_UPSTREAM_RETRY_S = 0.8
-#: Priority in the queue of an engine by rank, from 0 (highest) to 9. Early
-#: requests precede the usual priority, 5, and the others follow it.
+#: Priority in the queue of an engine by `dispatch.Rank`, from 0 (highest) to
+#: 9. Early requests precede the usual priority, 5, and the others follow it.
 PRIORITY_BY_RANK = {
     dispatch.Rank.EARLY: 4,
     dispatch.Rank.DOUBTFUL: 6,
     dispatch.Rank.LATE: 7,
 }
 #: Share of the retry burst reserved for requests at upstreams that fail or
-#: become unresponsive.
+#: become unresponsive. Retries after rejections by full upstreams leave it.
 FAILOVER_RESERVE_SHARE = 0.5
 #: Seconds after the stop signal in which new requests are still accepted. The
 #: load balancer detects the stop after two health checks, a second apart.
@@ -63,7 +64,8 @@
         tried: keys of the upstreams chosen so far, whether or not the request
             was sent there.
         reloading: those of them that were about to load another version.
-        wait_until: end of the wait for an eligible upstream, or None.
+        wait_until: end of the wait for a configuration and then for an
+            eligible upstream, or None; set once per request.
         notes: short texts on each step, for the log field `tries`.
         first_s: seconds to the first byte of the reply, or None.
         entry_wait_s: seconds spent waiting here, for the configuration, an
@@ -109,7 +111,7 @@
         """Answer the request; return whether to keep the connection."""
         # Recorded if the task is cancelled, as for a closed connection, and
         # after an unexpected exception.
-        outcome, reason = 'left', 'the client closed the connection'
+        outcome, reason = 'left', 'closed by the client, or unexpected error'
         try:
             await self._answer()
             outcome, reason = 'answered', None
@@ -239,7 +241,8 @@
         except permits.NoPermitError:
             if not self.progress.head_sent:
                 raise
-            # The client is reading the stream; engines give it precedence.
+            # Send it without a permit: the client is reading the stream, and
+            # engines give it precedence.
             return candidate
         finally:
             self.progress.entry_wait_s += self.context.clock() - began
@@ -265,7 +268,7 @@
         # A permit search includes the other engines, so it is not repeated.
         if isinstance(exc, permits.NoPermitError):
             raise self._final_error(exc)
-        # Otherwise 'yes' or 'unknown'.
+        # `ran` is 'no', 'yes' or 'unknown'.
         progress.may_have_run |= exc.ran != 'no'
         # Until the request was first sent, a retry adds no load to upstreams
         # and costs no token.
@@ -303,7 +306,7 @@
         """Return the `dispatch.Candidate` for the next attempt.
 
         If no upstream is eligible, such as while all of them load a version
-        that is due, waits for one for up to `UPSTREAM_WAIT_S`.
+        that is due, waits for one until `progress.wait_until`.
         """
         progress = self.progress
         if progress.wait_until is None:
@@ -347,6 +350,7 @@
             state.record_success(self.context.clock())
             self.quarantine_check.record_completion()
         except errors.RefusedError:
+            # Not run, so not recorded as a failure of the upstream here.
             raise
         except _relay.ConnectionLostError:
             self.quarantine_check.record_broken_connection(candidate.upstream)
@@ -393,6 +397,7 @@
         try:
             return await pool.acquire(fresh=fresh)
         except errors.RefusedError:
+            # The connection was not established.
             state.record_refused_connection(self.context.clock())
             raise
 
@@ -415,7 +420,10 @@
         return http1.dump_head(first, items), self.req.body
 
     def _rank(self, candidate):
-        """Return the `dispatch.Rank` of the request in the engine's queue."""
+        """Return how the predicted first byte compares with the target.
+
+        This `dispatch.Rank` determines the priority at the engine.
+        """
         if self.progress.head_sent:
             # The client is reading the stream and disconnects if it stalls;
             # requests of a lower rank wait for seconds in a burst.
@@ -458,7 +466,7 @@
         return PRIORITY_BY_RANK[job.rank]
 
     def can_fail_over(self):
-        """Return whether to abandon the attempt and retry elsewhere."""
+        """Return whether the request could be retried elsewhere."""
         if not self.decision.serve.repeatable:
             return False
         if self.progress.sends >= self.decision.serve.max_tries:
--- a/catkinshunt/gateway/_gateway.py
+++ b/catkinshunt/gateway/_gateway.py
@@ -7,8 +7,8 @@
 from catkinshunt import logs
 
 #: Seconds after the stop signal for which idle connections stay open. By then
-#: the load balancer sends no new connections. Requests are still accepted a
-#: little longer, for `STOP_ACCEPT_S`.
+#: the load balancer sends no new connections. Requests are still accepted
+#: until `STOP_ACCEPT_S` after the signal (`_exchange`).
 IDLE_CLOSE_DELAY_S = 2.6
 #: Interval in seconds of the checks for open connections while stopping.
 STOP_POLL_S = 0.1
--- a/catkinshunt/gateway/_metrics.py
+++ b/catkinshunt/gateway/_metrics.py
@@ -33,5 +33,6 @@
             self._first.observe(progress.first_s)
         if progress.sends:
             self._sends.add('first')
+        # 'further' are those after the first of one client attempt.
         if progress.sends > 1:
             self._sends.add('further', amount=progress.sends - 1)
--- a/catkinshunt/gateway/_permit_search.py
+++ b/catkinshunt/gateway/_permit_search.py
@@ -15,7 +15,8 @@
 #: Most sidecars that answer a permit request. There are several because an
 #: entry cannot measure the load of other entries on an engine. Only the
 #: first one may queue the request; the others grant or reject it at once. Each
-#: one costs a round trip.
+#: one costs a round trip. Sidecars that do not answer, or whose engine is
+#: about to load another version, are not counted.
 MAX_SIDECARS = 3
 #: Reply timeout in seconds after a sidecar did not answer. It bounds the delay
 #: if no sidecar answers; on most links a running one has answered by then.
@@ -28,7 +29,8 @@
 #: sent over a saturated link cannot be cancelled, and arrives after its client
 #: has left.
 PROBE_TIMEOUT_S = permits.REPLY_TIMEOUT_S * permits.MAX_SENDS
-#: Most such engines that are probed.
+#: Most such engines that are probed. After as many candidates without a reply,
+#: no further permits are requested.
 MAX_PROBES = 2
 #: While a sidecar is unresponsive, a request is sent to its engine without a
 #: permit only if all requests of this entry there, with or without permits,
@@ -42,8 +44,9 @@
 #: Seconds for which an interrupted stream waits for a permit elsewhere; after
 #: a longer pause the client disconnects.
 FAILOVER_WAIT_S = 0.2
-#: Pause in seconds of an engine that is about to load another version. It ends
-#: early when the engine lists other versions.
+#: Pause in seconds of an engine that is about to load another version, as
+#: `LOADING_PAUSE_S` in `_relay`. It ends early when the engine lists other
+#: versions.
 RELOAD_PAUSE_S = 2.5
 
 
@@ -101,7 +104,8 @@
 
         Raises:
             permits.NoPermitError: no permit was granted in time.
-            permits.ReloadingError: all are about to load another version.
+            permits.ReloadingError: all sidecars that rejected the request
+                state that their engine is about to load another version.
         """
         answered, queued, unresponsive = 0, None, []
         any_unanswered = False
@@ -297,6 +301,7 @@
         if isinstance(reply, permits.PermitGranted):
             load = dispatch.Load(reply.in_use, 0, slots)
         else:
+            # Rejected or queued: recorded as full, with one request queued.
             load = dispatch.Load(slots, 1, slots)
         state.report(load, self.context.clock())
 
@@ -310,10 +315,12 @@
         full = [reply for reply in rejected if not _is_reloading(reply)]
         if rejected and not full:
             return permits.ReloadingError(
-                'all engines are about to reload', step='take-place'
+                'all engines whose sidecars rejected the request are about to'
+                ' load another version',
+                step='take-place',
             )
         return permits.NoPermitError(
-            f'no permit was granted ({len(full)} engines full)',
+            f'no permit was granted ({len(full)} sidecars had none free)',
             step='take-place',
             peer=', '.join(
                 _host(pending.candidate) for pending in self._pending
--- a/catkinshunt/gateway/_quarantine_check.py
+++ b/catkinshunt/gateway/_quarantine_check.py
@@ -44,8 +44,9 @@
         left_s = self.guard.check(self.fingerprint)
         if left_s > 0:
             raise QuarantinedError(
-                f'upstreams crashed while running request {self.fingerprint};'
-                f' not run for {math.ceil(left_s)} s',
+                f'request with fingerprint {self.fingerprint} is quarantined'
+                f' or suspected of crashing upstreams; may run in'
+                f' {math.ceil(left_s)} s',
                 step='check-quarantine',
                 retry_after_s=math.ceil(left_s),
             )
--- a/catkinshunt/gateway/_relay.py
+++ b/catkinshunt/gateway/_relay.py
@@ -11,7 +11,8 @@
 #: Longest reply that is buffered until complete, so that the request can be
 #: retried if the reply is cut off. A longer one is relayed as it arrives.
 MAX_BUFFERED_BYTES = 1024 * 1024
-#: Pause in seconds of an upstream that rejected a request.
+#: Pause in seconds of an upstream that rejected a request. A paused upstream
+#: is only chosen if all others are paused or unresponsive too.
 FULL_PAUSE_S = 0.1
 #: The same if it did not have the expected id or version.
 MISDIRECTED_PAUSE_S = 0.5
@@ -27,7 +28,7 @@
 
 
 class OutdatedVersionError(errors.OutcomeUnknownError):
-    """The version became outdated before the upstream began its reply."""
+    """The version became outdated before the reply began; it may have run."""
 
     code = 'outdated'
 
@@ -106,7 +107,9 @@
                     part.reason, step='read-reply', peer=self.peer
                 )
             self.state.receive(self.context.clock())
-            # Also set by a late reply to another request.
+            # Also set by a late reply to another request; the version is
+            # then no longer checked, nor a lower bound of the delay
+            # recorded.
             self.job.reply_started = True
             return part
 
@@ -126,6 +129,10 @@
             )
 
     def _check_responsive(self):
+        """Raise if the upstream is unresponsive and a retry is possible.
+
+        Otherwise, and for `POLL_S` after sending, the wait continues.
+        """
         now = self.context.clock()
         if not self.state.is_unresponsive(now) or now - self.sent_at < POLL_S:
             return
--- a/catkinshunt/gateway/_selection.py
+++ b/catkinshunt/gateway/_selection.py
@@ -33,9 +33,9 @@
         """Return the best untried `dispatch.Candidate`, or None.
 
         Args:
-            tried: keys of the upstreams chosen before.
-            predicate: function that returns whether an upstream is eligible,
-                or None for all.
+            tried: keys of the upstreams chosen before, which are left out.
+            predicate: function that returns whether to consider an upstream,
+                or None to consider all.
         """
         upstreams = self._eligible_upstreams()
         return self.context.chooser.choose(
@@ -82,7 +82,10 @@
         )
 
     def may_become_available(self):
-        """Return whether a listed upstream may accept the request soon."""
+        """Return whether an upstream is listed that is not leaving.
+
+        One that is leaving accepts no new requests; others may do so soon.
+        """
         service = self.decision.service
         return any(
             not upstream.leaving
@@ -107,7 +110,7 @@
         return version is not None and version < min_version
 
     def _eligible_upstreams(self):
-        """Return the upstreams whose version is not outdated."""
+        """Return those that serve the model in a version not outdated."""
         found = self.context.catalog.upstreams(
             self.decision.service, self.context.boot_clock()
         )
--- a/catkinshunt/gateway/base.py
+++ b/catkinshunt/gateway/base.py
@@ -59,7 +59,7 @@
     """Decoded headers of an upstream's reply.
 
     Attributes:
-        request_id: id of the request that it answers, or ''.
+        request_id: `RequestInfo.id` of the request that it answers, or ''.
         not_executed: the upstream states that it did not run the request.
         misdirected: another upstream has the address, or the upstream does
             not serve the requested model version.
--- a/catkinshunt/gateway/tests/test_permits.py
+++ b/catkinshunt/gateway/tests/test_permits.py
@@ -107,7 +107,7 @@
     assert client.in_use == 0
 
 
-def test_unresponsive_sidecar_expires_the_old_version_early():
+def test_unresponsive_sidecar_makes_the_old_version_outdated_early():
     """A version is about to be due while a link between regions is saturated.
 
     The sidecar of an engine with the old version does not answer in time. A
@@ -342,7 +342,7 @@
     assert (status, client.granted, client.in_use) == (200, 1, 0)
 
 
-def test_engine_with_a_dead_sidecar_is_used_when_others_are_full():
+def test_engine_with_an_unresponsive_sidecar_is_used_when_others_are_full():
     """The engine of that sidecar works, and all others are full."""
     engines = [make_engine(name, harness.streaming(3)) for name in 'ab']
     client = FakePermitClient(permits.PermitQueued, None)
@@ -411,7 +411,7 @@
 
 
 def test_engine_without_permits_is_not_overloaded():
-    """The sidecar of one engine is dead, and all other engines are full.
+    """The sidecar of the only engine does not answer.
 
     No sidecar counts the requests at that engine. If it got all that others
     reject, its queue would grow to seconds, and its answers would be late.
@@ -458,7 +458,7 @@
     assert [r.resumed for r in client.requests] == [False, True]
 
 
-def test_permit_request_has_the_longest_wait():
+def test_permit_request_waits_until_the_first_token_target():
     client = FakePermitClient()
     request_once(client, make_engine('u1', harness.streaming(3)))
     (permit_request,) = client.requests
@@ -468,7 +468,7 @@
 
 
 def test_client_retry_is_late():
-    """The client was rejected before; its retry can no longer be in time."""
+    """A deadline shorter than usual marks a retry, which cannot be in time."""
     client = FakePermitClient()
 
     async def main():
--- a/catkinshunt/gateway/tests/test_streams.py
+++ b/catkinshunt/gateway/tests/test_streams.py
@@ -108,10 +108,10 @@
 def test_all_streams_of_an_engine_that_stands_still_move():
     """An engine freezes with twelve requests, and another one is free.
 
-    A known failure (KNOWN-RED.txt): the entry has only five retries beyond
-    the ratio. Once these are spent, the other clients wait until they time
-    out, and the engine runs their requests when it resumes, after the clients
-    have left.
+    A known failure (listed in KNOWN-RED.txt at the root): the entry has only
+    five retries beyond the ratio. Once these are spent, the other clients wait
+    until they time out, and the engine runs their requests when it resumes,
+    after the clients have left.
     """
     assert run(request_while_one_is_frozen(12, 5.0)) == [200] * 12
 
@@ -131,7 +131,7 @@
     """An engine is unresponsive for a second, and no retry is left.
 
     Abandoning the attempt would fail the request. The engine continues after
-    the pause, and the client gets the complete answer.
+    this second, and the client gets the complete answer.
     """
 
     async def pauses(head, writer, upstream):
@@ -294,7 +294,7 @@
 def test_request_waits_while_all_engines_load():
     """All engines load a new version at the same time.
 
-    If rejected at once, clients would retry within the same gap. The request
+    If rejected at once, clients would retry while all still load. The request
     waits for the first engine that serves again.
     """
 
@@ -312,7 +312,7 @@
 
 
 def test_client_retry_has_a_lower_priority():
-    """A client that retries after a rejection is already late.
+    """A client retry, marked by a shorter deadline, is already late.
 
     Served first, its request would delay others that can be in time.
     """
